--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -93,9 +93,9 @@
     }
     let Some(happened) = happened else { return };
     tracing::debug!(viewing = vw.0, tune_in = tune_in.0, server = %server_address(server), ?happened, "set-up");
-    shell.tell(move |front, hands, now| {
-        hands.over(vw, tune_in);
-        front.happened(hands, now, vw, tune_in, happened, load);
+    shell.tell(move |front, host, now| {
+        host.over(vw, tune_in);
+        front.happened(host, now, vw, tune_in, happened, load);
     });
 }
 
@@ -126,9 +126,9 @@
                 let (claim, word) = peers.claim(session, until.saturating_sub(shell.now())).await;
                 if word != Word::Granted {
                     let (taken, come_back) = (word == Word::Taken, shell.0.come_back);
-                    shell.tell(move |front, hands, now| {
-                        hands.over(vw, tune_in);
-                        front.unclaimed(hands, now, vw, tune_in, taken, come_back);
+                    shell.tell(move |front, host, now| {
+                        host.over(vw, tune_in);
+                        front.unclaimed(host, now, vw, tune_in, taken, come_back);
                     });
                     shell.0.pool.put(address, connection);
                     return (None, none);
@@ -146,8 +146,8 @@
                 }
             }
             let (tell, told) = oneshot::channel();
-            shell.tell(move |front, hands, now| {
-                let _ = tell.send(front.sending(hands, now, vw, tune_in));
+            shell.tell(move |front, host, now| {
+                let _ = tell.send(front.sending(host, now, vw, tune_in));
             });
             allowed = told.await.unwrap_or(false);
             if !allowed {
@@ -267,7 +267,7 @@
 pub async fn probe(shell: Shell, server: ServerId) {
     let asked = ask(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect);
     let load = timeout(shell.0.connect, asked).await.ok().flatten().map(|came| came.load);
-    shell.tell(move |front, hands, now| front.probed(hands, now, server, load));
+    shell.tell(move |front, host, now| front.probed(host, now, server, load));
 }
 
 /// Asks a server when the player last fetched of a tune-in.
@@ -276,7 +276,7 @@
     let asked = ask(&shell, server, Method::GET, &path, &Value::Null, within);
     let came = timeout(within, asked).await.ok().flatten();
     let quiet = came.and_then(|came| came.quiet);
-    shell.tell(move |front, hands, now| front.fetched(hands, now, server, tune_in, quiet));
+    shell.tell(move |front, host, now| front.fetched(host, now, server, tune_in, quiet));
 }
 
 /// Asks a server for an answer only to hear its date, on a connection of its own: none is kept for that.
@@ -321,9 +321,9 @@
         Err(error) => {
             // Refused: no process listens there, so nothing plays. After silence that isn't known.
             if error.kind() == std::io::ErrorKind::ConnectionRefused {
-                shell.tell(move |front, hands, now| {
-                    front.still(hands, now, server, &[]);
-                    front.heard(hands, now, server);
+                shell.tell(move |front, host, now| {
+                    front.still(host, now, server, &[]);
+                    front.heard(host, now, server);
                 });
             }
             return false;
@@ -377,13 +377,13 @@
             Some((tune_in(of)?, SessionId(session), (PackageId(package), title.unwrap_or(TitleId(0)), rungs)))
         };
         let playing: Vec<_> = rows.iter().filter_map(row).collect();
-        return shell.tell(move |front, hands, now| {
+        return shell.tell(move |front, host, now| {
             let ids: Vec<_> = playing.iter().map(|(tune_in, ..)| *tune_in).collect();
-            front.still(hands, now, server, &ids);
+            front.still(host, now, server, &ids);
             for (tune_in, session, about) in playing {
-                front.found(hands, now, server, tune_in, session, about);
+                front.found(host, now, server, tune_in, session, about);
             }
-            front.heard(hands, now, server);
+            front.heard(host, now, server);
         });
     }
     let Some((birth, vw, n)) = tune_in(told) else { return };
@@ -393,7 +393,7 @@
         _ => None,
     };
     if let Some(why) = over {
-        return shell.tell(move |front, hands, now| front.over(hands, now, server, (birth, vw, n), why));
+        return shell.tell(move |front, host, now| front.over(host, now, server, (birth, vw, n), why));
     }
     let x = told["x"].as_f64().unwrap_or(f64::NAN);
     let news = match told["note"].as_str() {
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -6,10 +6,10 @@
 use crate::{Ended, link, list, setup};
 use ivyward::front::{Extent, Listed, PackageId, ServerId, Standing, TitleId, ViewingId};
 use ivyward_edge::{Calendar, Doors, Errand, Gate, Seldom, Ticket, Turn};
+use ivyward_event_loop::{Clock, EventSender, Timers, channel};
 use ivyward_peers::Peers;
 use ivyward_session::{Answer, Birth, Breach, Decides, Effects, Front, RequestId, SessionId, Timer, TuneIn};
 use ivyward_settings::Part;
-use ivyward_turns::{Clock, Queue, Timers, queue};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,7 +58,7 @@
     doors: RefCell<Doors>,
     /// Those that wait for a place at a server.
     turns: RefCell<BTreeMap<Ticket, oneshot::Sender<()>>>,
-    jobs: Queue<Hands>,
+    events: EventSender<DaemonHost>,
     /// Servers whose notes are followed.
     links: RefCell<BTreeMap<ServerId, AbortHandle>>,
     /// The list as it last came, and those of it whose clocks have gone astray.
@@ -92,7 +92,7 @@
         let manifest = settings.one("manifest");
         let (clock, dropped) = outside;
         let spans = Clock::start();
-        let (jobs, turns) = queue(spans);
+        let (events, event_loop) = channel(spans);
         let inner = Inner {
             name: manager.text("name"),
             birth,
@@ -115,7 +115,7 @@
             doors: RefCell::new(Doors::new(limits.count("connections"))),
             turns: RefCell::default(),
             spans,
-            jobs,
+            events,
             links: RefCell::default(),
             rows: RefCell::default(),
             astray: RefCell::default(),
@@ -142,13 +142,13 @@
             setup::ration(settings),
             Birth(birth),
         );
-        let mut hands = Hands {
+        let mut host = DaemonHost {
             shell: shell.clone(),
             timers: Timers::default(),
             answers: BTreeMap::new(),
             out: BTreeMap::new(),
         };
-        front.start(&mut hands, shell.now());
+        front.start(&mut host, shell.now());
         let date = shell.date();
         for (session, server, until) in spent {
             front.spent(session, server, shell.now() + until.saturating_sub(date));
@@ -171,8 +171,8 @@
         });
         let turned = shell.clone();
         spawn_local(async move {
-            turns
-                .run(&mut front, &mut hands, |now, waited| turned.0.gate.borrow_mut().turn(now, waited))
+            event_loop
+                .run(&mut front, &mut host, |now, waited| turned.0.gate.borrow_mut().turn(now, waited))
                 .await;
         });
         Ok(shell)
@@ -183,14 +183,14 @@
     }
 
     /// Puts something that happened into the queue.
-    pub fn tell(&self, job: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static) {
-        self.0.jobs.tell(job);
+    pub fn tell(&self, event: impl FnOnce(&mut Front, &mut DaemonHost, Duration) + 'static) {
+        self.0.events.send(event);
     }
 
     /// The same for what may be left out. Guards against servers that send notes faster than they are handled.
-    pub fn tell_if_free(&self, job: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static) {
-        if self.0.jobs.waiting() < NOTES {
-            return self.tell(job);
+    pub fn tell_if_free(&self, event: impl FnOnce(&mut Front, &mut DaemonHost, Duration) + 'static) {
+        if self.0.events.waiting() < NOTES {
+            return self.tell(event);
         }
         self.0.unheard.set(self.0.unheard.get().saturating_add(1));
     }
@@ -221,7 +221,7 @@
             "held": {
                 "servers": self.0.rows.borrow().len(), "links": self.0.links.borrow().len(),
                 "clocks": self.0.calendar.borrow().len(), "connections": self.0.pool.count(),
-                "places": places + tickets, "queue": self.0.jobs.waiting(),
+                "places": places + tickets, "queue": self.0.events.waiting(),
             },
         })
     }
@@ -267,10 +267,10 @@
         let Some(row) = row.filter(|_| changed) else { return };
         tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
         let row = self.seen(row);
-        self.tell(move |front, hands, now| {
+        self.tell(move |front, host, now| {
             front.listed(now, &[row], Extent::Changes);
             if off {
-                front.astray(hands, now, server);
+                front.astray(host, now, server);
             }
         });
     }
@@ -403,10 +403,10 @@
         let mut ended =
             Ended { places: places + tickets, connections: self.0.pool.count(), ..Default::default() };
         let (tell, told) = oneshot::channel();
-        self.tell(move |front, hands, now| {
-            (ended.viewings, ended.timers) = (front.live(), hands.timers.count());
+        self.tell(move |front, host, now| {
+            (ended.viewings, ended.timers) = (front.live(), host.timers.count());
             (ended.orphans, ended.taken_over) = front.counts();
-            front.stop(hands, now);
+            front.stop(host, now);
             ended.breaches = front.breaches().values().sum();
             let _ = tell.send((ended, front.waiting(), front.breaches().clone()));
         });
@@ -452,14 +452,14 @@
 }
 
 /// The effects of the core.
-pub struct Hands {
+pub struct DaemonHost {
     shell: Shell,
     timers: Timers,
     answers: BTreeMap<RequestId, oneshot::Sender<Answer>>,
     out: BTreeMap<(ViewingId, TuneIn), AbortHandle>,
 }
 
-impl Hands {
+impl DaemonHost {
     /// Where the answer of a request goes.
     pub fn expect(&mut self, request: RequestId, answer: oneshot::Sender<Answer>) {
         self.answers.insert(request, answer);
@@ -476,13 +476,13 @@
     }
 }
 
-impl ivyward_turns::Hands for Hands {
+impl ivyward_event_loop::Host for DaemonHost {
     fn timers(&mut self) -> &mut Timers {
         &mut self.timers
     }
 }
 
-impl Effects for Hands {
+impl Effects for DaemonHost {
     fn answer(&mut self, request: RequestId, answer: Answer) {
         if let Some(waiting) = self.answers.remove(&request) {
             waiting.send(answer).ok();
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -238,9 +238,9 @@
         if !self.answered.get() {
             let (session, request) = (self.session, self.request);
             self.shell.count(("closed", "the viewer left before its answer"));
-            self.shell.tell(move |front, hands, now| {
-                hands.forget(request);
-                front.closed(hands, now, session, request);
+            self.shell.tell(move |front, host, now| {
+                host.forget(request);
+                front.closed(host, now, session, request);
             });
         }
     }
@@ -268,7 +268,7 @@
         let new: Vec<_> = self.revoked.borrow().difference(&before).copied().collect();
         tracing::info!(signs = tokens.text("signs"), revoked = new.len(), "new tokens are in force");
         for session in new.into_iter().map(SessionId) {
-            self.shell.tell(move |front, hands, now| front.revoked(hands, now, session));
+            self.shell.tell(move |front, host, now| front.revoked(host, now, session));
             self.shell.0.peers.iter().for_each(|peers| peers.revoke(session));
         }
     }
@@ -286,7 +286,7 @@
                 }
                 session = learned.recv() => {
                     let Some(session) = session else { return };
-                    self.shell.tell(move |front, hands, now| front.revoked(hands, now, session));
+                    self.shell.tell(move |front, host, now| front.revoked(host, now, session));
                 }
             }
         }
@@ -392,10 +392,10 @@
         }
         let about = (*package, title.id, title.cells, pass.top);
         let left = until.saturating_sub(now);
-        self.shell.tell(move |front, hands, now| {
-            hands.expect(request, tell);
+        self.shell.tell(move |front, host, now| {
+            host.expect(request, tell);
             let shown = shown.unwrap_or(Shown::App { issued });
-            front.asked(hands, now, request, session, about, shown, now + left);
+            front.asked(host, now, request, session, about, shown, now + left);
         });
         let waiting = Waiting { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
         let Ok(answer) = given_back.await else {
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use hyper::StatusCode;
-use ivyward_between::{Does, Path};
 use ivyward_daemon::setup;
+use ivyward_fault_proxy::{Fault, FaultProxy};
 use ivyward_fleet::Over;
 use ivyward_standin::{Standins, What};
 use serde_json::Value;
@@ -46,7 +46,7 @@
     text: String,
     dir: PathBuf,
     /// From one to another.
-    paths: BTreeMap<(usize, usize), Path>,
+    paths: BTreeMap<(usize, usize), FaultProxy>,
     managers: Vec<Manager>,
 }
 
@@ -69,7 +69,7 @@
         let listens: Vec<_> = (0..members).map(|i| own(i, 9001)).collect();
         for from in 0..members {
             for (to, address) in listens.iter().enumerate().filter(|(to, _)| *to != from) {
-                group.paths.insert((from, to), Path::open(*address).await.expect("a path"));
+                group.paths.insert((from, to), FaultProxy::open(*address).await.expect("a path"));
             }
         }
         for i in 0..members {
@@ -136,21 +136,21 @@
     }
 
     /// What all paths from and to a member do.
-    fn around(&self, i: usize, does: Does) {
+    fn around(&self, i: usize, fault: Fault) {
         let paths = self.paths.iter().filter(|((from, to), _)| *from == i || *to == i);
-        paths.for_each(|(_, path)| path.does(does));
+        paths.for_each(|(_, path)| path.set_fault(fault));
     }
 
     /// What all paths between these and the others do.
-    fn between(&self, these: &[usize], does: Does) {
+    fn between(&self, these: &[usize], fault: Fault) {
         let parted = self.paths.iter().filter(|((a, b), _)| these.contains(a) != these.contains(b));
-        parted.for_each(|(_, path)| path.does(does));
+        parted.for_each(|(_, path)| path.set_fault(fault));
     }
 
     /// What all paths to a member do: what it says goes out, what it is told doesn't come.
-    fn towards(&self, i: usize, does: Does) {
+    fn towards(&self, i: usize, fault: Fault) {
         let paths = self.paths.iter().filter(|((_, to), _)| *to == i);
-        paths.for_each(|(_, path)| path.does(does));
+        paths.for_each(|(_, path)| path.set_fault(fault));
     }
 
     fn url(&self, i: usize, session: u128, package: &str) -> String {
@@ -283,7 +283,7 @@
     for killed in [true, false] {
         with(true, |mut group| async move {
             // Keepers hear the claim; their word doesn't come.
-            group.towards(0, Does::Holds);
+            group.towards(0, Fault::Stall);
             let asked = group.url(0, 9, PAID);
             let asked = tokio::task::spawn_local(async move { get(&asked).await });
             for i in [1, 2] {
@@ -292,7 +292,7 @@
             if killed {
                 asked.abort();
                 group.kill(0).await;
-                group.towards(0, Does::Passes);
+                group.towards(0, Fault::Forward);
                 // It may have run, for all that the others can know.
                 let page = group.ask(1, 9).await;
                 assert_eq!((page.status, group.sent(9)), (SPENT, 0), "{}", page.text);
@@ -305,7 +305,7 @@
             // Confirmed to it or not, the others know.
             let page = group.ask(1, 9).await;
             assert_eq!((page.status, group.sent(9)), (PLAYS, 1), "{}", page.text);
-            group.towards(0, Does::Passes);
+            group.towards(0, Fault::Forward);
             group.until(0, "nothing to take back", |page| page["to_take_back"] == 0).await;
             assert_eq!((group.ask(0, 9).await.status, group.sent(9)), (SPENT, 1));
         });
@@ -314,14 +314,14 @@
 
 #[test]
 fn a_minority_blocks_paid_viewings_at_once_and_plays_free_ones() {
-    for does in [Does::Holds, Does::Resets, Does::HoldsAnswers] {
+    for fault in [Fault::Stall, Fault::Reset, Fault::StallReplies] {
         with(true, |group| async move {
-            group.around(0, does);
+            group.around(0, fault);
             let begun = Instant::now();
             let page = group.ask(0, 11).await;
-            let case = format!("{does:?}: {}", page.text);
+            let case = format!("{fault:?}: {}", page.text);
             // Each path carries one direction: where only answers are held, nothing is lost.
-            let alone = does != Does::HoldsAnswers;
+            let alone = fault != Fault::StallReplies;
             assert_eq!(page.status, if alone { BLOCKED } else { PLAYS }, "{case}");
             assert_eq!(page.come_back.is_some_and(|span| span != "0"), alone, "{case}");
             // Long before its patience of 4 s is over.
@@ -329,7 +329,7 @@
             assert_eq!(group.sent(11), usize::from(!alone), "{case}");
             assert_eq!(get(&group.url(0, 12, "clip")).await.status, PLAYS, "{case}");
             assert_eq!(group.ask(1, 13).await.status, PLAYS, "{case}");
-            group.around(0, Does::Passes);
+            group.around(0, Fault::Forward);
             // Back again it learns what was set up meanwhile, and takes part.
             let end = Instant::now() + ms(5000);
             while group.ask(0, 14).await.status != PLAYS {
@@ -346,7 +346,7 @@
     // With its folder kept it remembers by itself; either way the session isn't set up again.
     for lost in [true, false] {
         with(true, |mut group| async move {
-            group.paths[&(0, 2)].does(Does::Resets);
+            group.paths[&(0, 2)].set_fault(Fault::Reset);
             assert_eq!(group.ask(0, 21).await.status, PLAYS);
             group.kill(1).await;
             if lost {
@@ -361,7 +361,7 @@
             if lost {
                 assert_eq!(group.ask(2, 22).await.status, BLOCKED, "nor any other, for all that it knows");
             }
-            group.paths[&(0, 2)].does(Does::Passes);
+            group.paths[&(0, 2)].set_fault(Fault::Forward);
             group.signal(0, "-CONT");
             group.until(1, "all that it forgot", |page| page["catching_up"] == false).await;
             for i in [1, 2] {
@@ -376,7 +376,7 @@
 fn one_that_wakes_up_late_sets_nothing_up_that_another_has() {
     with(true, |group| async move {
         for session in 31..36 {
-            group.towards(0, Does::Holds);
+            group.towards(0, Fault::Stall);
             let asked = group.url(0, session, PAID);
             let asked = tokio::task::spawn_local(async move { get(&asked).await });
             sleep(ms(100)).await;
@@ -385,7 +385,7 @@
             let page = group.ask(1, session).await;
             assert!([SPENT, PLAYS].contains(&page.status), "{}", page.text);
             sleep(ms(700)).await;
-            group.towards(0, Does::Passes);
+            group.towards(0, Fault::Forward);
             group.signal(0, "-CONT");
             let late = asked.await.expect("an answer");
             let plays = [&page, &late].iter().filter(|page| page.status == PLAYS).count();
@@ -449,15 +449,15 @@
 
 #[test]
 fn what_was_revoked_is_told_on_whatever_dies_and_whoever_starts_anew() {
-    for does in [Does::Holds, Does::Resets] {
+    for fault in [Fault::Stall, Fault::Reset] {
         with(true, |mut group| async move {
             // The first tells the second alone, and is gone for good.
-            group.around(2, does);
+            group.around(2, fault);
             group.revokes(0, 61);
             group.comes_to(1, 61, REVOKED).await;
             group.kill(0).await;
-            assert_eq!(get(&group.url(2, 61, "clip")).await.status, PLAYS, "{does:?}: it can't know yet");
-            group.around(2, Does::Passes);
+            assert_eq!(get(&group.url(2, 61, "clip")).await.status, PLAYS, "{fault:?}: it can't know yet");
+            group.around(2, Fault::Forward);
             group.comes_to(2, 61, REVOKED).await;
             // Nor is it kept on disk: one that starts anew learns it from another, also after a flap of its own.
             for i in [1, 2, 1] {
@@ -481,7 +481,7 @@
                 if pages.iter().all(|page| page["revoked_digest"] == pages[0]["revoked_digest"]) {
                     break;
                 }
-                assert!(Instant::now() < end, "{does:?}: {pages:?}");
+                assert!(Instant::now() < end, "{fault:?}: {pages:?}");
                 sleep(ms(50)).await;
             }
         });
@@ -526,7 +526,7 @@
             played += twice(&group, &all, session).await;
         }
         assert!(played >= 4, "{played} of 6");
-        group.between(&cut, Does::Holds);
+        group.between(&cut, Fault::Stall);
         group.revokes(cut[0], 72);
         group.revokes(1, 73);
         println!("cut off, those that stand within {:?}", told(&group, &stand, 73).await);
@@ -547,7 +547,7 @@
         }
         println!("started anew within {:?}", told(&group, &[5, 13], 73).await);
         assert_eq!(group.page(13).await["catching_up"], true);
-        group.between(&cut, Does::Passes);
+        group.between(&cut, Fault::Forward);
         let begun = Instant::now();
         // The longest pause before a member is tried again, and its turns.
         let end = begun + ms(20_000);
--- a/crates/turns/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -11,9 +11,9 @@
 use tokio::time::{Instant, sleep_until};
 
 /// The clock's first moment: what began before this process still has a time above zero.
-const BEGIN: Duration = Duration::from_secs(86_400);
+const CLOCK_START: Duration = Duration::from_secs(86_400);
 /// With no timer set, the queue's task looks again after so long.
-const NEVER: Duration = Duration::from_secs(500_000);
+const IDLE_INTERVAL: Duration = Duration::from_secs(500_000);
 
 /// Spans since the start.
 #[derive(Clone, Copy)]
@@ -25,11 +25,11 @@
     }
 
     pub fn now(&self) -> Duration {
-        BEGIN + self.0.elapsed()
+        CLOCK_START + self.0.elapsed()
     }
 
     fn instant(&self, at: Duration) -> Instant {
-        self.0 + at.saturating_sub(BEGIN)
+        self.0 + at.saturating_sub(CLOCK_START)
     }
 }
 
@@ -62,47 +62,47 @@
 }
 
 /// The effects of a core, with its timers among them.
-pub trait Hands: Effects {
+pub trait Host: Effects {
     fn timers(&mut self) -> &mut Timers;
 
     /// Timers are due: what came before them and may lie unread is told first.
-    fn catches_up(&mut self, _: &mut Front, _: Duration) {}
+    fn before_timers(&mut self, _: &mut Front, _: Duration) {}
 }
 
 /// Something that happened, handed to the core in its turn.
-type Job<H> = Box<dyn FnOnce(&mut Front, &mut H, Duration)>;
+type Event<H> = Box<dyn FnOnce(&mut Front, &mut H, Duration)>;
 
 /// The queue into the core.
-pub struct Queue<H> {
+pub struct EventSender<H> {
     clock: Clock,
-    jobs: mpsc::UnboundedSender<(Duration, Job<H>)>,
+    events: mpsc::UnboundedSender<(Duration, Event<H>)>,
     waiting: Rc<Cell<usize>>,
 }
 
-impl<H> Clone for Queue<H> {
+impl<H> Clone for EventSender<H> {
     fn clone(&self) -> Self {
-        Queue { clock: self.clock, jobs: self.jobs.clone(), waiting: self.waiting.clone() }
+        EventSender { clock: self.clock, events: self.events.clone(), waiting: self.waiting.clone() }
     }
 }
 
 /// The other end of a queue.
-pub struct Turns<H> {
+pub struct EventLoop<H> {
     clock: Clock,
-    jobs: mpsc::UnboundedReceiver<(Duration, Job<H>)>,
+    events: mpsc::UnboundedReceiver<(Duration, Event<H>)>,
     waiting: Rc<Cell<usize>>,
 }
 
-pub fn queue<H: Hands>(clock: Clock) -> (Queue<H>, Turns<H>) {
-    let (jobs, taken) = mpsc::unbounded_channel();
+pub fn channel<H: Host>(clock: Clock) -> (EventSender<H>, EventLoop<H>) {
+    let (events, receiver) = mpsc::unbounded_channel();
     let waiting = Rc::new(Cell::new(0));
-    (Queue { clock, jobs, waiting: waiting.clone() }, Turns { clock, jobs: taken, waiting })
+    (EventSender { clock, events, waiting: waiting.clone() }, EventLoop { clock, events: receiver, waiting })
 }
 
-impl<H: Hands> Queue<H> {
+impl<H: Host> EventSender<H> {
     /// Puts something that happened into the queue.
-    pub fn tell(&self, job: impl FnOnce(&mut Front, &mut H, Duration) + 'static) {
+    pub fn send(&self, event: impl FnOnce(&mut Front, &mut H, Duration) + 'static) {
         self.waiting.set(self.waiting.get() + 1);
-        self.jobs.send((self.clock.now(), Box::new(job))).ok();
+        self.events.send((self.clock.now(), Box::new(event))).ok();
     }
 
     pub fn now(&self) -> Duration {
@@ -115,27 +115,27 @@
     }
 }
 
-impl<H: Hands> Turns<H> {
-    /// Hands the core what comes, until nobody can put anything into the queue. `turned` is told when something had its
+impl<H: Host> EventLoop<H> {
+    /// Hands the core what comes, until nobody can put anything into the queue. `on_dispatch` is told when something had its
     /// turn, and how long it waited.
-    pub async fn run(mut self, front: &mut Front, hands: &mut H, turned: impl Fn(Duration, Duration)) {
+    pub async fn run(mut self, front: &mut Front, host: &mut H, on_dispatch: impl Fn(Duration, Duration)) {
         loop {
-            let due = hands.timers().next().map(|at| self.clock.instant(at));
+            let due = host.timers().next().map(|at| self.clock.instant(at));
             tokio::select! {
                 biased;
-                () = sleep_until(due.unwrap_or_else(|| Instant::now() + NEVER)) => {
+                () = sleep_until(due.unwrap_or_else(|| Instant::now() + IDLE_INTERVAL)) => {
                     let now = self.clock.now();
-                    hands.catches_up(front, now);
-                    while let Some(timer) = hands.timers().due(now) {
-                        front.woken(hands, now, timer);
+                    host.before_timers(front, now);
+                    while let Some(timer) = host.timers().due(now) {
+                        front.woken(host, now, timer);
                     }
                 }
-                job = self.jobs.recv() => match job {
-                    Some((told, job)) => {
+                event = self.events.recv() => match event {
+                    Some((queued_at, event)) => {
                         let now = self.clock.now();
                         self.waiting.set(self.waiting.get().saturating_sub(1));
-                        turned(now, now.saturating_sub(told));
-                        job(front, hands, now);
+                        on_dispatch(now, now.saturating_sub(queued_at));
+                        event(front, host, now);
                     }
                     None => return,
                 },
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -81,7 +81,7 @@
 }
 
 #[derive(Default)]
-struct Hands {
+struct EffectLog {
     did: Vec<Did>,
     breaches: Vec<Breach>,
 }
@@ -95,7 +95,7 @@
     ServerId([a, b, c, at.0 as u8, 0, 80])
 }
 
-impl Effects for Hands {
+impl Effects for EffectLog {
     fn answer(&mut self, request: RequestId, answer: Answer) {
         self.did.push(Did::Answer(request, answer));
     }
@@ -313,15 +313,15 @@
     }
 
     /// A turn at a manager's core, if that start of it is still up.
-    fn turn(&mut self, manager: usize, birth: u64, act: impl FnOnce(&mut Front, &mut Hands, Duration)) {
+    fn turn(&mut self, manager: usize, birth: u64, act: impl FnOnce(&mut Front, &mut EffectLog, Duration)) {
         if self.managers[manager].birth != birth {
             return;
         }
-        let (now, mut hands) = (self.now, Hands::default());
+        let (now, mut effects) = (self.now, EffectLog::default());
         let Some(front) = &mut self.managers[manager].front else { return };
-        act(front, &mut hands, now);
-        self.breaches += hands.breaches.len() as u64;
-        for did in hands.did {
+        act(front, &mut effects, now);
+        self.breaches += effects.breaches.len() as u64;
+        for did in effects.did {
             self.does(manager, birth, did);
         }
     }
@@ -412,7 +412,7 @@
             self.managers[manager].paid.insert(sent.session, (id(server), until));
         }
         let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
-        self.turn(manager, birth, |front, hands, now| allowed = front.sending(hands, now, vw, n));
+        self.turn(manager, birth, |front, effects, now| allowed = front.sending(effects, now, vw, n));
         if !allowed {
             self.out.remove(&key);
             if once {
@@ -492,7 +492,7 @@
         if let Some(about) = self.abouts.get(&(server, key)).filter(|_| never_ran).copied() {
             self.managers[manager].paid.remove(&about.0);
         }
-        self.turn(manager, key.birth, |front, hands, now| front.happened(hands, now, vw, n, what, load));
+        self.turn(manager, key.birth, |front, effects, now| front.happened(effects, now, vw, n, what, load));
     }
 
     /// The manager closes the connection of a set-up.
@@ -655,8 +655,8 @@
         let m = &mut self.managers[manager];
         (m.front, m.birth) = (Some(front), birth);
         m.follows.clear();
-        self.turn(manager, birth, move |front, hands, now| {
-            front.start(hands, now);
+        self.turn(manager, birth, move |front, effects, now| {
+            front.start(effects, now);
             for (session, (server, until)) in paid {
                 front.spent(session, server, until);
             }
@@ -765,9 +765,9 @@
         self.after(way, move |w| {
             if !w.fleet.up(at) {
                 w.managers[manager].follows.remove(&at);
-                return w.turn(manager, birth, |front, hands, now| {
-                    front.still(hands, now, id(at), &[]);
-                    front.heard(hands, now, id(at));
+                return w.turn(manager, birth, |front, effects, now| {
+                    front.still(effects, now, id(at), &[]);
+                    front.heard(effects, now, id(at));
                 });
             }
             w.at_server(at, move |w| {
@@ -781,15 +781,15 @@
                     .iter()
                     .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
                     .collect();
-                w.turn(manager, birth, move |front, hands, now| {
+                w.turn(manager, birth, move |front, effects, now| {
                     let of = |key: &Key| (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n));
                     let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
-                    front.still(hands, now, id(at), &ids);
+                    front.still(effects, now, id(at), &ids);
                     for (key, (session, package, title, top), rung) in rows {
                         let about = (PackageId(package), TitleId(title), (rung, top));
-                        front.found(hands, now, id(at), of(&key), session, about);
+                        front.found(effects, now, id(at), of(&key), session, about);
                     }
-                    front.heard(hands, now, id(at));
+                    front.heard(effects, now, id(at));
                 });
             });
         });
@@ -817,7 +817,7 @@
     }
 
     fn notes(
-        &mut self, at: ServerNo, key: Key, tell: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static,
+        &mut self, at: ServerNo, key: Key, tell: impl FnOnce(&mut Front, &mut EffectLog, Duration) + 'static,
     ) {
         let (manager, way) = (key.manager.0 as usize, self.way());
         let m = &self.managers[manager];
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -1,7 +1,7 @@
 //! Real manager processes of a day: started, killed outright, started anew, and ended.
 
-use ivyward_between::{Does, Path};
 use ivyward_daemon::{Ended, setup};
+use ivyward_fault_proxy::{Fault, FaultProxy};
 use ivyward_peers::Store;
 use ivyward_settings::Part;
 use std::cell::RefCell;
@@ -22,7 +22,7 @@
 /// Managers that speak with each other: where each listens, and a path from each to each other.
 pub struct Speaking {
     listens: Vec<SocketAddr>,
-    paths: BTreeMap<(usize, usize), Path>,
+    paths: BTreeMap<(usize, usize), FaultProxy>,
 }
 
 impl Speaking {
@@ -33,7 +33,7 @@
         let mut paths = BTreeMap::new();
         for from in 0..managers {
             for (to, address) in listens.iter().enumerate().filter(|(to, _)| *to != from) {
-                let path = Path::open(*address).await.map_err(|e| format!("a path: {e}"))?;
+                let path = FaultProxy::open(*address).await.map_err(|e| format!("a path: {e}"))?;
                 paths.insert((from, to), path);
             }
         }
@@ -51,9 +51,9 @@
     }
 
     /// What paths between those and the others do.
-    pub fn between(&self, side: &[usize], does: Does) {
+    pub fn between(&self, side: &[usize], fault: Fault) {
         let parted = self.paths.iter().filter(|((a, b), _)| side.contains(a) != side.contains(b));
-        parted.for_each(|(_, path)| path.does(does));
+        parted.for_each(|(_, path)| path.set_fault(fault));
     }
 }
 
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -1,7 +1,7 @@
 //! What goes wrong on a day: each trouble of the script at its time, on what the seed draws.
 
 use crate::managers::{Manager, Speaking};
-use ivyward_between::Does;
+use ivyward_fault_proxy::Fault;
 use ivyward_fleet::ServerNo;
 use ivyward_settings::Part;
 use ivyward_standin::Standins;
@@ -71,12 +71,12 @@
         });
         let (standins, managers) = (standins.clone(), managers.clone());
         if let Some(speaking) = speaking.clone().filter(|_| kind == "PEERS_CUT") {
-            let does = if size == 1.0 { Does::Resets } else { Does::Holds };
+            let path_fault = if size == 1.0 { Fault::Reset } else { Fault::Stall };
             spawn_local(async move {
                 sleep_until(begun + from).await;
-                speaking.between(&taken, does);
+                speaking.between(&taken, path_fault);
                 sleep(len).await;
-                speaking.between(&taken, Does::Passes);
+                speaking.between(&taken, Fault::Forward);
             });
             continue;
         }
--- a/crates/node/src/bus.rs
+++ b/crates/node/src/bus.rs
@@ -1,7 +1,7 @@
 //! The event bus: numbered events as server-sent events, from the last one had. What comes twice is left out, what is cut
 //! short is not acted on; silence is taken for an end. An event that can't be read is asked for again, with pauses.
 
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use bytes::Bytes;
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
@@ -10,7 +10,7 @@
 use hyper::Request;
 use hyper::client::conn::http1::handshake;
 use hyper_util::rt::TokioIo;
-use ivyward_turns::Queue;
+use ivyward_event_loop::EventSender;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -51,14 +51,16 @@
 }
 
 /// Follows the bus at the address that is told last, from the last number had.
-pub async fn follow(queue: Queue<Hands>, mut address: watch::Receiver<SocketAddr>, last: u64, seed: u64) {
+pub async fn follow(
+    sender: EventSender<NodeHost>, mut address: watch::Receiver<SocketAddr>, last: u64, seed: u64,
+) {
     let (mut pause, mut chance) = (Duration::ZERO, Pcg64Mcg::seed_from_u64(seed));
     let mut heard = Heard { last, spoilt: (0, 0) };
     loop {
         let at = *address.borrow_and_update();
         let (before, begun) = (heard.last, Instant::now());
         tokio::select! {
-            () = read(&queue, at, &mut heard) => {}
+            () = read(&sender, at, &mut heard) => {}
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
@@ -83,16 +85,16 @@
 }
 
 /// Has the list take an event; whether it could be read.
-async fn told(queue: &Queue<Hands>, event: Value) -> bool {
+async fn told(sender: &EventSender<NodeHost>, event: Value) -> bool {
     let (say, taken) = oneshot::channel();
-    queue.tell(move |front, hands, now| {
-        say.send(hands.told(front, now, &event)).ok();
+    sender.send(move |front, host, now| {
+        say.send(host.told(front, now, &event)).ok();
     });
     taken.await.unwrap_or_default()
 }
 
 /// One connection to its end.
-async fn read(queue: &Queue<Hands>, address: SocketAddr, heard: &mut Heard) {
+async fn read(sender: &EventSender<NodeHost>, address: SocketAddr, heard: &mut Heard) {
     let Ok(Ok(stream)) = timeout(SILENT, TcpStream::connect(address)).await else { return };
     let Ok((mut send, connection)) = handshake(TokioIo::new(stream)).await else { return };
     let _ends = Ends(spawn_local(async move { drop(connection.await) }));
@@ -132,7 +134,7 @@
         if number <= heard.last {
             continue;
         }
-        if !told(queue, text.unwrap_or_default()).await {
+        if !told(sender, text.unwrap_or_default()).await {
             let before = if heard.spoilt.0 == number { heard.spoilt.1 } else { 0 };
             heard.spoilt = (number, before + 1);
             if before + 1 < READINGS {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,15 +12,15 @@
 
 use ivyward::front::Extent;
 use ivyward_edge::{Seldom, Upstreams};
+use ivyward_event_loop::{Clock, Timers, channel};
 use ivyward_options as options;
 use ivyward_session::{Birth, Fence, Front};
-use ivyward_turns::{Clock, Timers, queue};
 use list::List;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
 use serde_json::Value;
 use servers::Servers;
-use shell::{Hands, SWEEP};
+use shell::{NodeHost, SWEEP};
 use shutdown::Shutdown;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -78,10 +78,10 @@
     let fence = Fence::new(grace, ration, seats);
     let mut front = Front::new(Box::new(module), fence, terms, (slack, None, None), ration, BIRTH);
     let clock = Clock::start();
-    let (queue, turns) = queue(clock);
+    let (events, event_loop) = channel(clock);
     let viewers = Viewers::new(packages, tenants, longest, descriptors);
-    let mut hands = Hands {
-        queue: queue.clone(),
+    let mut host = NodeHost {
+        events: events.clone(),
         timers: Timers::default(),
         list: List::new(zones, kinds),
         servers: Servers::new(
@@ -97,30 +97,30 @@
         swept: clock.now(),
         held: None,
     };
-    front.start(&mut hands, clock.now());
+    front.start(&mut host, clock.now());
     let mut known = known.iter();
-    let read = known.all(|event| hands.topology(&mut front, clock.now(), event, Extent::Remembered));
+    let read = known.all(|event| host.topology(&mut front, clock.now(), event, Extent::Remembered));
     // Of a list of which a part can't be read the whole is asked for.
     let offset = if read { offset } else { 0 };
     let listener = listens(listen).await.map_err(|e| format!("{listen}: {e}"))?;
-    tracing::info!(%listen, %bus, offset, servers = hands.list.count(), "ready");
-    let (listener, room) = (Rc::new(listener), Arc::new(Semaphore::new(hands.viewers.room())));
-    spawn_local(viewers::accept(listener.clone(), queue.clone(), room.clone()));
+    tracing::info!(%listen, %bus, offset, servers = host.list.count(), "ready");
+    let (listener, room) = (Rc::new(listener), Arc::new(Semaphore::new(host.viewers.room())));
+    spawn_local(viewers::accept(listener.clone(), events.clone(), room.clone()));
     let (move_bus, address) = watch::channel(bus);
-    spawn_local(bus::follow(queue.clone(), address, offset, seed));
+    spawn_local(bus::follow(events.clone(), address, offset, seed));
     let shutdown = Rc::new(Shutdown::new(longest, listener, room));
-    let (sweeps, ends) = (queue.clone(), shutdown.clone());
+    let (sweeps, ends) = (events.clone(), shutdown.clone());
     spawn_local(async move {
         loop {
             sleep(SWEEP).await;
             let ends = ends.clone();
-            sweeps.tell(move |front, hands, now| {
-                hands.sweep(front, now, cold * FORGOTTEN);
-                ends.sweep(front, hands, now);
+            sweeps.send(move |front, host, now| {
+                host.sweep(front, now, cold * FORGOTTEN);
+                ends.sweep(front, host, now);
             });
         }
     });
-    spawn_local(async move { turns.run(&mut front, &mut hands, |_, _| ()).await });
+    spawn_local(async move { event_loop.run(&mut front, &mut host, |_, _| ()).await });
     let mut reread = None::<Instant>;
     loop {
         let read = async {
@@ -162,7 +162,7 @@
     }
 }
 
-impl Hands {
+impl NodeHost {
     fn sweep(&mut self, front: &mut Front, now: Duration, forgotten: Duration) {
         if !self.stood_still(now) {
             self.swept = now;
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,7 +1,7 @@
 //! The list of servers as the event bus tells it. A server is known by its word: each gets an id of its own, so that one
 //! at the address of another that has gone is another.
 
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
 use ivyward_edge::brief;
 use ivyward_session::Front;
@@ -134,7 +134,7 @@
     }
 }
 
-impl Hands {
+impl NodeHost {
     /// One event of the bus. Whether it could be read: nothing of a list is taken of which a part can't.
     pub fn told(&mut self, front: &mut Front, now: Duration, event: &Value) -> bool {
         self.topology(front, now, event, Extent::Whole)
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -94,7 +94,7 @@
         self.attempts.insert(key, Attempt { of, server, rung, until, link: None });
     }
 
-    /// Nobody waits for it any more; what was written is given up by `Hands::give_up`.
+    /// Nobody waits for it any more; what was written is given up by `NodeHost::give_up`.
     pub fn drop_attempt(&mut self, key: Key) {
         if self.attempts.get(&key).is_some_and(|attempt| attempt.link.is_none()) {
             self.attempts.remove(&key);
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at servers: sent on a connection with room, given up, and what they left there ended.
 
 use super::{Key, release};
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use ivyward::front::{Load, ServerId};
 use ivyward_session::{Front, Happened};
 use ivyward_signal::binary;
@@ -11,7 +11,7 @@
 /// The last so many set-ups given up on a connection: what still comes of them is nobody's.
 const GIVEN_UP: usize = 64;
 
-impl Hands {
+impl NodeHost {
     /// A set-up is to go out: on a connection that has room for it, or on a new one once that stands.
     pub fn dispatch(&mut self, front: &mut Front, now: Duration, key: Key) {
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
@@ -38,7 +38,7 @@
         }
         if !self.look_at_viewer(front, now, of) {
             // Others have their turn before the rest is read.
-            return self.queue.tell(move |front, hands, now| hands.dispatch(front, now, key));
+            return self.events.send(move |front, host, now| host.dispatch(front, now, key));
         }
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
         let (server, rung) = (attempt.server, attempt.rung);
@@ -113,7 +113,7 @@
         let (id, word) = (format!("{:016x}", of.0), self.word(server));
         tracing::debug!(of = id, server = word, connection = there, written, "a release goes out");
         if !written && self.list.row(server).is_some() {
-            self.servers.owed_releases.entry(server).or_default().insert(of, self.queue.now());
+            self.servers.owed_releases.entry(server).or_default().insert(of, self.events.now());
             self.reach(server);
         }
     }
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: opened, looked after, retired and lost.
 
 use super::{Link, Unreached, release};
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use crate::wire::{Stream, converse, keeps_little, look, piece, writer};
 use ivyward::front::{Load, ServerId, Standing};
 use ivyward_edge::{Upstream, Upstreams};
@@ -28,7 +28,7 @@
     timeout(within, TcpStream::connect(address)).await?
 }
 
-impl Hands {
+impl NodeHost {
     /// A new connection to a server, for which the one unused for longest gives way where there are too many; none where
     /// the server is not listed, or none can give way.
     pub(super) fn new_link(&mut self, front: &mut Front, now: Duration, server: ServerId) -> Option<u64> {
@@ -53,30 +53,30 @@
         let address = self.list.row(server)?.address;
         self.servers.last += 1;
         let (id, (writer, outgoing)) = (self.servers.last, writer());
-        let (queue, within) = (self.queue.clone(), self.servers.connect);
+        let (events, within) = (self.events.clone(), self.servers.connect);
         let task = spawn_local(async move {
             let stream = match connect(address, within).await {
                 Ok(stream) => stream,
                 Err(error) => {
-                    return queue.tell(move |front, hands, now| hands.unreached(front, now, id, &error));
+                    return events.send(move |front, host, now| host.unreached(front, now, id, &error));
                 }
             };
             keeps_little(&stream);
-            let (stream, told) = (Rc::new(stream), queue.clone());
+            let (stream, told) = (Rc::new(stream), events.clone());
             let stands = stream.clone();
-            queue.tell(move |front, hands, now| hands.link_up(front, now, id, stands));
+            events.send(move |front, host, now| host.link_up(front, now, id, stands));
             let heard = move |had: oneshot::Sender<()>| {
-                told.tell(move |front, hands, now| {
-                    if hands.server_wrote(front, now, id, piece) {
+                told.send(move |front, host, now| {
+                    if host.server_wrote(front, now, id, piece) {
                         had.send(()).ok();
                     }
                 });
             };
             converse(stream, outgoing, heard).await;
-            queue.tell(move |front, hands, now| {
+            events.send(move |front, host, now| {
                 // What came before the connection broke still counts.
-                hands.server_wrote(front, now, id, look);
-                hands.link_lost(front, now, id, "closed");
+                host.server_wrote(front, now, id, look);
+                host.link_lost(front, now, id, "closed");
             });
         });
         let link = Link {
@@ -199,7 +199,7 @@
     pub fn reach(&mut self, server: ServerId) {
         let wanted = self.stands.any_at(server) || self.servers.owed_releases.contains_key(&server);
         let tried = self.servers.unreached.get(&server).map(|unreached| unreached.last_tried);
-        let now = self.queue.now();
+        let now = self.events.now();
         let again = tried.is_none_or(|last| now >= last + self.servers.connect);
         let live = |(_, link): (u64, &Link)| link.retiring.is_none();
         if wanted && again && !self.servers.links_to(server).any(live) {
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -3,7 +3,7 @@
 use super::connections::REPORT;
 use super::sessions::CANCELLED;
 use super::{LOST, OK};
-use crate::shell::{Hands, Stand};
+use crate::shell::{NodeHost, Stand};
 use crate::wire::{Came, look};
 use ivyward::front::{Load, News, ServerId};
 use ivyward_options as options;
@@ -21,7 +21,7 @@
 const ERROR: u8 = 47;
 const MOOT: u8 = 102;
 
-impl Hands {
+impl NodeHost {
     /// Asks a server for its load.
     pub fn probe_there(&mut self, front: &mut Front, now: Duration, server: ServerId) {
         let of = Ref(self.servers.chance.random());
@@ -34,13 +34,13 @@
         if link.up {
             self.servers.write(id, binary::write(Kind::Test, of, &[], Some(REPORT), None));
         }
-        let (queue, within) = (self.queue.clone(), self.servers.connect);
+        let (events, within) = (self.events.clone(), self.servers.connect);
         spawn_local(async move {
             sleep(within).await;
-            queue.tell(move |front, hands, now| {
-                let link = hands.servers.links.get_mut(&id);
+            events.send(move |front, host, now| {
+                let link = host.servers.links.get_mut(&id);
                 if link.is_some_and(|link| link.tests.remove(&of)) {
-                    front.probed(hands, now, server, None);
+                    front.probed(host, now, server, None);
                 }
             });
         });
--- a/crates/node/src/servers/sessions.rs
+++ b/crates/node/src/servers/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions that stand at servers, and how they come to their end.
 
 use super::LOST;
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use ivyward::front::ServerId;
 use ivyward_session::{Front, Over};
 use ivyward_signal::Ref;
@@ -10,7 +10,7 @@
 /// The cause with which a viewer's own end of a session is told.
 pub(super) const CANCELLED: u8 = 31;
 
-impl Hands {
+impl NodeHost {
     pub(super) fn all_lost(&mut self, front: &mut Front, now: Duration, server: ServerId) {
         let there: Vec<_> = self.stands.at(server).collect();
         if !there.is_empty() {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -6,9 +6,9 @@
 use crate::viewers::Viewers;
 use ivyward::front::{PackageId, ServerId, TitleId, ViewingId};
 use ivyward_edge::Seldom;
+use ivyward_event_loop::{EventSender, Timers};
 use ivyward_session::{Answer, Birth, Breach, Effects, Front, SessionId, Timer, TuneIn};
 use ivyward_signal::Ref;
-use ivyward_turns::{Queue, Timers};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -99,8 +99,8 @@
     }
 }
 
-pub struct Hands {
-    pub queue: Queue<Hands>,
+pub struct NodeHost {
+    pub events: EventSender<NodeHost>,
     pub timers: Timers,
     pub list: List,
     pub viewers: Viewers,
@@ -115,19 +115,19 @@
     pub held: Option<Vec<Key>>,
 }
 
-impl Hands {
+impl NodeHost {
     /// Whether this process stood still until just now. Guards against a drain or an end that was told meanwhile, lies
     /// unread, and would be overtaken by a set-up asked for meanwhile.
     pub fn stood_still(&mut self, now: Duration) -> bool {
         if self.held.is_none() && now > self.swept + LATE {
             self.held = Some(vec![]);
-            let queue = self.queue.clone();
+            let events = self.events.clone();
             spawn_local(async move {
                 sleep(SETTLES).await;
-                queue.tell(|front, hands, now| {
-                    hands.swept = now;
-                    let held = hands.held.take().unwrap_or_default();
-                    held.into_iter().for_each(|key| hands.dispatch(front, now, key));
+                events.send(|front, host, now| {
+                    host.swept = now;
+                    let held = host.held.take().unwrap_or_default();
+                    held.into_iter().for_each(|key| host.dispatch(front, now, key));
                 });
             });
         }
@@ -135,20 +135,20 @@
     }
 }
 
-impl ivyward_turns::Hands for Hands {
+impl ivyward_event_loop::Host for NodeHost {
     fn timers(&mut self) -> &mut Timers {
         &mut self.timers
     }
 
     /// Guards against an answer that came while this process stood still, and is taken for none as its limit is over.
-    fn catches_up(&mut self, front: &mut Front, now: Duration) {
+    fn before_timers(&mut self, front: &mut Front, now: Duration) {
         if self.held.is_none() && self.stood_still(now) {
             self.reads_servers(front, now);
         }
     }
 }
 
-impl Effects for Hands {
+impl Effects for NodeHost {
     fn answer(&mut self, request: ivyward_session::RequestId, answer: Answer) {
         self.answered(request, answer);
     }
@@ -158,8 +158,8 @@
         _: (PackageId, TitleId), limit: Duration,
     ) {
         let of = Ref(who.0.0 as u64);
-        self.servers.attempt((vw, tune_in), of, server, rung, self.queue.now() + limit);
-        self.queue.tell(move |front, hands, now| hands.dispatch(front, now, (vw, tune_in)));
+        self.servers.attempt((vw, tune_in), of, server, rung, self.events.now() + limit);
+        self.events.send(move |front, host, now| host.dispatch(front, now, (vw, tune_in)));
     }
 
     fn drop_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
@@ -181,17 +181,17 @@
     }
 
     fn probe(&mut self, server: ServerId) {
-        self.queue.tell(move |front, hands, now| hands.probe_there(front, now, server));
+        self.events.send(move |front, host, now| host.probe_there(front, now, server));
     }
 
     fn fetched(&mut self, _: ServerId, _: Birth, _: ViewingId, _: TuneIn) {}
 
     fn wake(&mut self, after: Duration, timer: Timer) {
-        self.timers.set(self.queue.now() + after, timer);
+        self.timers.set(self.events.now() + after, timer);
     }
 
     fn breach(&mut self, breach: Breach, vw: ViewingId) {
-        if let Some(left_out) = self.seldom.line(self.queue.now(), "a rule") {
+        if let Some(left_out) = self.seldom.line(self.events.now(), "a rule") {
             tracing::error!(?breach, viewing = vw.0, left_out, "a rule is broken");
         }
     }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown: what still comes is answered, then the process ends as soon as it owes nothing. It may be killed at a known
 //! time at the earliest; shortly before that everything that still waits is answered.
 
-use crate::shell::Hands;
+use crate::shell::NodeHost;
 use crate::viewers;
 use ivyward_session::Front;
 use std::cell::Cell;
@@ -55,25 +55,25 @@
     }
 
     /// Answers what waits where it is time to, and ends where nothing is owed.
-    pub fn sweep(&self, front: &mut Front, hands: &mut Hands, now: Duration) {
+    pub fn sweep(&self, front: &mut Front, host: &mut NodeHost, now: Duration) {
         let Some(since) = self.told.get().map(|told| told.elapsed()) else { return };
         if since >= self.answers_after && !self.answered.replace(true) {
             tracing::info!(waiting = front.waiting(), "what waits is answered before the kill");
-            front.stop(hands, now);
+            front.stop(host, now);
         }
-        if since < COMING || !hands.owes_nothing(front) || !hands.viewers_are_done(front, now) {
+        if since < COMING || !host.owes_nothing(front) || !host.viewers_are_done(front, now) {
             return;
         }
         // Guards against a connection that waits to be taken as the end is decided: its request is still answered.
         let Ok(place) = self.room.clone().try_acquire_owned() else { return };
         match viewers::queued(&self.listener) {
-            Some((stream, from)) => hands.accepted(now, stream, from, place),
+            Some((stream, from)) => host.accepted(now, stream, from, place),
             None => self.done.notify_one(),
         }
     }
 }
 
-impl Hands {
+impl NodeHost {
     /// Whether no set-up is without an answer and no session stands.
     fn owes_nothing(&self, front: &Front) -> bool {
         front.waiting() == 0 && self.viewers.open.is_empty() && self.stands.count() == 0
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -1,13 +1,13 @@
 //! Viewers' side: their connections, what they ask, what they are answered.
 
-use crate::shell::{Hands, Stand};
+use crate::shell::{NodeHost, Stand};
 use crate::wire::{Came, End, Stream, Writer, converse, look, piece, writer};
 use ivyward::front::{Cells, PackageId, TitleId};
 use ivyward_edge::{Client, Clients, brief};
+use ivyward_event_loop::EventSender;
 use ivyward_session::{Answer, Front, Over, RequestId, SessionId};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, id};
-use ivyward_turns::Queue;
 use socket2::SockRef;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
@@ -157,12 +157,12 @@
 }
 
 /// Takes viewers' connections for as long as the program runs. `room`: places for them.
-pub async fn accept(listener: Rc<TcpListener>, queue: Queue<Hands>, room: Arc<Semaphore>) {
+pub async fn accept(listener: Rc<TcpListener>, events: EventSender<NodeHost>, room: Arc<Semaphore>) {
     loop {
         let Ok(place) = room.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, from)) => {
-                queue.tell(move |_, hands, now| hands.accepted(now, stream, from.ip(), place));
+                events.send(move |_, host, now| host.accepted(now, stream, from.ip(), place));
             }
             // Guards against descriptors that have run out: some come free.
             Err(error) => {
@@ -180,7 +180,7 @@
     Some((TcpStream::from_std(stream.into()).ok()?, from.as_socket()?.ip()))
 }
 
-impl Hands {
+impl NodeHost {
     pub fn accepted(&mut self, now: Duration, stream: TcpStream, from: IpAddr, place: OwnedSemaphorePermit) {
         self.viewers.last += 1;
         let (client, (writer, outgoing), stream) = (self.viewers.last, writer(), Rc::new(stream));
@@ -191,22 +191,22 @@
         let connection =
             Connection { writer, stream, lines, client: about, from, leaving: false, had: 0, told };
         self.viewers.connections.insert(client, connection);
-        let queue = self.queue.clone();
+        let events = self.events.clone();
         spawn_local(async move {
             let heard = |had: oneshot::Sender<()>| {
-                queue.tell(move |front, hands, now| {
-                    if hands.viewer_wrote(front, now, client) {
+                events.send(move |front, host, now| {
+                    if host.viewer_wrote(front, now, client) {
                         had.send(()).ok();
                     }
                 });
             };
             let untold = converse(talks, outgoing, heard).await;
-            queue.tell(move |front, hands, now| {
-                hands.left(front, now, client);
+            events.send(move |front, host, now| {
+                host.left(front, now, client);
                 // Its descriptor is free only now.
                 drop(place);
                 // What was taken and never put out is owed still.
-                untold.into_iter().for_each(|(of, cause)| hands.tell_viewer(now, of, None, cause));
+                untold.into_iter().for_each(|(of, cause)| host.tell_viewer(now, of, None, cause));
             });
         });
         self.give_way(now);
@@ -434,12 +434,12 @@
                 }
                 self.viewers.connections.entry(open.client).and_modify(|c| c.client.served = true);
                 let told = self.viewers.say(open.client, line);
-                self.queue.tell(move |front, hands, now| {
-                    hands.pay(now, open.client);
+                self.events.send(move |front, host, now| {
+                    host.pay(now, open.client);
                     // Guards against a viewer that takes no answer, or had gone before it: nobody watches.
-                    if !told || hands.has_gone(front, now, open.client) {
-                        hands.left(front, now, open.client);
-                        hands.viewer_ends(front, now, open.client, of);
+                    if !told || host.has_gone(front, now, open.client) {
+                        host.left(front, now, open.client);
+                        host.viewer_ends(front, now, open.client, of);
                     }
                 });
             }
--- a/crates/session/src/tests/world.rs
+++ b/crates/session/src/tests/world.rs
@@ -43,12 +43,12 @@
 }
 
 #[derive(Default)]
-struct Hands {
+struct EffectLog {
     did: Vec<Did>,
     timers: Vec<(Duration, Timer)>,
 }
 
-impl Effects for Hands {
+impl Effects for EffectLog {
     fn answer(&mut self, request: RequestId, answer: Answer) {
         self.did.push(Did::Answer(request, answer));
     }
@@ -131,7 +131,7 @@
         let spans = (ms(40), sessions.map(|(idle, _)| idle), sessions.map(|(_, paid)| paid));
         let front = Front::new(Box::new(module), fence, terms, spans, Some(RATION), BIRTH);
         let mut world = World { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
-        world.turn(|front, hands, now| front.start(hands, now));
+        world.turn(|front, effects, now| front.start(effects, now));
         let all: Vec<_> = (0..6).map(|i| (server(i), Standing::Ready)).collect();
         world.lists(&all);
         // Warm by now.
@@ -141,10 +141,10 @@
     }
 
     fn turn<T>(&mut self, act: impl FnOnce(&mut Front, &mut dyn Effects, Duration) -> T) -> T {
-        let mut hands = Hands::default();
-        let came = act(&mut self.front, &mut hands, self.now);
-        self.did.extend(hands.did);
-        for (after, timer) in hands.timers {
+        let mut effects = EffectLog::default();
+        let came = act(&mut self.front, &mut effects, self.now);
+        self.did.extend(effects.did);
+        for (after, timer) in effects.timers {
             self.order += 1;
             self.timers.insert((self.now + after, self.order), timer);
         }
@@ -157,13 +157,13 @@
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), timer) = entry.remove_entry();
             self.now = at;
-            self.turn(|front, hands, now| front.woken(hands, now, timer));
+            self.turn(|front, effects, now| front.woken(effects, now, timer));
         }
         self.now = until;
     }
 
     pub fn fires(&mut self, timer: Timer) {
-        self.turn(|front, hands, now| front.woken(hands, now, timer));
+        self.turn(|front, effects, now| front.woken(effects, now, timer));
     }
 
     pub fn asks(&mut self, request: u64, session: SessionId, package: usize) {
@@ -176,7 +176,7 @@
 
     pub fn asks_begun(&mut self, request: u64, session: SessionId, package: usize) {
         // Its server has told that it has nothing of ours.
-        self.turn(|front, hands, now| front.heard(hands, now, server(0)));
+        self.turn(|front, effects, now| front.heard(effects, now, server(0)));
         let shown = Shown::Manager { birth: EARLIER.0, server: server(0), turn: 1 };
         self.asks_with(request, session, package, 0, shown);
     }
@@ -187,16 +187,16 @@
 
     pub fn asks_with(&mut self, request: u64, session: SessionId, package: usize, title: u64, shown: Shown) {
         let about = (PackageId(package), TitleId(title), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, hands, now| {
-            front.asked(hands, now, RequestId(request), session, about, shown, now + ms(60_000));
+        self.turn(|front, effects, now| {
+            front.asked(effects, now, RequestId(request), session, about, shown, now + ms(60_000));
         });
     }
 
     /// A request that says itself how long it waits.
     pub fn asks_once(&mut self, request: u64, session: SessionId, package: usize, patience: Duration) {
         let about = (PackageId(package), TitleId(0), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, hands, now| {
-            front.asked_once(hands, now, RequestId(request), session, about, patience)
+        self.turn(|front, effects, now| {
+            front.asked_once(effects, now, RequestId(request), session, about, patience)
         });
     }
 
@@ -205,43 +205,43 @@
         &mut self, at: ServerId, session: SessionId, package: usize,
     ) -> Option<(Birth, ViewingId, TuneIn)> {
         let about = (PackageId(package), TitleId(0), (0, 1));
-        self.turn(|front, hands, now| front.handed(hands, now, at, session, about))
+        self.turn(|front, effects, now| front.handed(effects, now, at, session, about))
     }
 
     pub fn ends(&mut self, at: ServerId, key: (Birth, ViewingId, TuneIn), why: Over) {
-        self.turn(|front, hands, now| front.over(hands, now, at, key, why));
+        self.turn(|front, effects, now| front.over(effects, now, at, key, why));
     }
 
     pub fn hears(&mut self, at: ServerId) {
-        self.turn(|front, hands, now| front.heard(hands, now, at));
+        self.turn(|front, effects, now| front.heard(effects, now, at));
     }
 
     /// A server plays that for us.
     pub fn finds(&mut self, at: ServerId, birth: Birth, vw: u32, session: SessionId, package: usize) {
         let (tune_in, about) = ((birth, ViewingId(vw), TuneIn(2)), (PackageId(package), TitleId(0), (1, 1)));
-        self.turn(|front, hands, now| front.found(hands, now, at, tune_in, session, about));
+        self.turn(|front, effects, now| front.found(effects, now, at, tune_in, session, about));
     }
 
     /// The server of a viewing says when its player last fetched.
     pub fn fetched(&mut self, vw: ViewingId, n: TuneIn, quiet: Option<Duration>) {
         let at = self.server_of(vw, n);
-        self.turn(|front, hands, now| front.fetched(hands, now, at, (BIRTH, vw, n), quiet));
+        self.turn(|front, effects, now| front.fetched(effects, now, at, (BIRTH, vw, n), quiet));
     }
 
     pub fn revokes(&mut self, session: SessionId) {
-        self.turn(|front, hands, now| front.revoked(hands, now, session));
+        self.turn(|front, effects, now| front.revoked(effects, now, session));
     }
 
     pub fn goes_astray(&mut self, at: ServerId) {
-        self.turn(|front, hands, now| front.astray(hands, now, at));
+        self.turn(|front, effects, now| front.astray(effects, now, at));
     }
 
     pub fn closes(&mut self, request: u64, session: SessionId) {
-        self.turn(|front, hands, now| front.closed(hands, now, session, RequestId(request)));
+        self.turn(|front, effects, now| front.closed(effects, now, session, RequestId(request)));
     }
 
     pub fn sending(&mut self, vw: ViewingId, n: TuneIn) -> bool {
-        self.turn(|front, hands, now| front.sending(hands, now, vw, n))
+        self.turn(|front, effects, now| front.sending(effects, now, vw, n))
     }
 
     pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: Happened) {
@@ -249,12 +249,12 @@
     }
 
     pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: Happened, load: Load) {
-        self.turn(|front, hands, now| front.happened(hands, now, vw, n, what, load));
+        self.turn(|front, effects, now| front.happened(effects, now, vw, n, what, load));
     }
 
     pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
         let at = self.server_of(vw, n);
-        self.turn(|front, hands, now| front.over(hands, now, at, (BIRTH, vw, n), why));
+        self.turn(|front, effects, now| front.over(effects, now, at, (BIRTH, vw, n), why));
     }
 
     pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
@@ -264,11 +264,11 @@
 
     pub fn still(&mut self, at: ServerId, playing: &[(ViewingId, TuneIn)]) {
         let playing: Vec<_> = playing.iter().map(|(vw, n)| (BIRTH, *vw, *n)).collect();
-        self.turn(|front, hands, now| front.still(hands, now, at, &playing));
+        self.turn(|front, effects, now| front.still(effects, now, at, &playing));
     }
 
     pub fn stop(&mut self) {
-        self.turn(|front, hands, now| front.stop(hands, now));
+        self.turn(|front, effects, now| front.stop(effects, now));
     }
 
     /// A line of the list as it usually is.
@@ -292,7 +292,7 @@
 
     /// A probe of a server is answered.
     pub fn probed(&mut self, at: ServerId, load: Option<Load>) {
-        self.turn(|front, hands, now| front.probed(hands, now, at, load));
+        self.turn(|front, effects, now| front.probed(effects, now, at, load));
     }
 
     /// Turns the set-up that is out away until nothing is out any more.
