--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Method, Request, Response, StatusCode};
-use ivyward::front::{Load, News, PackageId, ServerId, TitleId, ViewingId};
+use ivyward::interface::{LoadReport, PackageId, ServerId, ServerUpdate, TitleId, ViewingId};
 use ivyward_edge::{Errand, brief};
 use ivyward_peers::Claimed;
 use ivyward_replica::Word;
@@ -47,7 +47,7 @@
 }
 
 /// The load that came with an answer: a dictionary of link and uplink (RFC 9651, 3.2).
-fn load(answer: &Response<Incoming>) -> Load {
+fn load(answer: &Response<Incoming>) -> LoadReport {
     let text = answer.headers().get("ivy-load").map(HeaderValue::as_bytes).unwrap_or_default();
     let report: sfv::Dictionary = sfv::Parser::new(text).parse().unwrap_or_default();
     let of = |name: &str| match report.get(name) {
@@ -58,7 +58,7 @@
         },
         _ => None,
     };
-    Load { link: of("link"), uplink: of("uplink") }
+    LoadReport { link: of("link"), uplink: of("uplink") }
 }
 
 /// The date of an answer, which tells how its server's clock goes (RFC 9110, 6.6.1).
@@ -83,7 +83,7 @@
     let (happened, load) = match shell.place(server, Errand::SetUp, until).await {
         Some(_place) => tried(&shell, who, vw, tune_in, server, rung, about, until).await,
         // Guards against a queue at one server that outlasts its viewers.
-        None => (Some(Happened::NotWritten), Load::default()),
+        None => (Some(Happened::NotWritten), LoadReport::default()),
     };
     if shell.0.once.get(about.0.0) == Some(&true)
         && matches!(happened, None | Some(Happened::NotWritten | Happened::Refused))
@@ -102,8 +102,8 @@
 async fn tried(
     shell: &Shell, (session, top): (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId,
     rung: usize, (package, title): (PackageId, TitleId), until: Duration,
-) -> (Option<Happened>, Load) {
-    let none = Load::default();
+) -> (Option<Happened>, LoadReport) {
+    let none = LoadReport::default();
     let address = server_address(server);
     let mut used = shell.0.pool.used(address);
     let (mut allowed, mut claimed, mut no) = (false, None, None);
@@ -199,7 +199,7 @@
 
 /// What came with an answer: the load, and how long ago a player last fetched, where that was asked.
 struct Came {
-    load: Load,
+    load: LoadReport,
     quiet: Option<Duration>,
 }
 
@@ -397,9 +397,9 @@
     }
     let x = told["x"].as_f64().unwrap_or(f64::NAN);
     let news = match told["note"].as_str() {
-        Some("share") => News::Share(x),
-        Some("link") => News::Link(x),
-        Some("uplink") => News::Uplink(x),
+        Some("share") => ServerUpdate::Share(x),
+        Some("link") => ServerUpdate::Link(x),
+        Some("uplink") => ServerUpdate::Uplink(x),
         _ => return,
     };
     if x.is_finite() && x >= 0.0 {
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyDataStream, Full};
 use hyper::Request;
 use hyper::header::HeaderValue;
-use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
+use ivyward::interface::{KindId, ListScope, ServerEntry, ServerId, ServerState, ZoneId};
 use ivyward_edge::brief;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -54,9 +54,9 @@
     let mut any = false;
     while let Some(Ok(event)) = events.next().await {
         let told: Value = serde_json::from_str(&event.data).unwrap_or_default();
-        let (rows, extent) = match (&told["whole"], &told["changes"]) {
-            (Value::Array(rows), _) => (rows, Extent::Whole),
-            (_, Value::Array(rows)) => (rows, Extent::Changes),
+        let (rows, scope) = match (&told["whole"], &told["changes"]) {
+            (Value::Array(rows), _) => (rows, ListScope::Full),
+            (_, Value::Array(rows)) => (rows, ListScope::Changes),
             _ => {
                 if let Some(left_out) = shell.line("news of the list") {
                     tracing::warn!(%address, data = brief(&event.data), left_out, "news of the list can't be read");
@@ -74,31 +74,31 @@
             continue;
         };
         any = true;
-        let list = shell.follow(&list, extent);
+        let list = shell.follow(&list, scope);
         births.retain(|server, _| shell.lists(*server));
-        shell.tell(move |front, _, now| front.listed(now, &list, extent));
+        shell.tell(move |front, _, now| front.listed(now, &list, scope));
     }
     any
 }
 
-fn listed(row: &Value, now: Duration, births: &mut Births) -> Option<Listed> {
+fn listed(row: &Value, now: Duration, births: &mut Births) -> Option<ServerEntry> {
     let server = server_id(row["server"].as_str()?)?;
     let birth = row["birth"].as_u64()?;
     let before = births.get(&server).copied();
-    let known = before.filter(|(number, _)| *number == birth).map(|(_, born)| born);
+    let known = before.filter(|(number, _)| *number == birth).map(|(_, started_at)| started_at);
     let age = row["age_ms"].as_u64().map(Duration::from_millis);
     // Guards against another start that is told without its age: it was since the last, so it counts as just now.
-    let born = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
-    births.insert(server, (birth, born));
-    Some(Listed {
+    let started_at = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
+    births.insert(server, (birth, started_at));
+    Some(ServerEntry {
         server,
-        standing: match row["standing"].as_str()? {
-            "ready" => Standing::Ready,
-            "draining" => Standing::Draining,
-            "gone" => Standing::Gone,
+        state: match row["standing"].as_str()? {
+            "ready" => ServerState::Ready,
+            "draining" => ServerState::Draining,
+            "gone" => ServerState::Gone,
             _ => return None,
         },
-        born,
+        started_at,
         weight: row["weight"].as_f64().filter(|weight| *weight > 0.0)?,
         zone: ZoneId(u8::try_from(row["zone"].as_u64()?).ok()?),
         kind: KindId(row["kind"].as_u64()? as usize),
@@ -124,7 +124,7 @@
             (&[(1, None), (2, None)], Some(now)),
             (&[(1, None), (2, Some(4000))], Some(secs(996))),
         ];
-        for (told, born) in cases {
+        for (told, started_at) in cases {
             let mut births = Births::new();
             let row = |(birth, age): &(u64, Option<u64>)| {
                 json!({
@@ -133,7 +133,7 @@
                 })
             };
             let last = told.iter().map(|one| listed(&row(one), now, &mut births)).last().flatten();
-            assert_eq!(last.map(|listed| listed.born), Some(born), "{told:?}");
+            assert_eq!(last.map(|listed| listed.started_at), Some(started_at), "{told:?}");
         }
     }
 }
--- a/crates/daemon/src/paid.rs
+++ b/crates/daemon/src/paid.rs
@@ -1,7 +1,7 @@
 //! The record of paid sessions that survives a crash: each is on disk before a byte of its set-up goes out, so that no
 //! later start sets it up again, whatever token it comes with.
 
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use ivyward_session::SessionId;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -1,7 +1,7 @@
 //! Players' reports at the daemon: taken on a session's token, bounded, and worked out beside the core, never in its way.
 
 use crate::shell::Shell;
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use ivyward_dash::token::Pass;
 use ivyward_hints::{Said, Skipped};
 use ivyward_quality::{Blame, ClientId, Factor, Figures, Intake, Level, SessionId, Taken, Window, blame};
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -1,8 +1,8 @@
 //! From settings to the calls that set the parts up, and what has to fit together in them.
 
-use ivyward::front::{Cells, KindId, Listed, PackageId, ServerId, Standing, TitleId, ZoneId};
+use ivyward::interface::{Cells, KindId, PackageId, ServerEntry, ServerId, ServerState, TitleId, ZoneId};
 use ivyward::policy::Manager;
-use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices, Ration};
+use ivyward::state::{Ladder, Limits, Network, Package, Prices, RetryBudget, SlowStart};
 use ivyward_dash::token::Keys;
 use ivyward_edge::Refresh;
 use ivyward_replica::Group;
@@ -155,7 +155,7 @@
     let package = |package: &Part| Package {
         value: package.number("value"),
         target: package.span("join_target_s"),
-        once: package.truth("once"),
+        paid_once: package.truth("once"),
         scale: package.number("scale"),
         floor: package.count("floor"),
         top: package.count("top").min(rungs.len() - 1),
@@ -175,17 +175,17 @@
             links_kb: network.number("links_kb"),
             weight_kb: network.number("weight_kb"),
             uplink_kb: network.number("uplink_kb"),
-            told: network.span("told_s"),
-            seen: network.span("seen_s"),
+            configured_report_interval: network.span("told_s"),
+            report_delay: network.span("seen_s"),
         },
-        Pace::new(siblings, &streams, warm_up, from, multiple, fall),
+        SlowStart::new(siblings, &streams, warm_up, from, multiple, fall),
         Limits {
             tune_ins: limits.count("tune_ins") as u16,
             call_off: limits.truth("call_off"),
             probe: limits.truth("probe").then(|| limits.number("probe_price")),
             come_back: limits.has("come_back_s").then(|| limits.span("come_back_s")),
         },
-        ration(settings).map(|(span, free, share)| Ration::new(span, free, share)),
+        ration(settings).map(|(span, free, share)| RetryBudget::new(span, free, share)),
         settings.list("package").iter().map(package).collect(),
     )
 }
@@ -256,12 +256,12 @@
 }
 
 /// The servers that the settings name.
-pub fn servers(settings: &Part) -> Vec<Listed> {
+pub fn servers(settings: &Part) -> Vec<ServerEntry> {
     let listed = |server: &Part| {
-        Some(Listed {
+        Some(ServerEntry {
             server: server_id(&server.text("address"))?,
-            standing: Standing::Ready,
-            born: None,
+            state: ServerState::Ready,
+            started_at: None,
             weight: server.number("weight"),
             zone: ZoneId(server.count("zone") as u8),
             kind: KindId(server.count("kind")),
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::tally::{Tally, Told};
 use crate::{Ended, link, list, setup};
-use ivyward::front::{Extent, Listed, PackageId, ServerId, Standing, TitleId, ViewingId};
+use ivyward::interface::{ListScope, PackageId, ServerEntry, ServerId, ServerState, TitleId, ViewingId};
 use ivyward_edge::{Calendar, Doors, Errand, Gate, Seldom, Ticket, Turn};
 use ivyward_event_loop::{Clock, EventSender, Timers, channel};
 use ivyward_peers::Peers;
@@ -62,7 +62,7 @@
     /// Servers whose notes are followed.
     links: RefCell<BTreeMap<ServerId, AbortHandle>>,
     /// The list as it last came, and those of it whose clocks have gone astray.
-    rows: RefCell<BTreeMap<ServerId, Listed>>,
+    rows: RefCell<BTreeMap<ServerId, ServerEntry>>,
     astray: RefCell<BTreeSet<ServerId>>,
     /// When sessions that play began, so that all their manifests say the same; and when that was last asked.
     began: RefCell<BTreeMap<SessionId, (Duration, Duration)>>,
@@ -155,7 +155,7 @@
         }
         let known = setup::servers(settings);
         if !known.is_empty() {
-            let extent = if settings.has("list_address") { Extent::Remembered } else { Extent::Whole };
+            let extent = if settings.has("list_address") { ListScope::Restored } else { ListScope::Full };
             let known = shell.follow(&known, extent);
             front.listed(shell.now(), &known, extent);
         }
@@ -268,7 +268,7 @@
         tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
         let row = self.seen(row);
         self.tell(move |front, host, now| {
-            front.listed(now, &[row], Extent::Changes);
+            front.listed(now, &[row], ListScope::Changes);
             if off {
                 front.astray(host, now, server);
             }
@@ -276,9 +276,9 @@
     }
 
     /// A row of the list as the core is told it.
-    fn seen(&self, mut row: Listed) -> Listed {
-        if row.standing == Standing::Ready && self.0.astray.borrow().contains(&row.server) {
-            row.standing = Standing::Draining;
+    fn seen(&self, mut row: ServerEntry) -> ServerEntry {
+        if row.state == ServerState::Ready && self.0.astray.borrow().contains(&row.server) {
+            row.state = ServerState::Draining;
         }
         row
     }
@@ -358,18 +358,18 @@
 
     /// Notes of servers are followed from when they are listed until they are gone and can't be reached. The rows as
     /// the core is to be told them.
-    pub fn follow(&self, list: &[Listed], extent: Extent) -> Vec<Listed> {
-        if extent != Extent::Changes {
+    pub fn follow(&self, list: &[ServerEntry], extent: ListScope) -> Vec<ServerEntry> {
+        if extent != ListScope::Changes {
             // Guards against one that a whole list leaves out: it is gone here as in the core, or its clock, once right
             // again, would have it told of as ready.
             let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
             let mut rows = self.0.rows.borrow_mut();
             let unnamed = rows.values_mut().filter(|row| !named.contains(&row.server));
-            unnamed.for_each(|row| row.standing = Standing::Gone);
+            unnamed.for_each(|row| row.state = ServerState::Gone);
         }
         for listed in list {
             self.0.rows.borrow_mut().insert(listed.server, *listed);
-            let gone = listed.standing == Standing::Gone;
+            let gone = listed.state == ServerState::Gone;
             let mut links = self.0.links.borrow_mut();
             if !gone && links.get(&listed.server).is_none_or(AbortHandle::is_finished) {
                 let link = spawn_local(link::follow(self.clone(), listed.server));
@@ -390,7 +390,7 @@
     }
 
     pub fn gone(&self, server: ServerId) -> bool {
-        self.0.rows.borrow().get(&server).is_none_or(|row| row.standing == Standing::Gone)
+        self.0.rows.borrow().get(&server).is_none_or(|row| row.state == ServerState::Gone)
     }
 
     /// Takes nothing new and answers all that wait.
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -1,7 +1,7 @@
 //! What requests were answered, why, and from when to when: one count at the door where the answers go out, so that the
 //! sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer up.
 
-use ivyward::front::Why;
+use ivyward::interface::RefusalReason;
 use ivyward_session::Cause;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,16 +13,16 @@
 /// The name of a cause.
 pub fn name(cause: Cause) -> &'static str {
     match cause {
-        Cause::Decided(Why::Unknown) => "unknown package",
-        Cause::Decided(Why::Seats) => "seats",
-        Cause::Decided(Why::Patience) => "patience",
-        Cause::Decided(Why::TuneIns) => "tune-ins",
-        Cause::Decided(Why::Ration) => "ration",
-        Cause::Decided(Why::NoHolder) => "no holder",
-        Cause::Decided(Why::Cold) => "cold",
-        Cause::Decided(Why::Tokens) => "tokens of the bucket",
-        Cause::Decided(Why::Ran) => "may have run",
-        Cause::Decided(Why::MayStillRun) => "an earlier attempt may still run",
+        Cause::Decided(RefusalReason::UnknownPackage) => "unknown package",
+        Cause::Decided(RefusalReason::SeatsTaken) => "seats",
+        Cause::Decided(RefusalReason::PatienceOver) => "patience",
+        Cause::Decided(RefusalReason::TuneInsUsedUp) => "tune-ins",
+        Cause::Decided(RefusalReason::RetryBudgetExhausted) => "ration",
+        Cause::Decided(RefusalReason::NoReadyHolder) => "no holder",
+        Cause::Decided(RefusalReason::HoldersCold) => "cold",
+        Cause::Decided(RefusalReason::RateLimited) => "tokens of the bucket",
+        Cause::Decided(RefusalReason::MayHaveRun) => "may have run",
+        Cause::Decided(RefusalReason::MayStillRun) => "an earlier attempt may still run",
         Cause::Spent => "paid before",
         Cause::GivenUp => "given up",
         Cause::Late => "late",
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -10,7 +10,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use ivyward::front::PackageId;
+use ivyward::interface::PackageId;
 use ivyward_dash::manifest::manifest;
 use ivyward_dash::token::{Given, Keys, Pass, Refusal};
 use ivyward_edge::{Refresh, Shown};
--- a/crates/edge/src/calendar.rs
+++ b/crates/edge/src/calendar.rs
@@ -2,7 +2,7 @@
 //! believed that lies further from theirs than the settings allow.
 
 use crate::KEPT;
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/edge/src/door.rs
+++ b/crates/edge/src/door.rs
@@ -1,7 +1,7 @@
 //! How many connections a server may have from us, and how much may wait for one.
 
 use crate::{keep, middle};
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/edge/src/line.rs
+++ b/crates/edge/src/line.rs
@@ -2,7 +2,7 @@
 //! before it and those given out beside it. A player whose answer was lost shows the same one again and is given
 //! another; of two players with copies of one token the first to ask again goes on, and the other is turned away.
 
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use std::time::Duration;
 
 /// Who gave a token that is shown.
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -2,7 +2,7 @@
     Calendar, Client, Clients, Doors, Errand, Gate, Line, Refresh, Seldom, Shown, Ticket, Turn, Upstream,
     Upstreams, brief,
 };
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,7 +1,7 @@
 //! Plain random choice among the holders that the list has as ready, at a rung that never changes: what the module is
 //! compared with, behind the same core. It keeps the rules on what is paid and on the ration, and nothing else.
 
-use ivyward::front::*;
+use ivyward::interface::*;
 use ivyward_session::Decides;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -31,7 +31,7 @@
     ration: Option<(Duration, f64, f64)>,
     taken: VecDeque<Duration>,
     further: VecDeque<Duration>,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, ServerEntry>,
     viewings: BTreeMap<ViewingId, Viewing>,
     now: Duration,
 }
@@ -69,12 +69,12 @@
         let Some(v) = self.viewings.get_mut(&vw) else { return };
         let holds =
             |cell: u32| (cell + self.places - v.cells.first % self.places) % self.places < v.cells.spread;
-        let ready = |s: &&Listed| s.standing == Standing::Ready && holds(s.cell % self.places);
+        let ready = |s: &&ServerEntry| s.state == ServerState::Ready && holds(s.cell % self.places);
         let holders: Vec<_> = self.servers.values().filter(ready).map(|s| s.server).collect();
         let left = v.ends.saturating_sub(self.now);
         if holders.is_empty() || rationed || v.tune_ins >= self.tune_ins || left.is_zero() {
             self.viewings.remove(&vw);
-            return act.block(vw, None, Why::TuneIns);
+            return act.block(vw, None, RefusalReason::TuneInsUsedUp);
         }
         let server = holders[self.chance.random_range(0..holders.len())];
         if v.tune_ins > 0 {
@@ -91,14 +91,14 @@
 impl Decides for Random {
     fn start(&mut self, _: &mut dyn Actions, _: Duration) {}
 
-    fn listed(&mut self, _: Duration, list: &[Listed], extent: Extent) {
-        if extent != Extent::Changes {
+    fn on_server_list(&mut self, _: Duration, list: &[ServerEntry], scope: ListScope) {
+        if scope != ListScope::Changes {
             self.servers.clear();
         }
-        self.servers.extend(list.iter().map(|listed| (listed.server, *listed)));
+        self.servers.extend(list.iter().map(|list_entry| (list_entry.server, *list_entry)));
     }
 
-    fn asked(
+    fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, _: TitleId,
         cells: Cells, top: usize, ends: Duration,
     ) {
@@ -110,16 +110,16 @@
         let viewing =
             Viewing { package: package.0, cells, rung, ends, tune_ins: 0, idle: true, answered: false };
         self.viewings.insert(vw, viewing);
-        act.wake(ends.saturating_sub(now), u64::from(vw.0));
+        act.set_timer(ends.saturating_sub(now), u64::from(vw.0));
         self.tune_in(act, vw);
     }
 
-    fn plays(&mut self, now: Duration, vw: ViewingId, _: ServerId) {
+    fn on_playing(&mut self, now: Duration, vw: ViewingId, _: ServerId) {
         self.now = now;
         self.viewings.entry(vw).and_modify(|v| v.answered = true);
     }
 
-    fn playing(
+    fn restore_viewing(
         &mut self, now: Duration, vw: ViewingId, _: ServerId, package: PackageId, _: TitleId,
         (rung, _): (usize, usize),
     ) {
@@ -129,48 +129,52 @@
         self.viewings.insert(vw, Viewing { package, cells, rung, ends, tune_ins, idle, answered });
     }
 
-    fn ended(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, _: u16, _: ServerId, ending: Ending,
-        terminal: bool, _: Load,
+    fn on_tune_in_ended(
+        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, _: u16, _: ServerId,
+        outcome: TuneInOutcome, terminal: bool, _: LoadReport,
     ) {
         self.now = now;
         let Some(v) = self.viewings.get_mut(&vw) else { return };
         v.idle = true;
         if terminal || v.answered {
             self.viewings.remove(&vw);
-        } else if self.packages[v.package].0 && !ending.never_ran() {
+        } else if self.packages[v.package].0 && !outcome.never_ran() {
             self.viewings.remove(&vw);
-            act.abort(vw, Why::Ran);
+            act.abort(vw, RefusalReason::MayHaveRun);
         } else {
             self.tune_in(act, vw);
         }
     }
 
-    fn left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
         let Some(v) = self.viewings.get_mut(&vw) else { return };
         v.answered = true;
         if v.idle {
             self.viewings.remove(&vw);
         } else {
-            act.call_off(vw, v.tune_ins - 1);
+            act.cancel_tune_in(vw, v.tune_ins - 1);
         }
     }
 
-    fn news(&mut self, _: Duration, _: ViewingId, _: ServerId, _: News) {}
+    fn on_server_update(&mut self, _: Duration, _: ViewingId, _: ServerId, _: ServerUpdate) {}
 
-    fn reported(&mut self, _: Duration, _: ServerId, _: Load) {}
+    fn on_load_report(&mut self, _: Duration, _: ServerId, _: LoadReport) {}
 
-    fn probed(&mut self, _: &mut dyn Actions, _: Duration, _: ServerId, _: Option<Load>) {}
+    fn on_probe_result(&mut self, _: &mut dyn Actions, _: Duration, _: ServerId, _: Option<LoadReport>) {}
 
-    fn woken(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
+    fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.now = now;
         let vw = ViewingId(token as u32);
         let Some(v) = self.viewings.get(&vw).filter(|v| !v.answered) else { return };
         let (paid, n, idle) = (self.packages[v.package].0, v.tune_ins, v.idle);
         self.viewings.remove(&vw);
         if !idle {
-            act.call_off(vw, n - 1);
+            act.cancel_tune_in(vw, n - 1);
+        }
+        if paid && n > 0 {
+            act.abort(vw, RefusalReason::PatienceOver)
+        } else {
+            act.block(vw, None, RefusalReason::PatienceOver)
         }
-        if paid && n > 0 { act.abort(vw, Why::Patience) } else { act.block(vw, None, Why::Patience) }
     }
 }
--- a/crates/lab/src/growth.rs
+++ b/crates/lab/src/growth.rs
@@ -1,9 +1,9 @@
 //! What a placement and a look at the rungs cost as live viewings and servers grow: one manager, the module called by its
 //! interface, nothing else round it.
 
-use ivyward::front::*;
+use ivyward::interface::*;
 use ivyward::policy::Manager;
-use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices};
+use ivyward::state::{Ladder, Limits, Network, Package, Prices, SlowStart};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
@@ -24,12 +24,12 @@
     fn tune_in(&mut self, _: ViewingId, server: ServerId, _: Duration) {
         self.0 = Some(server);
     }
-    fn block(&mut self, _: ViewingId, _: Option<Duration>, _: Why) {}
-    fn abort(&mut self, _: ViewingId, _: Why) {}
-    fn call_off(&mut self, _: ViewingId, _: u16) {}
+    fn block(&mut self, _: ViewingId, _: Option<Duration>, _: RefusalReason) {}
+    fn abort(&mut self, _: ViewingId, _: RefusalReason) {}
+    fn cancel_tune_in(&mut self, _: ViewingId, _: u16) {}
     fn set_rung(&mut self, _: ViewingId, _: usize) {}
     fn probe(&mut self, _: ServerId) {}
-    fn wake(&mut self, _: Duration, _: u64) {}
+    fn set_timer(&mut self, _: Duration, _: u64) {}
 }
 
 struct Crowd {
@@ -46,7 +46,7 @@
         let package = Package {
             value: 1.0,
             target: Duration::from_secs(1),
-            once: false,
+            paid_once: false,
             scale: 1.0,
             floor: 0,
             top: RATES.len() - 1,
@@ -58,31 +58,31 @@
             links_kb: link * f64::from(servers),
             weight_kb: link,
             uplink_kb: link * f64::from(RACK) * 0.9,
-            told: Duration::from_secs(3),
-            seen: Duration::from_secs(1),
+            configured_report_interval: Duration::from_secs(3),
+            report_delay: Duration::from_secs(1),
         };
         let mut manager = Manager::new(
             (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
             Ladder { rates: RATES.to_vec(), worths: vec![0.25, 0.55, 0.8, 1.0], switch: 0.6 },
             network,
-            Pace::new(1, &[1e9], Duration::from_millis(1), 1.0, 1000.0, Duration::from_millis(1)),
+            SlowStart::new(1, &[1e9], Duration::from_millis(1), 1.0, 1000.0, Duration::from_millis(1)),
             Limits { tune_ins: 3, call_off: true, probe: None, come_back: None },
             None,
             vec![package],
         );
         let now = Duration::from_secs(1000);
         manager.start(&mut Hand::default(), now);
-        let row = |i: u32| Listed {
+        let row = |i: u32| ServerEntry {
             server: ServerId([127, 1, (i / 250) as u8, (i % 250) as u8, 0, 80]),
-            standing: Standing::Ready,
-            born: None,
+            state: ServerState::Ready,
+            started_at: None,
             weight: 1.0,
             zone: ZoneId(0),
             kind: KindId(0),
             cell: i,
         };
         let list: Vec<_> = (0..servers).map(row).collect();
-        manager.listed(now, &list, Extent::Whole);
+        manager.on_server_list(now, &list, ListScope::Full);
         Crowd { manager, now: now + Duration::from_secs(1), next: 0, servers }
     }
 
@@ -94,9 +94,9 @@
         let cells = Cells { first: self.next.wrapping_mul(7) % self.servers, spread: 6 };
         let (title, ends) = (TitleId(u64::from(cells.first)), self.now + Duration::from_secs(3));
         let begun = Instant::now();
-        self.manager.asked(&mut hand, self.now, vw, PackageId(0), title, cells, RATES.len() - 1, ends);
+        self.manager.on_request(&mut hand, self.now, vw, PackageId(0), title, cells, RATES.len() - 1, ends);
         if let Some(server) = hand.0 {
-            self.manager.plays(self.now, vw, server);
+            self.manager.on_playing(self.now, vw, server);
         }
         begun.elapsed()
     }
@@ -104,7 +104,7 @@
     fn looks(&mut self) -> Duration {
         self.now += Duration::from_millis(500);
         let begun = Instant::now();
-        self.manager.woken(&mut Hand::default(), self.now, LOOK);
+        self.manager.on_timer(&mut Hand::default(), self.now, LOOK);
         begun.elapsed()
     }
 }
@@ -129,13 +129,13 @@
         times[times.len() / 2].as_secs_f64()
     };
     let looks = middle((0..LOOKS).map(|_| crowd.looks()).collect());
-    let before = crowd.manager.walked();
+    let before = crowd.manager.visited_entries();
     let places = middle((0..PLACED).map(|_| crowd.places()).collect());
     Cost {
         placement_us: places * 1e6,
         look_ms: looks * 1e3,
-        entries: (crowd.manager.walked() - before) as f64 / f64::from(PLACED),
-        held: crowd.manager.kept(),
+        entries: (crowd.manager.visited_entries() - before) as f64 / f64::from(PLACED),
+        held: crowd.manager.entry_count(),
     }
 }
 
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -4,8 +4,9 @@
 
 use crate::baseline::Random;
 use crate::day::{random, terms_of};
-use ivyward::front::{
-    Extent, KindId, Listed, News, PackageId, ServerId, Standing, TitleId, ViewingId, ZoneId,
+use ivyward::interface::{
+    KindId, ListScope, PackageId, ServerEntry, ServerId, ServerState, ServerUpdate, TitleId, ViewingId,
+    ZoneId,
 };
 use ivyward_daemon::setup;
 use ivyward_edge::Shown;
@@ -140,7 +141,7 @@
 /// What the list says of a server.
 #[derive(Clone, Copy)]
 struct Row {
-    standing: Standing,
+    standing: ServerState,
     birth: u64,
     born: Option<Duration>,
     cell: u32,
@@ -243,7 +244,7 @@
         let cells = self.settings.one("network").count("places");
         for at in self.fleet.boxes().collect::<Vec<_>>() {
             let row = Row {
-                standing: Standing::Ready,
+                standing: ServerState::Ready,
                 birth: 1,
                 born: None,
                 cell: (at.0 % cells) as u32,
@@ -381,9 +382,9 @@
         }
     }
 
-    fn load(&self, at: ServerNo) -> ivyward::front::Load {
+    fn load(&self, at: ServerNo) -> ivyward::interface::LoadReport {
         let (link, uplink) = (self.fleet.full(self.now, at), self.fleet.full_up(at));
-        ivyward::front::Load { link: Some(link), uplink: Some(uplink) }
+        ivyward::interface::LoadReport { link: Some(link), uplink: Some(uplink) }
     }
 
     /// Something that reaches a server: one that stands still comes to it when it goes on; a dead one never.
@@ -664,11 +665,11 @@
         self.tells_all(manager);
     }
 
-    fn listed(&self, at: ServerNo, row: Row) -> Listed {
-        Listed {
+    fn listed(&self, at: ServerNo, row: Row) -> ServerEntry {
+        ServerEntry {
             server: id(at),
-            standing: row.standing,
-            born: row.born,
+            state: row.standing,
+            started_at: row.born,
             weight: row.weight,
             zone: ZoneId(0),
             kind: KindId(0),
@@ -676,11 +677,11 @@
         }
     }
 
-    fn told(&mut self, manager: usize, at: ServerNo, standing: Standing, birth: u64) {
+    fn told(&mut self, manager: usize, at: ServerNo, standing: ServerState, birth: u64) {
         let standing = match standing {
-            Standing::Ready => ivyward_rules::Standing::Ready,
-            Standing::Draining => ivyward_rules::Standing::Draining,
-            Standing::Gone => ivyward_rules::Standing::Gone,
+            ServerState::Ready => ivyward_rules::Standing::Ready,
+            ServerState::Draining => ivyward_rules::Standing::Draining,
+            ServerState::Gone => ivyward_rules::Standing::Gone,
         };
         self.record(What::Told { manager: ManagerNo(manager as u32), server: at, standing, birth });
     }
@@ -703,30 +704,30 @@
                 self.told(manager, at, row.standing, row.birth);
                 list.push(self.listed(at, row));
             } else {
-                self.told(manager, at, Standing::Gone, row.birth);
+                self.told(manager, at, ServerState::Gone, row.birth);
             }
         }
-        self.hears(manager, &list, Extent::Whole);
+        self.hears(manager, &list, ListScope::Full);
     }
 
-    fn hears(&mut self, manager: usize, list: &[Listed], extent: Extent) {
+    fn hears(&mut self, manager: usize, list: &[ServerEntry], scope: ListScope) {
         let birth = self.managers[manager].birth;
         let withheld = self.spoilt == Some(Spoilt::EndsWithheld);
         let list: Vec<_> =
-            list.iter().filter(|row| !withheld || row.standing == Standing::Ready).copied().collect();
+            list.iter().filter(|row| !withheld || row.state == ServerState::Ready).copied().collect();
         let follow: Vec<_> =
-            list.iter().filter(|row| row.standing != Standing::Gone).map(|row| no(row.server)).collect();
-        self.turn(manager, birth, move |front, _, now| front.listed(now, &list, extent));
+            list.iter().filter(|row| row.state != ServerState::Gone).map(|row| no(row.server)).collect();
+        self.turn(manager, birth, move |front, _, now| front.listed(now, &list, scope));
         follow.into_iter().for_each(|at| self.follows(manager, at));
     }
 
     /// The list hears of a server now, and tells of it late.
-    fn list_soon(&mut self, at: ServerNo, standing: Standing) {
+    fn list_soon(&mut self, at: ServerNo, standing: ServerState) {
         let late = Duration::from_millis(self.chance.random_range(50..900));
         self.list_after(at, standing, late);
     }
 
-    fn list_after(&mut self, at: ServerNo, standing: Standing, late: Duration) {
+    fn list_after(&mut self, at: ServerNo, standing: ServerState, late: Duration) {
         let (birth, born) = self.fleet.birth(at);
         self.after(late, move |w| {
             let old = w.rows[at.0];
@@ -750,7 +751,7 @@
             if self.managers[manager].front.is_some() {
                 self.told(manager, at, row.standing, row.birth);
                 let listed = self.listed(at, row);
-                self.hears(manager, &[listed], Extent::Changes);
+                self.hears(manager, &[listed], ListScope::Changes);
             }
         }
     }
@@ -807,9 +808,9 @@
         }
         for (at, key, note) in self.fleet.notes(self.now) {
             let news = match note {
-                Note::Share(x) => News::Share(x),
-                Note::Link(x) => News::Link(x),
-                Note::Uplink(x) => News::Uplink(x),
+                Note::Share(x) => ServerUpdate::Share(x),
+                Note::Link(x) => ServerUpdate::Link(x),
+                Note::Uplink(x) => ServerUpdate::Uplink(x),
             };
             self.notes(at, key, move |f, _, now| f.news(now, id(at), ViewingId(key.vw), news));
         }
@@ -851,7 +852,7 @@
                 self.after(again, move |w| w.follows(manager, at));
             }
         }
-        self.list_soon(at, Standing::Gone);
+        self.list_soon(at, ServerState::Gone);
     }
 
     fn dies(&mut self, at: ServerNo) {
@@ -873,9 +874,9 @@
         // Some starts are told of as draining first; some are met by a crowd.
         let late = Duration::from_millis(self.chance.random_range(50..900));
         if self.chance.random_bool(0.3) {
-            self.list_after(at, Standing::Draining, late);
+            self.list_after(at, ServerState::Draining, late);
         }
-        self.list_after(at, Standing::Ready, late + Duration::from_millis(200));
+        self.list_after(at, ServerState::Ready, late + Duration::from_millis(200));
         if self.chance.random_bool(0.4) {
             let cell = at.0 as u32 % self.settings.one("network").count("places") as u32;
             let holds = |title: &setup::Title| {
@@ -943,7 +944,7 @@
             let next = if i == 0 { at } else { ServerNo(RUN + i) };
             self.after(from, move |w| {
                 w.fleet.drain(at);
-                w.list_soon(at, Standing::Draining);
+                w.list_soon(at, ServerState::Draining);
                 w.after(drains, move |w| w.dies(at));
                 w.after(drains + ms(300), move |w| w.starts(next));
             });
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,7 +10,7 @@
 mod viewers;
 mod wire;
 
-use ivyward::front::Extent;
+use ivyward::interface::ListScope;
 use ivyward_edge::{Seldom, Upstreams};
 use ivyward_event_loop::{Clock, Timers, channel};
 use ivyward_options as options;
@@ -99,7 +99,7 @@
     };
     front.start(&mut host, clock.now());
     let mut known = known.iter();
-    let read = known.all(|event| host.topology(&mut front, clock.now(), event, Extent::Remembered));
+    let read = known.all(|event| host.topology(&mut front, clock.now(), event, ListScope::Restored));
     // Of a list of which a part can't be read the whole is asked for.
     let offset = if read { offset } else { 0 };
     let listener = listens(listen).await.map_err(|e| format!("{listen}: {e}"))?;
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -2,7 +2,7 @@
 //! at the address of another that has gone is another.
 
 use crate::shell::NodeHost;
-use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
+use ivyward::interface::{KindId, ListScope, ServerEntry, ServerId, ServerState, ZoneId};
 use ivyward_edge::brief;
 use ivyward_session::Front;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 pub struct Row {
     pub word: String,
     pub address: SocketAddr,
-    pub listed: Listed,
+    pub listed: ServerEntry,
     /// Since when it is gone.
     gone: Option<Duration>,
 }
@@ -28,7 +28,7 @@
 }
 
 /// When a start at that millisecond of the Unix clock was, by the clock of spans; none where it was not told.
-fn born(unix_ms: u64, unix_now: Duration, now: Duration) -> Option<Duration> {
+fn started_at(unix_ms: u64, unix_now: Duration, now: Duration) -> Option<Duration> {
     let age = unix_now.checked_sub(Duration::from_millis(unix_ms)).unwrap_or_default();
     (unix_ms > 0).then(|| now.saturating_sub(age))
 }
@@ -46,8 +46,8 @@
         self.ids.get(word).copied()
     }
 
-    pub fn standing(&self, server: ServerId) -> Standing {
-        self.rows.get(&server).map_or(Standing::Gone, |row| row.listed.standing)
+    pub fn standing(&self, server: ServerId) -> ServerState {
+        self.rows.get(&server).map_or(ServerState::Gone, |row| row.listed.state)
     }
 
     fn fresh(&mut self) -> ServerId {
@@ -60,7 +60,7 @@
     /// is held yet.
     fn member<'a>(
         &self, member: &'a Value, unix_now: Duration, now: Duration,
-    ) -> Result<(&'a str, SocketAddr, Listed), &'static str> {
+    ) -> Result<(&'a str, SocketAddr, ServerEntry), &'static str> {
         let word = member["id"].as_str().ok_or("id")?;
         let before = self.ids.get(word).and_then(|id| self.rows.get(id)).map(|row| (row.address, row.listed));
         let number =
@@ -73,24 +73,26 @@
         let cell = member["cell"].as_u64().and_then(|cell| u32::try_from(cell).ok());
         let weight = member["size"].as_f64().filter(|weight| *weight > 0.0);
         let told = member["up_since_ms"].as_u64();
-        let listed = Listed {
+        let listed = ServerEntry {
             server: self.ids.get(word).copied().unwrap_or(ServerId([0; 6])),
-            standing: match member["phase"].as_str() {
-                Some("ready") => Standing::Ready,
-                Some("draining") => Standing::Draining,
-                Some("gone") => Standing::Gone,
+            state: match member["phase"].as_str() {
+                Some("ready") => ServerState::Ready,
+                Some("draining") => ServerState::Draining,
+                Some("gone") => ServerState::Gone,
                 _ => return Err("phase"),
             },
             // A start told again is the same, though the clocks went on unevenly since.
-            born: match (told, was) {
+            started_at: match (told, was) {
                 (Some(at), was) => {
-                    let born = born(at, unix_now, now);
-                    let same = |was: &Listed| {
-                        was.born.zip(born).is_some_and(|(a, b)| a.abs_diff(b) < Duration::from_millis(500))
+                    let started_at = started_at(at, unix_now, now);
+                    let same = |was: &ServerEntry| {
+                        was.started_at
+                            .zip(started_at)
+                            .is_some_and(|(a, b)| a.abs_diff(b) < Duration::from_millis(500))
                     };
-                    was.filter(same).map_or(born, |was| was.born)
+                    was.filter(same).map_or(started_at, |was| was.started_at)
                 }
-                (None, was) => was.and_then(|was| was.born),
+                (None, was) => was.and_then(|was| was.started_at),
             },
             weight: weight.or(was.map(|was| was.weight)).ok_or("size")?,
             zone: zone.or(was.map(|was| was.zone)).ok_or("locality")?,
@@ -101,10 +103,12 @@
     }
 
     /// Holds a member as it was read.
-    fn take(&mut self, now: Duration, (word, address, listed): (&str, SocketAddr, Listed)) -> Listed {
+    fn take(
+        &mut self, now: Duration, (word, address, listed): (&str, SocketAddr, ServerEntry),
+    ) -> ServerEntry {
         let server = self.ids.get(word).copied().unwrap_or_else(|| self.fresh());
-        let listed = Listed { server, ..listed };
-        let gone = (listed.standing == Standing::Gone).then_some(now);
+        let listed = ServerEntry { server, ..listed };
+        let gone = (listed.state == ServerState::Gone).then_some(now);
         let since = self.rows.get(&server).and_then(|row| row.gone);
         self.ids.insert(word.into(), server);
         let gone = gone.map(|now| since.unwrap_or(now));
@@ -122,10 +126,10 @@
 
     /// Whether a server is gone and another that isn't has its address.
     pub fn is_replaced(&self, server: ServerId) -> bool {
-        let Some(row) = self.rows.get(&server).filter(|row| row.listed.standing == Standing::Gone) else {
+        let Some(row) = self.rows.get(&server).filter(|row| row.listed.state == ServerState::Gone) else {
             return false;
         };
-        let another = |other: &Row| other.address == row.address && other.listed.standing != Standing::Gone;
+        let another = |other: &Row| other.address == row.address && other.listed.state != ServerState::Gone;
         self.rows.values().any(another)
     }
 
@@ -137,11 +141,11 @@
 impl NodeHost {
     /// One event of the bus. Whether it could be read: nothing of a list is taken of which a part can't.
     pub fn told(&mut self, front: &mut Front, now: Duration, event: &Value) -> bool {
-        self.topology(front, now, event, Extent::Whole)
+        self.topology(front, now, event, ListScope::Full)
     }
 
     /// `whole`: what a whole list counts as.
-    pub fn topology(&mut self, front: &mut Front, now: Duration, event: &Value, whole: Extent) -> bool {
+    pub fn topology(&mut self, front: &mut Front, now: Duration, event: &Value, whole: ListScope) -> bool {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let members = event["topology"]["members"].as_array().ok_or("members");
         let read = members.and_then(|members| {
@@ -163,12 +167,12 @@
         if complete {
             let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
             for (_, row) in self.list.rows.iter_mut().filter(|(server, _)| !named.contains(server)) {
-                row.listed.standing = Standing::Gone;
+                row.listed.state = ServerState::Gone;
                 row.gone.get_or_insert(now);
             }
         }
         tracing::debug!(complete, ?list, ?words, "the list");
-        front.listed(now, &list, if complete { whole } else { Extent::Changes });
+        front.listed(now, &list, if complete { whole } else { ListScope::Changes });
         self.processes_ended(front, now);
         true
     }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -6,7 +6,7 @@
 mod sessions;
 
 use crate::wire::{Stream, Writer};
-use ivyward::front::{ServerId, ViewingId};
+use ivyward::interface::{ServerId, ViewingId};
 use ivyward_edge::{Upstream, Upstreams};
 use ivyward_session::{Birth, TuneIn};
 use ivyward_signal::binary::{self, Messages};
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{Key, release};
 use crate::shell::NodeHost;
-use ivyward::front::{Load, ServerId};
+use ivyward::interface::{LoadReport, ServerId};
 use ivyward_session::{Front, Happened};
 use ivyward_signal::binary;
 use ivyward_signal::{Field, Kind, Ref};
@@ -22,7 +22,7 @@
             // Where it is listed nothing is known against it: no descriptor was to be had.
             let listed = self.list.row(server).is_some();
             let what = if listed { Happened::NotWritten } else { Happened::NotConnected };
-            return front.happened(self, now, key.0, key.1, what, Load::default());
+            return front.happened(self, now, key.0, key.1, what, LoadReport::default());
         };
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if !link.up {
@@ -51,7 +51,7 @@
         });
         let Some(Ok(bytes)) = bytes else {
             self.servers.attempts.remove(&key);
-            return front.happened(self, now, key.0, key.1, Happened::NotWritten, Load::default());
+            return front.happened(self, now, key.0, key.1, Happened::NotWritten, LoadReport::default());
         };
         if !front.sending(self, now, key.0, key.1) {
             self.servers.attempts.remove(&key);
@@ -66,7 +66,7 @@
                 "a connection takes nothing"
             );
             self.servers.attempts.remove(&key);
-            return front.happened(self, now, key.0, key.1, Happened::NotWritten, Load::default());
+            return front.happened(self, now, key.0, key.1, Happened::NotWritten, LoadReport::default());
         };
         link.open.insert(of, key);
         link.upstream.asked = now;
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -3,7 +3,7 @@
 use super::{Link, Unreached, release};
 use crate::shell::NodeHost;
 use crate::wire::{Stream, converse, keeps_little, look, piece, writer};
-use ivyward::front::{Load, ServerId, Standing};
+use ivyward::interface::{LoadReport, ServerId, ServerState};
 use ivyward_edge::{Upstream, Upstreams};
 use ivyward_session::{Front, Happened};
 use ivyward_signal::binary::{self, Messages};
@@ -140,7 +140,7 @@
         }
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, Load::default());
+                front.happened(self, now, key.0, key.1, Happened::NotConnected, LoadReport::default());
             }
         }
         self.fail_tests(front, now, server, link.tests);
@@ -152,7 +152,7 @@
         self.servers.unreached.insert(server, unreached);
         let heard = self.servers.links_to(server).any(|(_, link)| link.up && link.upstream.heard > since);
         let lost = !heard && self.servers.upstreams.lost(now.saturating_sub(since));
-        if refused && self.list.standing(server) != Standing::Draining || lost {
+        if refused && self.list.standing(server) != ServerState::Draining || lost {
             self.servers.owed_releases.remove(&server);
             self.servers.unreached.remove(&server);
             self.all_lost(front, now, server);
@@ -168,11 +168,11 @@
         tracing::debug!(server = self.word(server), connection = id, ?open, why, "a connection is lost");
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, Load::default());
+                front.happened(self, now, key.0, key.1, Happened::NotConnected, LoadReport::default());
             }
         }
         for key in link.open.into_values() {
-            front.happened(self, now, key.0, key.1, Happened::Broke, Load::default());
+            front.happened(self, now, key.0, key.1, Happened::Broke, LoadReport::default());
             self.servers.attempts.remove(&key);
         }
         self.fail_tests(front, now, server, link.tests);
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -5,7 +5,7 @@
 use super::{LOST, OK};
 use crate::shell::{NodeHost, Stand};
 use crate::wire::{Came, look};
-use ivyward::front::{Load, News, ServerId};
+use ivyward::interface::{LoadReport, ServerId, ServerUpdate};
 use ivyward_options as options;
 use ivyward_session::{Front, Happened, Over};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, line};
@@ -143,7 +143,7 @@
     }
 
     /// Beside what the module believes: what passed on the sockets here.
-    fn log_report(&self, front: &Front, server: ServerId, load: Load) {
+    fn log_report(&self, front: &Front, server: ServerId, load: LoadReport) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -155,7 +155,7 @@
     /// The session stands: its answer is passed on.
     fn answer(
         &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
-        load: Load,
+        load: LoadReport,
     ) -> Result<(), String> {
         let of = signal.of;
         let Some(link) = self.servers.links.get_mut(&id) else { return Ok(()) };
@@ -182,7 +182,7 @@
     /// A server ended a set-up, or what stood.
     fn server_released(
         &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), (of, cause): (Ref, u8),
-        load: Load,
+        load: LoadReport,
     ) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(key) = link.open.remove(&of) {
@@ -217,10 +217,10 @@
         let viewing = open.or(stand.map(|stand| stand.key.1));
         let Some(figure) = signal.number(Field::Figure) else { return };
         let news = match signal.text(Field::Note) {
-            Some("share") => News::Share(figure),
-            Some("step") => News::Rung(figure.max(0.0) as usize),
-            Some("asked") => News::Link(figure),
-            Some("rack") => News::Uplink(figure),
+            Some("share") => ServerUpdate::Share(figure),
+            Some("step") => ServerUpdate::Rung(figure.max(0.0) as usize),
+            Some("asked") => ServerUpdate::Link(figure),
+            Some("rack") => ServerUpdate::Uplink(figure),
             _ => return,
         };
         tracing::debug!(server = self.word(server), ?news, fresh = open.is_some(), "a note");
--- a/crates/node/src/servers/sessions.rs
+++ b/crates/node/src/servers/sessions.rs
@@ -2,7 +2,7 @@
 
 use super::LOST;
 use crate::shell::NodeHost;
-use ivyward::front::ServerId;
+use ivyward::interface::ServerId;
 use ivyward_session::{Front, Over};
 use ivyward_signal::Ref;
 use std::time::Duration;
@@ -29,8 +29,8 @@
                 self.all_lost(front, now, server);
                 continue;
             }
-            let born = self.list.row(server).and_then(|row| row.listed.born).unwrap_or_default();
-            let earlier = |of: &Ref| self.stands.get(*of).is_some_and(|stand| stand.since < born);
+            let started_at = self.list.row(server).and_then(|row| row.listed.started_at).unwrap_or_default();
+            let earlier = |of: &Ref| self.stands.get(*of).is_some_and(|stand| stand.since < started_at);
             for of in self.stands.at(server).filter(earlier).collect::<Vec<_>>() {
                 self.session_over(front, now, server, of, LOST, Over::Lost);
             }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -4,7 +4,7 @@
 use crate::list::List;
 use crate::servers::{Key, Servers};
 use crate::viewers::Viewers;
-use ivyward::front::{PackageId, ServerId, TitleId, ViewingId};
+use ivyward::interface::{PackageId, ServerId, TitleId, ViewingId};
 use ivyward_edge::Seldom;
 use ivyward_event_loop::{EventSender, Timers};
 use ivyward_session::{Answer, Birth, Breach, Effects, Front, SessionId, Timer, TuneIn};
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::{NodeHost, Stand};
 use crate::wire::{Came, End, Stream, Writer, converse, look, piece, writer};
-use ivyward::front::{Cells, PackageId, TitleId};
+use ivyward::interface::{Cells, PackageId, TitleId};
 use ivyward_edge::{Client, Clients, brief};
 use ivyward_event_loop::EventSender;
 use ivyward_session::{Answer, Front, Over, RequestId, SessionId};
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,9 +1,9 @@
 //! The options of a deployment, as the bench's wire and the platform's configuration tell them, turned into the calls
 //! that set a manager up. Each error names the key.
 
-use ivyward::front::{Load, ZoneId};
+use ivyward::interface::{LoadReport, ZoneId};
 use ivyward::policy::Manager;
-use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices, Ration};
+use ivyward::state::{Ladder, Limits, Network, Package, Prices, RetryBudget, SlowStart};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
         Ok(Package {
             value: number(package, "/worth")?,
             target: micros(number(package, "/slo-us")?),
-            once: once(package),
+            paid_once: once(package),
             scale: of(&scales, "class-scale")?,
             floor: of(&floors, "floor-by-class")? as usize,
             top: of(&tops, "top-by-class")? as usize,
@@ -109,10 +109,10 @@
         links_kb: or_zero(all, "/specifics/links-kb")?,
         weight_kb: number(all, "/specifics/weight-kb")?,
         uplink_kb: number(all, "/specifics/rack-link-kb")?,
-        told: micros(or_zero(all, "/specifics/told-every-us")?),
-        seen: micros(or_zero(all, "/specifics/seen-after-us")?),
+        configured_report_interval: micros(or_zero(all, "/specifics/told-every-us")?),
+        report_delay: micros(or_zero(all, "/specifics/seen-after-us")?),
     };
-    let pace = Pace::new(
+    let pace = SlowStart::new(
         siblings,
         &numbers(all, "/specifics/kind-streams")?,
         micros(number(all, "/guarantees/cold-us")?),
@@ -120,7 +120,7 @@
         number(all, "/guarantees/tip-multiple")?,
         micros(number(all, "/guarantees/fall-us")?),
     );
-    let ration = ration(all)?.map(|(span, free, share)| Ration::new(span, free, share));
+    let ration = ration(all)?.map(|(span, free, share)| RetryBudget::new(span, free, share));
     let longest = micros(or_zero(all, "/limits/max-retry-after-us")?);
     let (tells, probe) =
         (report(all).iter().any(|gauge| matches!(gauge, Gauge::Link)), or_zero(all, "/prices/probe")?);
@@ -166,8 +166,8 @@
 }
 
 /// A report's values by name, as in `x0:12;x1:40`, What can't be read is left out.
-pub fn load(text: &str) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
         let value = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
         match gauge(name) {
--- a/crates/options/src/tests.rs
+++ b/crates/options/src/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn reports_as_text() {
-    let both = |link, uplink| Load { link, uplink };
+    let both = |link, uplink| LoadReport { link, uplink };
     let cases = [
         ("x0:0.4;x1:1.25;queue:3", both(Some(0.4), Some(1.25))),
         ("queue:3;x1:2", both(None, Some(2.0))),
--- a/crates/session/src/book.rs
+++ b/crates/session/src/book.rs
@@ -1,7 +1,7 @@
 //! What is held of viewings, and what the module's actions change in it.
 
 use crate::{Answer, Birth, Cause, Effects, Fence, RequestId, SessionId, Timer, TuneIn};
-use ivyward::front::{Actions, Ending, PackageId, ServerId, TitleId, ViewingId, Why};
+use ivyward::interface::{Actions, PackageId, RefusalReason, ServerId, TitleId, TuneInOutcome, ViewingId};
 use ivyward_edge::Line;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -79,7 +79,7 @@
     pub vw: ViewingId,
     pub tune_in: TuneIn,
     pub server: ServerId,
-    pub ending: Ending,
+    pub outcome: TuneInOutcome,
 }
 
 pub(crate) struct Book {
@@ -214,15 +214,15 @@
         self.out.wake(limit, Timer::Limit(vw, tune_in));
     }
 
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: Why) {
+    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: RefusalReason) {
         self.book.answer(self.out, vw, Answer::Blocked { come_back, why: Cause::Decided(why) });
     }
 
-    fn abort(&mut self, vw: ViewingId, why: Why) {
+    fn abort(&mut self, vw: ViewingId, why: RefusalReason) {
         self.book.answer(self.out, vw, Answer::Aborted { why: Cause::Decided(why) });
     }
 
-    fn call_off(&mut self, vw: ViewingId, tune_in: u16) {
+    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
         let tune_in = TuneIn(tune_in);
         // One that plays by now is not called off.
         let Some((server, written)) = self.book.take_out(vw, tune_in) else { return };
@@ -230,7 +230,7 @@
         if written {
             self.out.release(server, self.book.birth, vw, tune_in);
         }
-        self.book.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
+        self.book.ended.push_back(Ended { vw, tune_in, server, outcome: TuneInOutcome::Cancelled });
     }
 
     fn set_rung(&mut self, vw: ViewingId, rung: usize) {
@@ -245,7 +245,7 @@
         self.out.probe(server);
     }
 
-    fn wake(&mut self, after: Duration, token: u64) {
+    fn set_timer(&mut self, after: Duration, token: u64) {
         self.out.wake(after, Timer::Module(token));
     }
 }
--- a/crates/session/src/fence.rs
+++ b/crates/session/src/fence.rs
@@ -2,7 +2,7 @@
 //! told, and every day's verdict reads the count. What they go by is booked here, apart from what the core goes by.
 
 use crate::SessionId;
-use ivyward::front::{ServerId, Standing, TitleId, ViewingId};
+use ivyward::interface::{ServerId, ServerState, TitleId, ViewingId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -60,12 +60,12 @@
     }
 
     /// News of a server's standing; a drain told again was told before.
-    pub(crate) fn told(&mut self, now: Duration, server: ServerId, standing: Standing) {
+    pub(crate) fn told(&mut self, now: Duration, server: ServerId, state: ServerState) {
         self.known.insert(server);
-        match standing {
-            Standing::Ready => drop(self.ended.remove(&server)),
-            Standing::Draining | Standing::Gone => {
-                self.ended.entry(server).or_insert((now, false)).1 = standing == Standing::Gone;
+        match state {
+            ServerState::Ready => drop(self.ended.remove(&server)),
+            ServerState::Draining | ServerState::Gone => {
+                self.ended.entry(server).or_insert((now, false)).1 = state == ServerState::Gone;
             }
         }
     }
@@ -73,7 +73,7 @@
     /// A whole list came: servers that it doesn't name are gone.
     pub(crate) fn told_whole(&mut self, now: Duration, named: &BTreeSet<ServerId>) {
         let gone: Vec<_> = self.known.difference(named).copied().collect();
-        gone.into_iter().for_each(|server| self.told(now, server, Standing::Gone));
+        gone.into_iter().for_each(|server| self.told(now, server, ServerState::Gone));
     }
 
     /// Who has been gone for longer than any set-up can have been out is no longer known.
--- a/crates/session/src/front.rs
+++ b/crates/session/src/front.rs
@@ -5,7 +5,10 @@
     Answer, Birth, Breach, Cause, Decides, Effects, Fence, Happened, Over, RequestId, SessionId, Timer,
     TuneIn,
 };
-use ivyward::front::{Cells, Ending, Extent, Listed, Load, News, PackageId, ServerId, TitleId, ViewingId};
+use ivyward::interface::{
+    Cells, ListScope, LoadReport, PackageId, ServerEntry, ServerId, ServerUpdate, TitleId, TuneInOutcome,
+    ViewingId,
+};
 use ivyward_edge::{Line, Shown};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -68,17 +71,17 @@
         self.module.start(&mut Hand { book: &mut self.book, out }, now);
     }
 
-    pub fn listed(&mut self, now: Duration, list: &[Listed], extent: Extent) {
-        if extent != Extent::Changes {
+    pub fn listed(&mut self, now: Duration, list: &[ServerEntry], scope: ListScope) {
+        if scope != ListScope::Changes {
             let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
             self.book.fence.told_whole(now, &named);
         }
-        list.iter().for_each(|listed| self.book.fence.told(now, listed.server, listed.standing));
+        list.iter().for_each(|listed| self.book.fence.told(now, listed.server, listed.state));
         // Guards against a fleet whose machines come back under new ids.
         let longest = self.terms.iter().map(|(patience, _)| *patience).max().unwrap_or_default();
         self.book.fence.forget_gone(now, longest + self.slack);
         self.heard.retain(|server| self.book.fence.knows(*server));
-        self.module.listed(now, list, extent);
+        self.module.on_server_list(now, list, scope);
     }
 
     /// A viewer asks for a manifest. `shown`: what its token is; `valid`: when that ends.
@@ -162,7 +165,7 @@
         self.book.ration.iter_mut().for_each(|ration| ration.taken(now));
         out.wake((ends + self.slack).saturating_sub(now), Timer::Answer(vw));
         let hand = &mut Hand { book: &mut self.book, out };
-        self.module.asked(hand, now, vw, package, title, cells, top, ends);
+        self.module.on_request(hand, now, vw, package, title, cells, top, ends);
         self.settle(out, now);
     }
 
@@ -257,7 +260,7 @@
         self.book.sessions.insert(session, vw);
         self.book.fence.holds(package.0, title, true);
         self.idle.into_iter().for_each(|idle| out.wake(idle, Timer::Seen(vw)));
-        self.module.playing(now, vw, server, package, title, (rung, top));
+        self.module.restore_viewing(now, vw, server, package, title, (rung, top));
     }
 
     /// A session's tokens are taken no more: what it has ends now.
@@ -310,7 +313,7 @@
     /// Nobody waits for a viewing's answer any more.
     fn leaves(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId) {
         let deciding = self.book.viewings.get(&vw).is_some_and(|viewing| viewing.step == Step::Deciding);
-        self.module.left(&mut Hand { book: &mut self.book, out }, vw);
+        self.module.on_viewer_left(&mut Hand { book: &mut self.book, out }, vw);
         if deciding {
             self.book.forget(vw);
         }
@@ -327,7 +330,7 @@
         let further = self.book.ration.as_mut().filter(|_| tune_in.0 > 0);
         // Guards against a drain or an end heard since the decision, and against tune-ins that slow connections bunch.
         if self.book.fence.ending(server) || further.is_some_and(|ration| !ration.allows(now)) {
-            self.happened(out, now, vw, tune_in, Happened::NotWritten, Load::default());
+            self.happened(out, now, vw, tune_in, Happened::NotWritten, LoadReport::default());
             return false;
         }
         viewing.step = Step::Out { server, tune_in, written: true };
@@ -355,35 +358,40 @@
             false => Answer::Blocked { come_back, why: Cause::Alone },
         };
         self.book.answer(out, vw, answer);
-        self.ended(out, now, Ended { vw, tune_in, server, ending: Ending::Unsent }, Load::default());
+        self.ended(
+            out,
+            now,
+            Ended { vw, tune_in, server, outcome: TuneInOutcome::NotSent },
+            LoadReport::default(),
+        );
         self.settle(out, now);
     }
 
     /// What became of a set-up.
     pub fn happened(
         &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, what: Happened,
-        load: Load,
+        load: LoadReport,
     ) {
-        let ending = match what {
+        let outcome = match what {
             Happened::Plays => return self.plays(out, now, vw, tune_in, load),
-            Happened::NotConnected => Ending::Unreachable,
-            Happened::NotWritten => Ending::Unsent,
-            Happened::Refused => Ending::TurnedAway,
-            Happened::Errored => Ending::Errored,
-            Happened::Broke => Ending::Broken,
+            Happened::NotConnected => TuneInOutcome::Unreachable,
+            Happened::NotWritten => TuneInOutcome::NotSent,
+            Happened::Refused => TuneInOutcome::Refused,
+            Happened::Errored => TuneInOutcome::Failed,
+            Happened::Broke => TuneInOutcome::ConnectionBroken,
         };
         let Some((server, _)) = self.book.take_out(vw, tune_in) else { return };
-        if let Some(viewing) = self.book.viewings.get_mut(&vw).filter(|_| ending.never_ran()) {
+        if let Some(viewing) = self.book.viewings.get_mut(&vw).filter(|_| outcome.never_ran()) {
             viewing.ran = false;
         }
-        if ending == Ending::Unreachable {
+        if outcome == TuneInOutcome::Unreachable {
             self.reached_nobody(now, tune_in);
         }
         // What may have run there is not left to its lease.
-        if !ending.never_ran() {
+        if !outcome.never_ran() {
             out.release(server, self.book.birth, vw, tune_in);
         }
-        self.ended(out, now, Ended { vw, tune_in, server, ending }, load);
+        self.ended(out, now, Ended { vw, tune_in, server, outcome }, load);
         self.settle(out, now);
     }
 
@@ -391,7 +399,9 @@
         self.book.ration.iter_mut().filter(|_| tune_in.0 > 0).for_each(|ration| ration.reached_nobody(now));
     }
 
-    fn plays(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, load: Load) {
+    fn plays(
+        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, load: LoadReport,
+    ) {
         let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
         let Step::Out { server, tune_in: current, .. } = viewing.step else { return };
         if current != tune_in {
@@ -401,8 +411,8 @@
         viewing.step = Step::Plays { server, birth, tune_in };
         let (rung, answered) = (viewing.rung, viewing.answered);
         self.book.fence.ended(viewing.session, vw);
-        self.module.reported(now, server, load);
-        self.module.plays(now, vw, server);
+        self.module.on_load_report(now, server, load);
+        self.module.on_playing(now, vw, server);
         if answered {
             // The viewer left while it was set up.
             out.release(server, birth, vw, tune_in);
@@ -422,15 +432,15 @@
             return;
         }
         self.book.forget(vw);
-        let ending = match why {
-            Over::Ended => Ending::Served,
-            Over::Left => Ending::CalledOff,
-            Over::Lost => Ending::Broken,
+        let outcome = match why {
+            Over::Ended => TuneInOutcome::Completed,
+            Over::Left => TuneInOutcome::Cancelled,
+            Over::Lost => TuneInOutcome::ConnectionBroken,
         };
         let hand = &mut Hand { book: &mut self.book, out };
         // The module counts the tune-ins of its own start only; what it found playing is its first.
         let n = if birth == hand.book.birth { tune_in.0 } else { 0 };
-        self.module.ended(hand, now, vw, n, server, ending, true, Load::default());
+        self.module.on_tune_in_ended(hand, now, vw, n, server, outcome, true, LoadReport::default());
         self.settle(out, now);
     }
 
@@ -478,41 +488,43 @@
 
     /// What the module holds of a server.
     pub fn believed(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
-        self.module.believed(server)
+        self.module.server_estimate(server)
     }
 
     /// A load report that came with neither an ending nor a probe.
-    pub fn reported(&mut self, now: Duration, server: ServerId, load: Load) {
-        self.module.reported(now, server, load);
+    pub fn reported(&mut self, now: Duration, server: ServerId, load: LoadReport) {
+        self.module.on_load_report(now, server, load);
     }
 
-    pub fn news(&mut self, now: Duration, server: ServerId, vw: ViewingId, news: News) {
-        self.module.news(now, vw, server, news);
+    pub fn news(&mut self, now: Duration, server: ServerId, vw: ViewingId, news: ServerUpdate) {
+        self.module.on_server_update(now, vw, server, news);
     }
 
     /// What a probe brought; none for no answer.
-    pub fn probed(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId, load: Option<Load>) {
-        self.module.probed(&mut Hand { book: &mut self.book, out }, now, server, load);
+    pub fn probed(
+        &mut self, out: &mut dyn Effects, now: Duration, server: ServerId, load: Option<LoadReport>,
+    ) {
+        self.module.on_probe_result(&mut Hand { book: &mut self.book, out }, now, server, load);
         self.settle(out, now);
     }
 
     pub fn woken(&mut self, out: &mut dyn Effects, now: Duration, timer: Timer) {
         match timer {
             Timer::Module(token) => {
-                self.module.woken(&mut Hand { book: &mut self.book, out }, now, token);
+                self.module.on_timer(&mut Hand { book: &mut self.book, out }, now, token);
                 self.settle(out, now);
             }
             Timer::Limit(vw, tune_in) => {
                 let Some((server, written)) = self.book.take_out(vw, tune_in) else { return };
                 out.drop_set_up(vw, tune_in);
                 // Without a byte written it can't have run.
-                let ending = if written { Ending::Unanswered } else { Ending::Unreachable };
+                let outcome = if written { TuneInOutcome::TimedOut } else { TuneInOutcome::Unreachable };
                 if written {
                     out.release(server, self.book.birth, vw, tune_in);
                 } else {
                     self.reached_nobody(now, tune_in);
                 }
-                self.ended(out, now, Ended { vw, tune_in, server, ending }, Load::default());
+                self.ended(out, now, Ended { vw, tune_in, server, outcome }, LoadReport::default());
                 self.settle(out, now);
             }
             Timer::Seen(vw) => {
@@ -557,7 +569,7 @@
                 if written {
                     out.release(server, self.book.birth, vw, tune_in);
                 }
-                self.book.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
+                self.book.ended.push_back(Ended { vw, tune_in, server, outcome: TuneInOutcome::Cancelled });
             }
             let why = Cause::Ends;
             let answer = if ran { Answer::Aborted { why } } else { Answer::Blocked { come_back: None, why } };
@@ -567,11 +579,11 @@
     }
 
     /// Tells the module of an ending, and forgets the viewing where nothing follows.
-    fn ended(&mut self, out: &mut dyn Effects, now: Duration, ended: Ended, load: Load) {
-        let Ended { vw, tune_in, server, ending } = ended;
+    fn ended(&mut self, out: &mut dyn Effects, now: Duration, ended: Ended, load: LoadReport) {
+        let Ended { vw, tune_in, server, outcome } = ended;
         let answered = self.book.viewings.get(&vw).is_none_or(|viewing| viewing.answered);
         let hand = &mut Hand { book: &mut self.book, out };
-        self.module.ended(hand, now, vw, tune_in.0, server, ending, answered, load);
+        self.module.on_tune_in_ended(hand, now, vw, tune_in.0, server, outcome, answered, load);
         if answered && self.book.viewings.get(&vw).is_some_and(|viewing| viewing.step == Step::Deciding) {
             self.book.forget(vw);
         }
@@ -579,7 +591,7 @@
 
     fn settle(&mut self, out: &mut dyn Effects, now: Duration) {
         while let Some(ended) = self.book.ended.pop_front() {
-            self.ended(out, now, ended, Load::default());
+            self.ended(out, now, ended, LoadReport::default());
         }
     }
 
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -11,7 +11,7 @@
 pub use fence::{Breach, Fence};
 pub use front::Front;
 
-use ivyward::front::{PackageId, ServerId, TitleId, ViewingId, Why};
+use ivyward::interface::{PackageId, RefusalReason, ServerId, TitleId, ViewingId};
 use std::time::Duration;
 
 /// A viewer's session, as its token names it; stays over refreshes and resends.
@@ -60,7 +60,7 @@
 /// Why a request is blocked or aborted: what the module says, or what the core knows before that is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    Decided(Why),
+    Decided(RefusalReason),
     /// Paid, and it may have run before.
     Spent,
     /// Given up while a server may still be setting it up.
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -3,7 +3,9 @@
 mod world;
 
 use crate::{Answer, Breach, Cause, Happened, Over, Timer, TuneIn};
-use ivyward::front::{Extent, KindId, Listed, Load, ServerId, Standing, ViewingId, Why, ZoneId};
+use ivyward::interface::{
+    KindId, ListScope, LoadReport, RefusalReason, ServerEntry, ServerId, ServerState, ViewingId, ZoneId,
+};
 use ivyward_edge::Shown;
 use world::{BIRTH, Did, EARLIER, World, ms, server, session};
 
@@ -48,7 +50,7 @@
             if !again {
                 assert_eq!(
                     answers(&world),
-                    [&Answer::Aborted { why: Cause::Decided(Why::Ran) }],
+                    [&Answer::Aborted { why: Cause::Decided(RefusalReason::MayHaveRun) }],
                     "{what:?} of package {package}"
                 );
                 assert!(world.front.is_empty());
@@ -146,19 +148,20 @@
         world.fires(Timer::Limit(vw, n));
         assert_eq!(world.released(vw, n), written);
         assert!(!world.sending(vw, n), "a set-up given up on is not written any more");
-        let aborted = answers(&world).contains(&&Answer::Aborted { why: Cause::Decided(Why::Ran) });
+        let aborted =
+            answers(&world).contains(&&Answer::Aborted { why: Cause::Decided(RefusalReason::MayHaveRun) });
         assert_eq!(aborted, written, "{:?}", world.did);
     }
 }
 
 #[test]
 fn a_drain_heard_after_the_decision_stops_the_set_up() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for state in [ServerState::Draining, ServerState::Gone] {
         let mut world = World::new();
         world.asks(1, session(1), PAID);
         let (vw, n) = out(&world);
         let at = world.server_of(vw, n);
-        world.lists(&[(at, standing)]);
+        world.lists(&[(at, state)]);
         assert!(!world.sending(vw, n));
         let (again, next) = out(&world);
         assert_eq!((again, next), (vw, TuneIn(1)), "nothing was written, so even a paid one goes elsewhere");
@@ -304,11 +307,11 @@
             world.happens(vw, n, Happened::Plays);
         }
     }
-    let seats = Answer::Blocked { come_back: None, why: Cause::Decided(Why::Seats) };
+    let seats = Answer::Blocked { come_back: None, why: Cause::Decided(RefusalReason::SeatsTaken) };
     assert_eq!(answers(&world).last(), Some(&&seats));
     // The fence alone, handed what must not be.
     let mut fence = world::fence();
-    let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::front::TitleId(0)));
+    let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::interface::TitleId(0)));
     let send = |fence: &mut crate::Fence, at, vw, again, ran| {
         fence.sending(ms(at), session(1), vw, server(1), about, (again, ran))
     };
@@ -317,12 +320,12 @@
     fence.ended(session(1), two);
     assert_eq!(send(&mut fence, 2, one, false, true), [Breach::PaidTwice]);
     fence.ended(session(1), one);
-    fence.told(ms(10), server(1), Standing::Draining);
+    fence.told(ms(10), server(1), ServerState::Draining);
     assert_eq!(send(&mut fence, 260, one, false, false), []);
     fence.ended(session(1), one);
     assert_eq!(send(&mut fence, 261, one, false, false), [Breach::AfterDrain]);
     fence.ended(session(1), one);
-    fence.told(ms(300), server(1), Standing::Ready);
+    fence.told(ms(300), server(1), ServerState::Ready);
     (0..3).for_each(|_| fence.holds(about.0, about.1, true));
     assert_eq!(send(&mut fence, 301, one, false, false), [Breach::Seats]);
     fence.holds(about.0, about.1, false);
@@ -382,7 +385,7 @@
         world.asks(1, session(1), PLAIN);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.happens_with(vw, n, Happened::Refused, Load { link: Some(full), uplink: Some(full) });
+        world.happens_with(vw, n, Happened::Refused, LoadReport { link: Some(full), uplink: Some(full) });
         world.runs(ms(20_000));
         assert_eq!(answers(&world).len(), 1, "{full}");
     }
@@ -492,8 +495,8 @@
     for turn in 0..40_u8 {
         // Four servers under new ids, and those of the turn before are gone; one paid viewing plays to its end.
         let at = |turn: u8, i: u8| ServerId([127, 9, turn, i, 0, 80]);
-        let ready = (0..4).map(|i| (at(turn, i), Standing::Ready));
-        let gone = (0..4).filter(|_| turn > 0).map(|i| (at(turn - 1, i), Standing::Gone));
+        let ready = (0..4).map(|i| (at(turn, i), ServerState::Ready));
+        let gone = (0..4).filter(|_| turn > 0).map(|i| (at(turn - 1, i), ServerState::Gone));
         world.lists(&ready.chain(gone).collect::<Vec<_>>());
         (0..4).for_each(|i| world.hears(at(turn, i)));
         world.asks(u64::from(turn), session(u128::from(turn)), PAID);
@@ -519,23 +522,24 @@
 }
 
 /// Rows of one turn, and how much of the list they are.
-type Told = (Vec<Listed>, Extent);
+type Told = (Vec<ServerEntry>, ListScope);
 
 /// Lines about one server, in the order in which they come, and whether each is one of a whole list.
 fn changes(at: ServerId, now: std::time::Duration) -> Vec<(&'static str, Vec<Told>)> {
-    use Standing::{Draining, Gone, Ready};
-    let line = |standing| World::row(at, standing);
-    let new = |standing| Listed { born: Some(now), ..line(standing) };
-    let all = |but: bool| -> Vec<Listed> {
+    use ServerState::{Draining, Gone, Ready};
+    let line = |state| World::row(at, state);
+    let new = |state| ServerEntry { started_at: Some(now), ..line(state) };
+    let all = |but: bool| -> Vec<ServerEntry> {
         (0..6)
             .map(server)
             .filter(|other| !but || *other != at)
             .map(|other| World::row(other, Ready))
             .collect()
     };
-    let some = |rows: &[Listed]| (rows.to_vec(), Extent::Changes);
-    let whole = |rows: Vec<Listed>| (rows, Extent::Whole);
-    let odd = Listed { kind: KindId(99), zone: ZoneId(9), weight: 1e-9, cell: 4_000_000_000, ..line(Ready) };
+    let some = |rows: &[ServerEntry]| (rows.to_vec(), ListScope::Changes);
+    let whole = |rows: Vec<ServerEntry>| (rows, ListScope::Full);
+    let odd =
+        ServerEntry { kind: KindId(99), zone: ZoneId(9), weight: 1e-9, cell: 4_000_000_000, ..line(Ready) };
     vec![
         ("nothing", vec![]),
         ("drains", vec![some(&[line(Draining)])]),
@@ -547,7 +551,7 @@
         ("another start, first told as it drains", vec![some(&[new(Draining)]), some(&[new(Ready)])]),
         ("another start, first told as gone", vec![some(&[new(Gone)]), some(&[new(Ready)])]),
         ("a start known, then not", vec![some(&[new(Ready)]), some(&[line(Ready)])]),
-        ("at another cell", vec![some(&[Listed { cell: 5, ..line(Ready) }])]),
+        ("at another cell", vec![some(&[ServerEntry { cell: 5, ..line(Ready) }])]),
         ("of no kind, zone or cell that there is", vec![some(&[odd])]),
         ("an empty list", vec![whole(vec![])]),
         ("an empty list, then the whole", vec![whole(vec![]), whole(all(false))]),
@@ -596,15 +600,15 @@
             let (name, lines) = changes(at, world.now()).swap_remove(i);
             let told = format!("{stage:?}, package {package}: {name}");
             let mut ends = false;
-            for (rows, extent) in lines {
+            for (rows, scope) in lines {
                 let line = rows.iter().rev().find(|row| row.server == at);
-                let unnamed = extent == Extent::Whole && line.is_none();
-                ends = unnamed || line.map_or(ends, |row| row.standing != Standing::Ready);
-                world.lists_as(&rows, extent);
+                let unnamed = scope == ListScope::Full && line.is_none();
+                ends = unnamed || line.map_or(ends, |row| row.state != ServerState::Ready);
+                world.lists_as(&rows, scope);
                 world.runs(ms(20));
             }
             // All that is out comes to its end, late.
-            probes.into_iter().for_each(|at| world.probed(at, Some(Load::default())));
+            probes.into_iter().for_each(|at| world.probed(at, Some(LoadReport::default())));
             if stage == Stage::Word {
                 world.hears(at);
             }
@@ -637,11 +641,11 @@
         world.asks(1, session(1), PAID);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        let rows: Vec<_> = (0..6).map(|i| (server(i), Standing::Gone)).collect();
+        let rows: Vec<_> = (0..6).map(|i| (server(i), ServerState::Gone)).collect();
         world.lists(&rows);
         world.runs(ms(at));
         if back {
-            world.lists(&[(server(3), Standing::Ready)]);
+            world.lists(&[(server(3), ServerState::Ready)]);
         }
         world.happens(vw, n, Happened::Refused);
         let again = world.set_ups().len() == 2;
--- a/crates/session/src/tests/world.rs
+++ b/crates/session/src/tests/world.rs
@@ -3,9 +3,9 @@
 use crate::{
     Answer, Birth, Breach, Effects, Fence, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
 };
-use ivyward::front::*;
+use ivyward::interface::*;
 use ivyward::policy::Manager;
-use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices, Ration};
+use ivyward::state::{Ladder, Limits, Network, Package, Prices, RetryBudget, SlowStart};
 use ivyward_edge::Shown;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -107,8 +107,15 @@
     }
 
     fn of(probe: bool, sessions: Option<(Duration, Duration)>) -> World {
-        let package =
-            |once, seats| Package { value: 1.0, target: ms(1000), once, scale: 1.0, floor: 0, top: 1, seats };
+        let package = |once, seats| Package {
+            value: 1.0,
+            target: ms(1000),
+            paid_once: once,
+            scale: 1.0,
+            floor: 0,
+            top: 1,
+            seats,
+        };
         let module = Manager::new(
             (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
             Ladder { rates: vec![100.0, 200.0], worths: vec![0.5, 1.0], switch: 0.5 },
@@ -118,12 +125,12 @@
                 links_kb: 600_000.0,
                 weight_kb: 100_000.0,
                 uplink_kb: 300_000.0,
-                told: ms(3000),
-                seen: ms(1000),
+                configured_report_interval: ms(3000),
+                report_delay: ms(1000),
             },
-            Pace::new(1, &[1000.0], ms(100), 1.0, 100.0, ms(100)),
+            SlowStart::new(1, &[1000.0], ms(100), 1.0, 100.0, ms(100)),
             Limits { tune_ins: 3, call_off: true, probe: probe.then_some(0.0), come_back: Some(ms(2000)) },
-            Some(Ration::new(ms(5000), 1000.0, 1.0)),
+            Some(RetryBudget::new(ms(5000), 1000.0, 1.0)),
             vec![package(false, 0), package(true, 0), package(false, 2)],
         );
         let fence = fence();
@@ -132,7 +139,7 @@
         let front = Front::new(Box::new(module), fence, terms, spans, Some(RATION), BIRTH);
         let mut world = World { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
         world.turn(|front, effects, now| front.start(effects, now));
-        let all: Vec<_> = (0..6).map(|i| (server(i), Standing::Ready)).collect();
+        let all: Vec<_> = (0..6).map(|i| (server(i), ServerState::Ready)).collect();
         world.lists(&all);
         // Warm by now.
         world.runs(ms(500));
@@ -245,10 +252,10 @@
     }
 
     pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: Happened) {
-        self.happens_with(vw, n, what, Load::default());
+        self.happens_with(vw, n, what, LoadReport::default());
     }
 
-    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: Happened, load: Load) {
+    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: Happened, load: LoadReport) {
         self.turn(|front, effects, now| front.happened(effects, now, vw, n, what, load));
     }
 
@@ -272,18 +279,18 @@
     }
 
     /// A line of the list as it usually is.
-    pub fn row(server: ServerId, standing: Standing) -> Listed {
+    pub fn row(server: ServerId, state: ServerState) -> ServerEntry {
         let (weight, zone, kind, cell) = (1.0, ZoneId(0), KindId(0), u32::from(server.0[3]));
-        Listed { server, standing, born: None, weight, zone, kind, cell }
+        ServerEntry { server, state, started_at: None, weight, zone, kind, cell }
     }
 
-    pub fn lists(&mut self, rows: &[(ServerId, Standing)]) {
-        let rows: Vec<_> = rows.iter().map(|(server, standing)| World::row(*server, *standing)).collect();
-        self.lists_as(&rows, Extent::Changes);
+    pub fn lists(&mut self, rows: &[(ServerId, ServerState)]) {
+        let rows: Vec<_> = rows.iter().map(|(server, state)| World::row(*server, *state)).collect();
+        self.lists_as(&rows, ListScope::Changes);
     }
 
-    pub fn lists_as(&mut self, rows: &[Listed], extent: Extent) {
-        self.turn(|front, _, now| front.listed(now, rows, extent));
+    pub fn lists_as(&mut self, rows: &[ServerEntry], scope: ListScope) {
+        self.turn(|front, _, now| front.listed(now, rows, scope));
     }
 
     pub fn now(&self) -> Duration {
@@ -291,7 +298,7 @@
     }
 
     /// A probe of a server is answered.
-    pub fn probed(&mut self, at: ServerId, load: Option<Load>) {
+    pub fn probed(&mut self, at: ServerId, load: Option<LoadReport>) {
         self.turn(|front, effects, now| front.probed(effects, now, at, load));
     }
 
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,7 +1,7 @@
 //! The instances of one process, and the calls that each event record becomes.
 
 use crate::frame::{self, Frame, Record, Reply};
-use ivyward::front::*;
+use ivyward::interface::*;
 use ivyward::policy::Manager;
 use ivyward_options as options;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: [Vec<Listed>; LISTS],
+    lists: [Vec<ServerEntry>; LISTS],
 }
 
 /// The actions of one instance, written into the reply.
@@ -36,13 +36,13 @@
     fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
         self.reply.push(self.who, 1, &[&vw.0.to_le_bytes(), &micros(limit), &server.0]);
     }
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, _: Why) {
+    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, _: RefusalReason) {
         self.reply.push(self.who, 2, &[&vw.0.to_le_bytes(), &micros(come_back.unwrap_or_default())]);
     }
-    fn abort(&mut self, vw: ViewingId, _: Why) {
+    fn abort(&mut self, vw: ViewingId, _: RefusalReason) {
         self.reply.push(self.who, 3, &[&vw.0.to_le_bytes()]);
     }
-    fn call_off(&mut self, vw: ViewingId, tune_in: u16) {
+    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
         self.reply.push(self.who, 4, &[&vw.0.to_le_bytes(), &tune_in.to_le_bytes()]);
     }
     fn set_rung(&mut self, vw: ViewingId, rung: usize) {
@@ -51,27 +51,27 @@
     fn probe(&mut self, server: ServerId) {
         self.reply.push(self.who, 6, &[&server.0]);
     }
-    fn wake(&mut self, after: Duration, token: u64) {
+    fn set_timer(&mut self, after: Duration, token: u64) {
         self.reply.push(self.who, 5, &[&micros(after), &token.to_le_bytes()]);
     }
 }
 
-fn ending(code: u16) -> Result<Ending, String> {
+fn outcome(code: u16) -> Result<TuneInOutcome, String> {
     Ok(match code {
-        0 => Ending::Served,
-        1 => Ending::CalledOff,
-        4 => Ending::Unanswered,
-        8 => Ending::TurnedAway,
-        9 => Ending::Unsent,
-        10 => Ending::Broken,
-        13 => Ending::Errored,
-        14 => Ending::Unreachable,
+        0 => TuneInOutcome::Completed,
+        1 => TuneInOutcome::Cancelled,
+        4 => TuneInOutcome::TimedOut,
+        8 => TuneInOutcome::Refused,
+        9 => TuneInOutcome::NotSent,
+        10 => TuneInOutcome::ConnectionBroken,
+        13 => TuneInOutcome::Failed,
+        14 => TuneInOutcome::Unreachable,
         other => return Err(format!("reason: unknown code {other}")),
     })
 }
 
-fn load(record: &Record, at: usize, report: &[options::Gauge]) -> Result<Load, String> {
-    let mut load = Load::default();
+fn load(record: &Record, at: usize, report: &[options::Gauge]) -> Result<LoadReport, String> {
+    let mut load = LoadReport::default();
     let values = usize::from(record.u8(at, "gauge")?);
     if values > 4 {
         return Err(format!("gauge: {values} values at byte {at}"));
@@ -87,18 +87,18 @@
     Ok(load)
 }
 
-fn listed(row: &[u8]) -> Result<Listed, String> {
+fn listed(row: &[u8]) -> Result<ServerEntry, String> {
     let [zone, state, kind] = frame::bytes(row, 12, "zone")?;
-    let born = u64::from_le_bytes(frame::bytes(row, 4, "born-us")?);
-    Ok(Listed {
+    let started_at = u64::from_le_bytes(frame::bytes(row, 4, "born-us")?);
+    Ok(ServerEntry {
         server: ServerId(frame::bytes(row, 15, "server")?),
-        standing: match state {
-            0 => Standing::Gone,
-            1 => Standing::Ready,
-            2 => Standing::Draining,
+        state: match state {
+            0 => ServerState::Gone,
+            1 => ServerState::Ready,
+            2 => ServerState::Draining,
             other => return Err(format!("lifecycle: unknown code {other}")),
         },
-        born: (born > 0).then(|| Duration::from_micros(born)),
+        started_at: (started_at > 0).then(|| Duration::from_micros(started_at)),
         weight: f64::from(f32::from_le_bytes(frame::bytes(row, 0, "rating")?)),
         zone: ZoneId(zone),
         kind: KindId(usize::from(kind)),
@@ -162,7 +162,7 @@
         let span = |at, field| r.u64(at, field).map(Duration::from_micros);
         let count = |at, field| r.f32(at, field).map(|x| x as u32);
         match code {
-            1 => manager.playing(
+            1 => manager.restore_viewing(
                 now,
                 vw("req")?,
                 ServerId(r.server(17, "server")?),
@@ -174,12 +174,12 @@
             2 => {
                 let load = load(r, 14, report)?;
                 let answered = r.u16(8, "reason")? == 0;
-                manager.probed(act, now, ServerId(r.server(2, "server")?), answered.then_some(load));
+                manager.on_probe_result(act, now, ServerId(r.server(2, "server")?), answered.then_some(load));
             }
             4 => {
                 r.tail(6, 1, "payload")?;
             }
-            5 => manager.asked(
+            5 => manager.on_request(
                 act,
                 now,
                 vw("req")?,
@@ -191,39 +191,39 @@
             ),
             6 => {
                 let number = r.u32(11, "ref")? as usize;
-                let extent = match r.u8(2, "kind")? {
-                    0 => Extent::Changes,
-                    1 => Extent::Whole,
-                    2 => Extent::Remembered,
+                let scope = match r.u8(2, "kind")? {
+                    0 => ListScope::Changes,
+                    1 => ListScope::Full,
+                    2 => ListScope::Restored,
                     3 => return Ok(()),
                     other => return Err(format!("kind: unknown code {other}")),
                 };
                 let list = self.lists.get(number).ok_or_else(|| format!("ref: no list {number}"))?;
-                manager.listed(now, list, extent);
+                manager.on_server_list(now, list, scope);
             }
-            7 => manager.ended(
+            7 => manager.on_tune_in_ended(
                 act,
                 now,
                 vw("req")?,
                 r.u16(6, "n")?,
                 ServerId(r.server(8, "server")?),
-                ending(r.u16(14, "reason")?)?,
+                outcome(r.u16(14, "reason")?)?,
                 r.u8(20, "terminal")? != 0,
                 load(r, 21, report)?,
             ),
-            10 => manager.left(act, vw("req")?),
-            11 => manager.plays(now, vw("req")?, ServerId(r.server(6, "server")?)),
-            12 => manager.woken(act, now, r.u64(2, "cookie")?),
+            10 => manager.on_viewer_left(act, vw("req")?),
+            11 => manager.on_playing(now, vw("req")?, ServerId(r.server(6, "server")?)),
+            12 => manager.on_timer(act, now, r.u64(2, "cookie")?),
             14 => {
                 let x = r.f32(15, "x")?;
                 let news = match r.u8(14, "what")? {
-                    1 => News::Share(x),
-                    2 => News::Rung(x as usize),
-                    3 => News::Link(x),
-                    4 => News::Uplink(x),
+                    1 => ServerUpdate::Share(x),
+                    2 => ServerUpdate::Rung(x as usize),
+                    3 => ServerUpdate::Link(x),
+                    4 => ServerUpdate::Uplink(x),
                     _ => return Ok(()),
                 };
-                manager.news(now, vw("req")?, ServerId(r.server(8, "server")?), news);
+                manager.on_server_update(now, vw("req")?, ServerId(r.server(8, "server")?), news);
             }
             other => return Err(format!("code: unknown event {other}")),
         }
--- a/src/front.rs
+++ b/src/interface.rs
@@ -21,39 +21,39 @@
 
 /// How a tune-in, or the viewing that came of it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum TuneInOutcome {
     /// It played to its end.
-    Served,
+    Completed,
     /// The server turned it away unseen: its link or its places are full, or it drains.
-    TurnedAway,
+    Refused,
     /// No connection came about, so it never ran.
     Unreachable,
     /// It was not sent at all.
-    Unsent,
+    NotSent,
     /// The server answered with an error; it may have run.
-    Errored,
+    Failed,
     /// No answer in time; it may have run.
-    Unanswered,
+    TimedOut,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionBroken,
     /// Called off or moved by us, or the viewer left; it may have run.
-    CalledOff,
+    Cancelled,
 }
 
-impl Ending {
+impl TuneInOutcome {
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::TurnedAway | Ending::Unreachable | Ending::Unsent)
+        matches!(self, TuneInOutcome::Refused | TuneInOutcome::Unreachable | TuneInOutcome::NotSent)
     }
 
     /// Whether it may go on running at its server until the release of it is processed there.
     pub fn may_still_run(self) -> bool {
-        matches!(self, Ending::Unanswered | Ending::Broken)
+        matches!(self, TuneInOutcome::TimedOut | TuneInOutcome::ConnectionBroken)
     }
 }
 
 /// News of a server, heard on one of its viewings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum ServerUpdate {
     /// The share of their rates that viewings there got a while ago.
     Share(f64),
     /// The rung in force.
@@ -66,7 +66,7 @@
 
 /// A server's load report, as far as it came.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     pub link: Option<f64>,
     pub uplink: Option<f64>,
 }
@@ -79,7 +79,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     Ready,
     Draining,
     Gone,
@@ -87,11 +87,11 @@
 
 /// One line of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     pub server: ServerId,
-    pub standing: Standing,
+    pub state: ServerState,
     /// When it last started; none: long ago.
-    pub born: Option<Duration>,
+    pub started_at: Option<Duration>,
     pub weight: f64,
     pub zone: ZoneId,
     pub kind: KindId,
@@ -100,32 +100,32 @@
 
 /// How much of the list an update carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum ListScope {
     Changes,
-    Whole,
+    Full,
     /// The whole list as last held before a restart; it may be stale.
-    Remembered,
+    Restored,
 }
 
 /// Why a viewing is blocked or aborted. Nothing goes by it: it lets counts tell afterwards what happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum RefusalReason {
     /// Its package is none of ours.
-    Unknown,
+    UnknownPackage,
     /// All seats of its package and title are taken.
-    Seats,
+    SeatsTaken,
     /// The viewer's patience is over.
-    Patience,
+    PatienceOver,
     /// All tune-ins that it may have were made, or the ration leaves no further one.
-    TuneIns,
-    Ration,
+    TuneInsUsedUp,
+    RetryBudgetExhausted,
     /// No holder of the title is ready.
-    NoHolder,
+    NoReadyHolder,
     /// Holders that have just started take nothing yet, or none has tokens.
-    Cold,
-    Tokens,
+    HoldersCold,
+    RateLimited,
     /// Paid, and an earlier tune-in may have run.
-    Ran,
+    MayHaveRun,
     /// Earlier attempts of it may still run at all holders that are ready.
     MayStillRun,
 }
@@ -134,12 +134,12 @@
 pub trait Actions {
     fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration);
     /// Final answer: the viewing is turned down; the viewer may come back after the span given.
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: Why);
+    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, reason: RefusalReason);
     /// Final answer: the viewing failed, nothing is promised about what ran.
-    fn abort(&mut self, vw: ViewingId, why: Why);
-    fn call_off(&mut self, vw: ViewingId, tune_in: u16);
+    fn abort(&mut self, vw: ViewingId, reason: RefusalReason);
+    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16);
     fn set_rung(&mut self, vw: ViewingId, rung: usize);
     /// Asks a server for its load; `probed` tells what came of it.
     fn probe(&mut self, server: ServerId);
-    fn wake(&mut self, after: Duration, token: u64);
+    fn set_timer(&mut self, after: Duration, token: u64);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! ivyward: admission and quality control for media sessions. The decisions are in `policy`,
-//! what they are called with and what they may do is in `front`.
+//! what they are called with and what they may do is in `interface`.
 
-pub mod front;
+pub mod interface;
 pub mod policy;
 pub mod state;
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,6 @@
 //! All decisions of a session manager. The caller makes a `Manager` of its parts, each with its own few
 //! settings, calls `start`, and hands it every input by the methods under "Inputs"; it acts through
-//! `front::Actions`. Ids, inputs and actions are in `front.rs`, what is merely held in `state.rs`.
+//! `interface::Actions`. Ids, inputs and actions are in `interface.rs`, what is merely held in `state.rs`.
 //!
 //! The ordinary path is the design page's: interval readings of delivered share and asking per server,
 //! the two-sided alarm, a bucket per server steered by a scoreboard, two-choice placement.
@@ -8,11 +8,11 @@
 //!  1. rungs by one price over a rack (`ideal`, `replan`);
 //!  2. the account of links and uplinks (`Link`, `View`);
 //!  3. server health by symptom (`Health`);
-//!  4. tune-ins: their limits, the ration, what may follow an ending (`tune_in`, `after`, `Ration`);
-//!  5. the pace to cold servers (`Pace`);
-//!  6. probes of holders that nothing is known of (`choose`, `probed`).
+//!  4. tune-ins: their limits, the ration, what may follow an ending (`tune_in`, `after`, `RetryBudget`);
+//!  5. the pace to cold servers (`SlowStart`);
+//!  6. probes of holders that nothing is known of (`choose`, `on_probe_result`).
 
-use crate::front::*;
+use crate::interface::*;
 pub use crate::state::Manager;
 use crate::state::*;
 use std::cell::LazyCell;
@@ -106,14 +106,15 @@
 impl Network {
     /// How old news of links may be. Guards against servers that tell of them at no interval, told as
     /// zero: then what is heard counts for the design's.
-    pub(crate) fn told(&self) -> Duration {
-        if self.told.is_zero() { INTERVAL } else { self.told }
+    pub(crate) fn report_interval(&self) -> Duration {
+        if self.configured_report_interval.is_zero() { INTERVAL } else { self.configured_report_interval }
     }
 }
 
 impl View {
     fn weight(&self, at: Duration) -> f64 {
-        (-2.0 * self.now.saturating_sub(at).as_secs_f64() / self.told.as_secs_f64().max(0.2)).exp2()
+        (-2.0 * self.now.saturating_sub(at).as_secs_f64() / self.report_interval.as_secs_f64().max(0.2))
+            .exp2()
     }
 
     /// Guards against crowds that outrun the notes: others' viewings grow in number as all ours did, as far
@@ -240,7 +241,7 @@
 /// Mechanism 5: the pace of all managers to a server that has just started. Within the window it bears the
 /// multiple of its lowest pace; two roots of that and two more calls are put down to chance, and it falls at
 /// three roots and three more of mean work.
-impl Pace {
+impl SlowStart {
     /// `streams` by kind; `fall`: the window.
     pub fn new(
         siblings: u32, streams: &[f64], cold_for: Duration, from: f64, multiple: f64, fall: Duration,
@@ -270,7 +271,7 @@
             });
             (0, Duration::ZERO, (least + most) / 2.0 / window)
         };
-        Pace { paces: streams.iter().map(pace).collect(), cold_for }
+        SlowStart { paces: streams.iter().map(pace).collect(), cold_for }
     }
 
     /// Of a kind that the settings don't tell of, one in a warm-up.
@@ -280,7 +281,7 @@
 }
 
 /// Mechanism 4: the ration of further tune-ins, counted over the sliding window as the rule has it.
-impl Ration {
+impl RetryBudget {
     /// A viewing was taken. What lies before the window goes at once, whether further tune-ins come or not.
     fn took(&mut self, now: Duration) {
         self.taken.push_back(now);
@@ -295,38 +296,39 @@
 }
 
 /// What a step of a viewing leaves behind: it is handed how the step ended.
-pub(crate) type Next = Box<dyn FnOnce(&mut Manager, &mut dyn Actions, ViewingId, Ending)>;
+pub(crate) type Next = Box<dyn FnOnce(&mut Manager, &mut dyn Actions, ViewingId, TuneInOutcome)>;
 
 /// Inputs.
 impl Manager {
     pub fn start(&mut self, act: &mut dyn Actions, now: Duration) {
         self.started = now;
         self.view.now = now;
-        act.wake(INTERVAL / LOOKS, LOOK);
+        act.set_timer(INTERVAL / LOOKS, LOOK);
     }
 
-    pub fn listed(&mut self, now: Duration, list: &[Listed], extent: Extent) {
+    pub fn on_server_list(&mut self, now: Duration, list: &[ServerEntry], scope: ListScope) {
         self.view.now = now;
-        let unnamed = self.servers.values_mut().filter(|_| extent != Extent::Changes);
-        unnamed.for_each(|server| server.listed.standing = Standing::Gone);
-        for &listed in list {
+        let unnamed = self.servers.values_mut().filter(|_| scope != ListScope::Changes);
+        unnamed.for_each(|server| server.list_entry.state = ServerState::Gone);
+        for &list_entry in list {
             // Guards against a start before us that a remembered list doesn't show: all is cold at first.
-            let cold_until = listed.born.unwrap_or_default().max(self.started) + self.pace.cold_for;
-            let link = Link::new(listed.weight * self.network.weight_kb, 0);
-            let server = self.servers.entry(listed.server);
-            let server = server.or_insert_with(|| Server::new(listed, link, cold_until));
+            let cold_until =
+                list_entry.started_at.unwrap_or_default().max(self.started) + self.slow_start.cold_for;
+            let link = Link::new(list_entry.weight * self.network.weight_kb, 0);
+            let server = self.servers.entry(list_entry.server);
+            let server = server.or_insert_with(|| Server::new(list_entry, link, cold_until));
             // Guards against a start first told of while it drains or is gone, and one told without its date.
-            if listed.born > server.born {
-                (server.born, server.cold_until) = (listed.born, cold_until);
+            if list_entry.started_at > server.started_at {
+                (server.started_at, server.cold_until) = (list_entry.started_at, cold_until);
                 server.link.heard.clear();
             }
-            self.list(listed);
+            self.list(list_entry);
         }
-        self.living = self.servers.values().filter(|s| s.listed.standing != Standing::Gone).count();
+        self.living = self.servers.values().filter(|s| s.list_entry.state != ServerState::Gone).count();
     }
 
     /// A viewing that played before we started, up to that rung.
-    pub fn playing(
+    pub fn restore_viewing(
         &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
         (rung, top): (usize, usize),
     ) {
@@ -340,25 +342,25 @@
         }
     }
 
-    pub fn asked(
+    pub fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
         cells: Cells, top: usize, ends: Duration,
     ) {
         self.view.now = now;
-        self.ration.iter_mut().for_each(|r| r.took(now));
+        self.retry_budget.iter_mut().for_each(|r| r.took(now));
         let holders: Vec<_> = self.holders(cells).collect();
         for server in holders {
             self.servers.entry(server).and_modify(|s| s.warning.asked += 1.0);
         }
         match self.take(vw, package, title, cells, top) {
             Some(viewing) => viewing.ends = ends,
-            None => return act.abort(vw, Why::Unknown),
+            None => return act.abort(vw, RefusalReason::UnknownPackage),
         }
-        act.wake(ends.saturating_sub(now), PATIENCE | u64::from(vw.0));
+        act.set_timer(ends.saturating_sub(now), PATIENCE | u64::from(vw.0));
         self.tune_in(act, vw, true);
     }
 
-    pub fn plays(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
+    pub fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
         self.view.now = now;
         self.tried(server, true, false);
         if let Some(viewing) = self.viewings.get_mut(&vw) {
@@ -366,67 +368,74 @@
         }
     }
 
-    pub fn ended(
+    pub fn on_tune_in_ended(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
-        ending: Ending, terminal: bool, load: Load,
+        outcome: TuneInOutcome, terminal: bool, load: LoadReport,
     ) {
-        self.reported(now, server, load);
-        let lost = matches!(ending, Ending::Unreachable | Ending::Broken | Ending::Unanswered);
+        self.on_load_report(now, server, load);
+        let lost = matches!(
+            outcome,
+            TuneInOutcome::Unreachable | TuneInOutcome::ConnectionBroken | TuneInOutcome::TimedOut
+        );
         // Guards against a late failure of what an earlier start was sent: it says nothing of this one.
-        let born = self.servers.get(&server).and_then(|s| s.born);
-        let earlier = self.viewings.get(&vw).is_some_and(|v| born.is_some_and(|born| v.sent < born));
-        if (lost || ending == Ending::Errored) && !earlier {
+        let started_at = self.servers.get(&server).and_then(|s| s.started_at);
+        let earlier =
+            self.viewings.get(&vw).is_some_and(|v| started_at.is_some_and(|started_at| v.sent < started_at));
+        if (lost || outcome == TuneInOutcome::Failed) && !earlier {
             self.tried(server, false, lost);
         }
         let Some(viewing) = self.viewings.get_mut(&vw).filter(|v| v.tune_ins == n.wrapping_add(1)) else {
             return;
         };
-        let unheard = matches!(ending, Ending::Unreachable | Ending::Unanswered) && !viewing.playing;
+        let unheard =
+            matches!(outcome, TuneInOutcome::Unreachable | TuneInOutcome::TimedOut) && !viewing.playing;
         if let Some(s) = self.servers.get(&server).filter(|_| unheard && !earlier) {
-            keep(self.zones.entry(s.listed.zone).or_default(), KEPT, (now, server));
+            keep(self.zones.entry(s.list_entry.zone).or_default(), KEPT, (now, server));
         }
         let next = viewing.next.take().filter(|_| !terminal && !viewing.answered);
         self.place(vw, None);
         self.mark(server);
         match next {
-            Some(next) => next(self, act, vw, ending),
+            Some(next) => next(self, act, vw, outcome),
             None => self.forget(vw),
         }
     }
 
     /// The viewer left: no answer is owed any more.
-    pub fn left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
+    pub fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
         let Some(viewing) = self.viewings.get_mut(&vw) else { return };
         viewing.answered = true;
         match viewing.server {
-            Some(_) if !viewing.playing && self.limits.call_off => act.call_off(vw, viewing.tune_ins - 1),
+            Some(_) if !viewing.playing && self.limits.call_off => {
+                act.cancel_tune_in(vw, viewing.tune_ins - 1)
+            }
             Some(_) => {}
             None => self.forget(vw),
         }
     }
 
-    pub fn news(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: News) {
+    pub fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: ServerUpdate) {
         self.view.now = now;
         // A note at set-up is fresh, later ones are late.
         let fresh = self.viewings.get(&vw).is_some_and(|v| !v.playing);
-        let then = if fresh { now } else { now.saturating_sub(self.network.seen) };
+        let then = if fresh { now } else { now.saturating_sub(self.network.report_delay) };
         let Some(s) = self.servers.get_mut(&server) else { return };
         match news {
-            News::Rung(rung) => {
+            ServerUpdate::Rung(rung) => {
                 if let Some(top) = self.viewings.get(&vw).map(|v| v.top) {
                     self.turn(vw, rung.min(top));
                     self.mark(server);
                 }
             }
-            News::Link(full) => self.view.hear(&mut s.link, then, full),
-            News::Uplink(full) => {
-                self.view.hear(&mut self.uplinks[self.network.rack(s.listed.cell)], then, full);
+            ServerUpdate::Link(full) => self.view.hear(&mut s.link, then, full),
+            ServerUpdate::Uplink(full) => {
+                self.view.hear(&mut self.uplinks[self.network.rack(s.list_entry.cell)], then, full);
             }
-            News::Share(share) => {
+            ServerUpdate::Share(share) => {
                 // It speaks of all viewings there. Where most of our servers of a rack are short, that is.
                 s.warning.share = Some(s.warning.share.unwrap_or(1.0).min(share.max(0.0)));
                 s.short = (share < FULL).then_some(now);
-                let rack = self.network.rack(s.listed.cell);
+                let rack = self.network.rack(s.list_entry.cell);
                 let peers = self.ours(rack).count();
                 let times = self.ours(rack).filter_map(|id| self.servers[id].short);
                 let short = times.filter(|at| now.saturating_sub(*at) < INTERVAL).count();
@@ -443,17 +452,19 @@
     }
 
     /// A load report, with an ending or of a probe.
-    pub fn reported(&mut self, now: Duration, server: ServerId, load: Load) {
+    pub fn on_load_report(&mut self, now: Duration, server: ServerId, load: LoadReport) {
         self.view.now = now;
         let Some(s) = self.servers.get_mut(&server) else { return };
         load.link.into_iter().for_each(|full| self.view.hear(&mut s.link, now, full));
-        let uplink = &mut self.uplinks[self.network.rack(s.listed.cell)];
+        let uplink = &mut self.uplinks[self.network.rack(s.list_entry.cell)];
         load.uplink.into_iter().for_each(|full| self.view.hear(uplink, now, full));
     }
 
     /// What a probe brought, none for no answer; a viewing waits for all of its own.
-    pub fn probed(&mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<Load>) {
-        self.reported(now, server, load.unwrap_or_default());
+    pub fn on_probe_result(
+        &mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<LoadReport>,
+    ) {
+        self.on_load_report(now, server, load.unwrap_or_default());
         if load.is_none() {
             self.tried(server, false, true);
         }
@@ -469,24 +480,24 @@
         }
     }
 
-    pub fn woken(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
+    pub fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.view.now = now;
         if token & PATIENCE != 0 {
             // Guards against any viewing left without an answer, whatever has not come back.
             let vw = ViewingId(token as u32);
             if self.viewings.get(&vw).is_some_and(|v| !v.answered) {
-                self.give_up(act, vw, Why::Patience);
+                self.give_up(act, vw, RefusalReason::PatienceOver);
             }
             return;
         }
-        act.wake(INTERVAL / LOOKS, LOOK);
+        act.set_timer(INTERVAL / LOOKS, LOOK);
         let placed: Vec<_> = self.viewings.values().filter(|v| v.server.is_some()).collect();
         let own: f64 = placed.iter().map(|v| self.kb(v, v.rung)).sum();
         let (crowd, uplinks) = (placed.len() as f64, self.uplinks.len() as f64);
         let kbs = [self.network.links_kb.max(1.0), (self.network.uplink_kb * uplinks).max(1.0)];
         keep(&mut self.view.crowd, 2 * KEPT, (now, crowd));
         self.view.held = [crowd / self.living.max(1) as f64, crowd / uplinks];
-        self.view.settle(own, kbs, self.network.told.is_zero().then_some(crowd));
+        self.view.settle(own, kbs, self.network.configured_report_interval.is_zero().then_some(crowd));
         self.looks += 1;
         if self.looks.is_multiple_of(LOOKS) {
             self.close_interval();
@@ -512,7 +523,7 @@
         let Some(s) = self.servers.get_mut(&server) else { return };
         keep(&mut s.health.tries, KEPT, (self.view.now, good));
         let was = std::mem::replace(&mut s.health.lost, lost);
-        let zone = s.listed.zone;
+        let zone = s.list_entry.zone;
         if good {
             self.zones.remove(&zone);
         }
@@ -522,7 +533,7 @@
             && let Some(s) = self.servers.get_mut(&server)
         {
             // Guards against a restart that the list hasn't told of: what was lost may have come back cold.
-            s.cold_until = s.cold_until.max(self.view.now + self.pace.cold_for);
+            s.cold_until = s.cold_until.max(self.view.now + self.slow_start.cold_for);
         }
     }
 
@@ -549,15 +560,18 @@
         };
         // Guards against a crowd that all managers meet at once, after quiet: short spans see it sooner.
         let lately = (0..3).map(|n| over(INTERVAL / (1 << n), 1.0));
-        lately.fold(over(self.pace.cold_for, 0.0), f64::max)
+        lately.fold(over(self.slow_start.cold_for, 0.0), f64::max)
     }
 
     /// The design's two choices among the holders that may take a set-up now; over its bucket, any with
     /// tokens. When none may: how long until one does, and why; nothing while probes are out.
-    fn choose(&mut self, act: &mut dyn Actions, vw: ViewingId) -> Result<ServerId, Option<(Duration, Why)>> {
-        let (viewing, now, recall) = (&self.viewings[&vw], self.view.now, self.pace.cold_for);
+    fn choose(
+        &mut self, act: &mut dyn Actions, vw: ViewingId,
+    ) -> Result<ServerId, Option<(Duration, RefusalReason)>> {
+        let (viewing, now, recall) = (&self.viewings[&vw], self.view.now, self.slow_start.cold_for);
         let pause = self.packages.iter().map(|p| p.target).min().unwrap_or(INTERVAL) / 2;
-        let (mut wait, mut why, mut chance) = (Duration::MAX, Why::NoHolder, Pcg(self.chance.0));
+        let (mut wait, mut reason, mut chance) =
+            (Duration::MAX, RefusalReason::NoReadyHolder, Pcg(self.chance.0));
         // What all managers ask of a holder's cell, if all ask as we do, and where cold holders' turns stand.
         let spread = f64::from(viewing.cells.spread.min(self.network.places)) / self.places.len() as f64;
         let demand = LazyCell::new(|| {
@@ -575,15 +589,15 @@
         for id in self.holders(viewing.cells) {
             self.walk(1);
             let s = &self.servers[&id];
-            if s.listed.standing != Standing::Ready {
+            if s.list_entry.state != ServerState::Ready {
                 continue;
             }
             // A further attempt could reach it on another connection before the release of the earlier one does.
             if viewing.may_run_at.contains(&id) {
-                (wait, why) = (wait.min(pause), Why::MayStillRun);
+                (wait, reason) = (wait.min(pause), RefusalReason::MayStillRun);
                 continue;
             }
-            let (most, span, pace) = self.pace.of(s.listed.kind);
+            let (most, span, pace) = self.slow_start.of(s.list_entry.kind);
             let next = s.sent.iter().rev().nth(most.max(1) - 1).map_or(Duration::ZERO, |sent| *sent + span);
             let shunned = viewing.shunned.contains(&id);
             let trial = || self.there(id).any(|v| !v.playing);
@@ -600,16 +614,17 @@
                         due
                     });
             if !open {
-                (wait, why) = (wait.min(next.saturating_sub(now).max(INTERVAL / LOOKS)), Why::Cold);
+                (wait, reason) =
+                    (wait.min(next.saturating_sub(now).max(INTERVAL / LOOKS)), RefusalReason::HoldersCold);
             } else if shunned || s.health.suspect(now, pause, recall, trial) {
                 suspects.push((shunned, s.health.bad(now, recall), id));
             } else {
-                let uplink = &self.uplinks[self.network.rack(s.listed.cell)];
-                let far = if s.listed.zone == self.zone { 0.0 } else { self.prices.cross };
+                let uplink = &self.uplinks[self.network.rack(s.list_entry.cell)];
+                let far = if s.list_entry.zone == self.zone { 0.0 } else { self.prices.cross };
                 // Of whom nothing was heard since its start there is no connection.
                 let new = if s.link.heard.is_empty() { self.prices.handshake } else { 0.0 };
                 let full = s.link.full(&self.view).max(uplink.full(&self.view));
-                let cut = self.cut_off(s.listed.zone, pause, recall);
+                let cut = self.cut_off(s.list_entry.zone, pause, recall);
                 let of = if cut { &mut cut_off } else { &mut fit };
                 of.push((full + FULLNESS * (far + new), id));
             }
@@ -639,7 +654,7 @@
             // With many managers few holders have viewings of ours: there is no news but a probe's.
             let told =
                 |f: &&(f64, ServerId)| self.servers[&f.1].link.heard.back().map_or(Duration::ZERO, |h| h.0);
-            let stale = two.iter().filter(|f| told(f) + self.network.told() < now);
+            let stale = two.iter().filter(|f| told(f) + self.network.report_interval() < now);
             // Guards against news that is dearer than the choice it betters.
             let stale = stale.take(self.view.probes(price)).map(|f| f.1);
             let (drawn, probed) = (two.iter().map(|f| f.1).collect(), stale.collect::<Vec<_>>());
@@ -660,9 +675,9 @@
                 bucket.tokens -= 1.0;
                 return Ok(id);
             }
-            (wait, why) = (wait.min(bucket.wait()), Why::Tokens);
+            (wait, reason) = (wait.min(bucket.wait()), RefusalReason::RateLimited);
         }
-        Err(Some((wait, why)))
+        Err(Some((wait, reason)))
     }
 
     /// Sets a viewing up, or ends it at once where nothing can be done for it.
@@ -673,14 +688,20 @@
         let alike = self.held.get(&(package, title)).copied().unwrap_or_default();
         let seats = p.seats == 0 || alike < p.seats;
         let left = viewing.ends.saturating_sub(now);
-        let rationed = !first && self.ration.as_mut().is_some_and(|r| !r.allows(now));
+        let rationed = !first && self.retry_budget.as_mut().is_some_and(|r| !r.allows(now));
         let most = tune_ins >= self.limits.tune_ins;
-        let stops = [(!seats, Why::Seats), (left.is_zero(), Why::Patience), (most, Why::TuneIns)];
-        if let Some((_, why)) = stops.into_iter().chain([(rationed, Why::Ration)]).find(|stop| stop.0) {
-            return self.give_up(act, vw, why);
+        let stops = [
+            (!seats, RefusalReason::SeatsTaken),
+            (left.is_zero(), RefusalReason::PatienceOver),
+            (most, RefusalReason::TuneInsUsedUp),
+        ];
+        if let Some((_, reason)) =
+            stops.into_iter().chain([(rationed, RefusalReason::RetryBudgetExhausted)]).find(|stop| stop.0)
+        {
+            return self.give_up(act, vw, reason);
         }
         // A paid viewing can't be sent again after silence, and a last tune-in has nothing after it.
-        let last = p.once || tune_ins + 1 == self.limits.tune_ins;
+        let last = p.paid_once || tune_ins + 1 == self.limits.tune_ins;
         let limit = if last { left } else { p.target.mul_f64(LIMIT).min(left) };
         if viewing.drawn.is_empty() {
             keep(&mut self.sought, 32 * KEPT, now);
@@ -688,19 +709,19 @@
         let server = match self.choose(act, vw) {
             Ok(server) => server,
             Err(None) => return,
-            Err(Some((wait, why))) => return self.turn_down(act, vw, wait, why),
+            Err(Some((wait, reason))) => return self.turn_down(act, vw, wait, reason),
         };
-        self.ration.iter_mut().filter(|_| !first).for_each(|r| r.further.push_back(now));
+        self.retry_budget.iter_mut().filter(|_| !first).for_each(|r| r.further.push_back(now));
         if let Some(s) = self.servers.get_mut(&server) {
-            keep(&mut s.sent, self.pace.of(s.listed.kind).0.max(1), now);
+            keep(&mut s.sent, self.slow_start.of(s.list_entry.kind).0.max(1), now);
             s.warning.admitted += 1.0;
         }
         self.viewings.entry(vw).and_modify(|v| {
             (v.tune_ins, v.sent) = (tune_ins + 1, now);
-            v.next = Some(Box::new(move |m, act, vw, ending| m.after(act, vw, server, ending)));
+            v.next = Some(Box::new(move |m, act, vw, outcome| m.after(act, vw, server, outcome)));
         });
         self.place(vw, Some(server));
-        let (luck, rack) = (self.chance.part(), self.network.rack(self.servers[&server].listed.cell));
+        let (luck, rack) = (self.chance.part(), self.network.rack(self.servers[&server].list_entry.cell));
         let ideal = self.ideal(rack, AT_SET_UP, luck);
         let rung = ideal.binary_search_by_key(&vw, |of| of.0).map_or(0, |i| ideal[i].1);
         self.turn(vw, rung);
@@ -710,34 +731,34 @@
     }
 
     /// What follows a tune-in that didn't play.
-    fn after(&mut self, act: &mut dyn Actions, vw: ViewingId, server: ServerId, ending: Ending) {
+    fn after(&mut self, act: &mut dyn Actions, vw: ViewingId, server: ServerId, outcome: TuneInOutcome) {
         let Some(viewing) = self.viewings.get_mut(&vw) else { return };
         viewing.shunned.push(server);
-        if ending.may_still_run() {
+        if outcome.may_still_run() {
             viewing.may_run_at.push(server);
         }
-        if self.packages[viewing.package].once && !ending.never_ran() {
+        if self.packages[viewing.package].paid_once && !outcome.never_ran() {
             // Paid, and it may have run: neither sent again nor turned down.
             self.forget(vw);
-            return act.abort(vw, Why::Ran);
+            return act.abort(vw, RefusalReason::MayHaveRun);
         }
         self.tune_in(act, vw, false);
     }
 
-    fn give_up(&mut self, act: &mut dyn Actions, vw: ViewingId, why: Why) {
+    fn give_up(&mut self, act: &mut dyn Actions, vw: ViewingId, reason: RefusalReason) {
         let Some(viewing) = self.viewings.get(&vw) else { return };
         if viewing.server.is_none() {
-            return self.turn_down(act, vw, Duration::ZERO, why);
+            return self.turn_down(act, vw, Duration::ZERO, reason);
         }
-        let once = self.packages[viewing.package].once;
-        self.left(act, vw);
-        if once { act.abort(vw, why) } else { act.block(vw, None, why) }
+        let once = self.packages[viewing.package].paid_once;
+        self.on_viewer_left(act, vw);
+        if once { act.abort(vw, reason) } else { act.block(vw, None, reason) }
     }
 
     /// Blocks a viewing of which nothing is out and nothing ran, or which may be set up again.
-    fn turn_down(&mut self, act: &mut dyn Actions, vw: ViewingId, wait: Duration, why: Why) {
+    fn turn_down(&mut self, act: &mut dyn Actions, vw: ViewingId, wait: Duration, reason: RefusalReason) {
         self.forget(vw);
-        act.block(vw, self.limits.come_back.map(|most| wait.min(most)).filter(|w| !w.is_zero()), why);
+        act.block(vw, self.limits.come_back.map(|most| wait.min(most)).filter(|w| !w.is_zero()), reason);
     }
 
     /// Mechanism 1: the rungs at which one price for each link and the uplink is met by our viewings. A step
@@ -797,7 +818,8 @@
                 downs.push(((value + cost) / kb, kb, vw, server, down, dear));
             }
             let (kb, value) = self.between(v.package, v.rung, ideal.max(v.rung));
-            let held = now.saturating_sub(v.changed) <= self.network.told() + self.network.seen;
+            let held =
+                now.saturating_sub(v.changed) <= self.network.report_interval() + self.network.report_delay;
             if v.playing && value > cost && !held {
                 ups.push(((value - cost) / kb, vw, server, ideal));
             }
@@ -848,7 +870,7 @@
     /// Books by how much rungs at a server are meant to change what is asked of its link and uplink.
     fn meant(&mut self, server: ServerId, kb: f64) {
         let Some(s) = self.servers.get_mut(&server) else { return };
-        for link in [&mut s.link, &mut self.uplinks[self.network.rack(s.listed.cell)]] {
+        for link in [&mut s.link, &mut self.uplinks[self.network.rack(s.list_entry.cell)]] {
             link.mark(self.view.now, link.own(), 1.0 + kb / link.own().max(1.0));
         }
     }
@@ -869,17 +891,17 @@
         let raised = self.viewings.values().filter(|v| v.rung > self.packages[v.package].floor);
         let raised: BTreeSet<_> = raised.filter_map(|v| v.server).collect();
         for (id, s) in &mut self.servers {
-            let uplink = self.uplinks[self.network.rack(s.listed.cell)].full(&self.view);
+            let uplink = self.uplinks[self.network.rack(s.list_entry.cell)].full(&self.view);
             let low = s.link.own() > 0.0 && !raised.contains(id);
             let stuck = low && s.link.full(&self.view).max(uplink) > 1.0 / FULL;
             // Rungs give way to set-ups: there is room for what all of ours leave at their lowest.
             let room = s.link.budget(&self.view, part) / lowest - s.link.held as f64;
             s.warning.close(self.view.now, room.max(0.0), stuck);
-            s.gone = if s.listed.standing == Standing::Gone { s.gone + 1 } else { 0 };
+            s.gone = if s.list_entry.state == ServerState::Gone { s.gone + 1 } else { 0 };
         }
         // Guards against a fleet whose machines come back under new ids: who is gone for as long as a start
         // counts as cold, with nothing of ours, is forgotten. Back after that it is as any listed anew.
-        let gone = self.servers.iter().filter(|(_, s)| INTERVAL * s.gone > self.pace.cold_for);
+        let gone = self.servers.iter().filter(|(_, s)| INTERVAL * s.gone > self.slow_start.cold_for);
         let gone: Vec<_> = gone.map(|(id, _)| *id).filter(|id| !self.at.contains_key(id)).collect();
         gone.into_iter().for_each(|server| self.drop_server(server));
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What a manager holds: settings as they were given, viewings, samples. No decision is made here.
 
-use crate::front::*;
+use crate::interface::*;
 use crate::policy::{KEPT, Next};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -53,7 +53,7 @@
     pub value: f64,
     pub target: Duration,
     /// Paid at set-up, so never set up twice.
-    pub once: bool,
+    pub paid_once: bool,
     pub scale: f64,
     pub floor: usize,
     pub top: usize,
@@ -70,8 +70,8 @@
     pub weight_kb: f64,
     pub uplink_kb: f64,
     /// None: they come at no interval.
-    pub told: Duration,
-    pub seen: Duration,
+    pub configured_report_interval: Duration,
+    pub report_delay: Duration,
 }
 
 impl Network {
@@ -186,7 +186,7 @@
 /// tier the last news of any link and what is usual.
 pub(crate) struct View {
     pub now: Duration,
-    pub told: Duration,
+    pub report_interval: Duration,
     pub crowd: VecDeque<(Duration, f64)>,
     pub news: [VecDeque<(Duration, f64)>; 2],
     pub usual: [f64; 2],
@@ -196,9 +196,9 @@
 }
 
 impl View {
-    pub fn new(told: Duration, siblings: f64) -> Self {
+    pub fn new(report_interval: Duration, siblings: f64) -> Self {
         let (now, crowd, news, usual) = (Duration::ZERO, VecDeque::new(), Default::default(), [0.0; 2]);
-        View { now, told, crowd, news, usual, held: [0.0; 2], siblings }
+        View { now, report_interval, crowd, news, usual, held: [0.0; 2], siblings }
     }
 
     /// News of a link, kept with it and among the last of any.
@@ -255,7 +255,7 @@
 
 /// How many tune-ins beyond each viewing's first are allowed in a span, and when viewings were taken and
 /// further tune-ins made.
-pub struct Ration {
+pub struct RetryBudget {
     pub(crate) span: Duration,
     pub(crate) free: f64,
     pub(crate) share: f64,
@@ -263,21 +263,21 @@
     pub(crate) further: VecDeque<Duration>,
 }
 
-impl Ration {
+impl RetryBudget {
     pub fn new(span: Duration, free: f64, share: f64) -> Self {
-        Ration { span, free, share, taken: VecDeque::new(), further: VecDeque::new() }
+        RetryBudget { span, free, share, taken: VecDeque::new(), further: VecDeque::new() }
     }
 }
 
 pub(crate) struct Server {
-    pub listed: Listed,
+    pub list_entry: ServerEntry,
     pub link: Link,
     pub warning: Warning,
     pub health: Health,
     /// Its last start, as far as any line of the list told of one.
-    pub born: Option<Duration>,
+    pub started_at: Option<Duration>,
     pub cold_until: Duration,
-    /// When our last set-ups went there, as many as `Pace` allows in its span.
+    /// When our last set-ups went there, as many as `SlowStart` allows in its span.
     pub sent: VecDeque<Duration>,
     /// When it was last told of as short.
     pub short: Option<Duration>,
@@ -286,14 +286,14 @@
 }
 
 impl Server {
-    pub fn new(listed: Listed, link: Link, cold_until: Duration) -> Self {
+    pub fn new(list_entry: ServerEntry, link: Link, cold_until: Duration) -> Self {
         let (warning, health) = (Warning::default(), Health::default());
         Server {
-            listed,
+            list_entry,
             link,
             warning,
             health,
-            born: listed.born,
+            started_at: list_entry.started_at,
             cold_until,
             sent: VecDeque::new(),
             short: None,
@@ -304,7 +304,7 @@
 
 /// By kind, how many set-ups we may send to a server that has just started in which span, none where chance keeps all
 /// managers' to their pace, and that pace a second; and how long it counts as cold.
-pub struct Pace {
+pub struct SlowStart {
     pub(crate) paces: Vec<(usize, Duration, f64)>,
     pub(crate) cold_for: Duration,
 }
@@ -408,9 +408,9 @@
     pub(crate) prices: Prices,
     pub(crate) ladder: Ladder,
     pub(crate) network: Network,
-    pub(crate) pace: Pace,
+    pub(crate) slow_start: SlowStart,
     pub(crate) limits: Limits,
-    pub(crate) ration: Option<Ration>,
+    pub(crate) retry_budget: Option<RetryBudget>,
     pub(crate) packages: Vec<Package>,
     pub(crate) looks: u32,
     /// When holders were sought.
@@ -439,14 +439,14 @@
 impl Manager {
     pub fn new(
         (seed, siblings, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
-        pace: Pace, limits: Limits, ration: Option<Ration>, packages: Vec<Package>,
+        slow_start: SlowStart, limits: Limits, retry_budget: Option<RetryBudget>, packages: Vec<Package>,
     ) -> Self {
         let (now, siblings) = (Duration::ZERO, f64::from(siblings.max(1)));
         let uplinks: Vec<_> = (0..network.racks.max(1)).map(|_| Link::new(network.uplink_kb, 1)).collect();
         let racks = vec![Rack::default(); uplinks.len()];
         let (looks, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
         let places = vec![vec![]; network.places.max(1) as usize];
-        let (started, chance, view) = (now, Pcg(seed), View::new(network.told(), siblings));
+        let (started, chance, view) = (now, Pcg(seed), View::new(network.report_interval(), siblings));
         Manager {
             started,
             chance,
@@ -455,9 +455,9 @@
             prices,
             ladder,
             network,
-            pace,
+            slow_start,
             limits,
-            ration,
+            retry_budget,
             packages,
             looks,
             sought: VecDeque::new(),
@@ -486,7 +486,7 @@
 
     /// The rack of a server that was listed.
     fn shelf(&self, server: ServerId) -> Option<usize> {
-        Some(self.network.rack(self.servers.get(&server)?.listed.cell))
+        Some(self.network.rack(self.servers.get(&server)?.list_entry.cell))
     }
 
     /// Worth a kB and kB of each step above a viewing's floor.
@@ -573,7 +573,7 @@
     pub(crate) fn drop_server(&mut self, server: ServerId) {
         let rack = self.shelf(server);
         let Some(s) = self.servers.remove(&server) else { return };
-        let place = s.listed.cell as usize % self.places.len();
+        let place = s.list_entry.cell as usize % self.places.len();
         self.places[place].retain(|id| *id != server);
         if let Some(rack) = rack {
             self.racks[rack].servers.remove(&server);
@@ -581,15 +581,16 @@
     }
 
     /// Holds a server as the list has it, in its cell, and in its rack with all that is there.
-    pub(crate) fn list(&mut self, listed: Listed) {
-        let (was, server) = (self.shelf(listed.server), listed.server);
+    pub(crate) fn list(&mut self, list_entry: ServerEntry) {
+        let (was, server) = (self.shelf(list_entry.server), list_entry.server);
         let place = |cell: u32| cell as usize % self.places.len();
-        let (from, to) = (self.servers.get(&server).map(|s| place(s.listed.cell)), place(listed.cell));
+        let (from, to) =
+            (self.servers.get(&server).map(|s| place(s.list_entry.cell)), place(list_entry.cell));
         if from != Some(to) || !self.places[to].contains(&server) {
             from.into_iter().for_each(|from| self.places[from].retain(|id| *id != server));
             self.places[to].push(server);
         }
-        self.servers.entry(server).and_modify(|s| s.listed = listed);
+        self.servers.entry(server).and_modify(|s| s.list_entry = list_entry);
         if was.is_some_and(|rack| self.shelf(server) == was && self.racks[rack].servers.contains(&server)) {
             return;
         }
@@ -632,25 +633,25 @@
     }
 
     /// Everything that is held by server, viewing or tune-in.
-    pub fn kept(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         let rack = |r: &Rack| r.servers.len() + r.stands.len() + r.slots + r.asks.len() + r.steps.len();
         let racks = self.racks.iter().map(rack).sum::<usize>();
         let places = self.places.iter().map(Vec::len).sum::<usize>();
-        let ration = self.ration.iter().map(|r| r.taken.len() + r.further.len()).sum::<usize>();
-        self.servers.len() + self.at.len() + racks + places + ration + self.viewings.len()
+        let retry_budget = self.retry_budget.iter().map(|r| r.taken.len() + r.further.len()).sum::<usize>();
+        self.servers.len() + self.at.len() + racks + places + retry_budget + self.viewings.len()
     }
 
     /// What is held of a server: what is asked of its link and its rack's uplink over what they give, our viewings there,
     /// and how many of the last tune-ins and viewings there ended badly.
-    pub fn believed(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
+    pub fn server_estimate(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
         let s = self.servers.get(&server)?;
-        let uplink = &self.uplinks[self.network.rack(s.listed.cell)];
+        let uplink = &self.uplinks[self.network.rack(s.list_entry.cell)];
         let bad = s.health.tries.iter().filter(|tried| !tried.1).count();
         Some(([s.link.full(&self.view), uplink.full(&self.view)], self.there(server).count(), bad))
     }
 
     /// Entries that decisions have gone through so far.
-    pub fn walked(&self) -> usize {
+    pub fn visited_entries(&self) -> usize {
         self.walked.get()
     }
 
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,6 +1,6 @@
 //! Tables of cases for the decision module, on a recorder of its actions.
 
-use crate::front::*;
+use crate::interface::*;
 use crate::policy::*;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,21 +24,21 @@
 }
 
 #[derive(Default)]
-struct Recorder(Vec<Did>, Vec<Why>);
+struct Recorder(Vec<Did>, Vec<RefusalReason>);
 
 impl Actions for Recorder {
     fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
         self.0.push(Did::TuneIn(vw.0, server.0[0], limit));
     }
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: Why) {
-        self.1.push(why);
+    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, reason: RefusalReason) {
+        self.1.push(reason);
         self.0.push(Did::Block(vw.0, come_back));
     }
-    fn abort(&mut self, vw: ViewingId, why: Why) {
-        self.1.push(why);
+    fn abort(&mut self, vw: ViewingId, reason: RefusalReason) {
+        self.1.push(reason);
         self.0.push(Did::Abort(vw.0));
     }
-    fn call_off(&mut self, vw: ViewingId, tune_in: u16) {
+    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
         self.0.push(Did::CallOff(vw.0, tune_in));
     }
     fn set_rung(&mut self, vw: ViewingId, rung: usize) {
@@ -47,7 +47,7 @@
     fn probe(&mut self, server: ServerId) {
         self.0.push(Did::Probe(server.0[0]));
     }
-    fn wake(&mut self, after: Duration, token: u64) {
+    fn set_timer(&mut self, after: Duration, token: u64) {
         self.0.push(Did::Wake(after, token));
     }
 }
@@ -62,7 +62,7 @@
 const START: Duration = Duration::from_secs(1000);
 
 impl Desk {
-    fn new(ration: Option<Ration>) -> Self {
+    fn new(ration: Option<RetryBudget>) -> Self {
         let (rates, worths) = (vec![100.0, 200.0, 400.0, 800.0], vec![0.25, 0.5, 0.75, 1.0]);
         let ladder = Ladder { rates, worths, switch: 0.5 };
         let (told, seen) = (ms(3000), ms(1000));
@@ -72,15 +72,15 @@
             links_kb: 8000.0,
             weight_kb: 1000.0,
             uplink_kb: 8000.0,
-            told,
-            seen,
+            configured_report_interval: told,
+            report_delay: seen,
         };
-        let pace = Pace::new(2, &[40.0], ms(10_000), 0.4, 2.0, ms(1000));
+        let pace = SlowStart::new(2, &[40.0], ms(10_000), 0.4, 2.0, ms(1000));
         let limits = Limits { tune_ins: 3, probe: None, call_off: true, come_back: Some(ms(2000)) };
         let package = |once, floor, seats| Package {
             value: 1.0,
             target: ms(1000),
-            once,
+            paid_once: once,
             scale: 1.0,
             floor,
             top: 3,
@@ -92,7 +92,7 @@
         let mut desk = Desk { manager, did: Recorder::default(), now: START };
         desk.manager.start(&mut desk.did, START);
         for server in 0..4 {
-            desk.list(server, Standing::Ready, None);
+            desk.list(server, ServerState::Ready, None);
         }
         // Past the time in which all servers are taken for cold.
         desk.now += ms(20_000);
@@ -100,11 +100,11 @@
         desk
     }
 
-    fn list(&mut self, server: u8, standing: Standing, born: Option<Duration>) {
+    fn list(&mut self, server: u8, state: ServerState, started_at: Option<Duration>) {
         let (weight, zone, kind, cell) = (2.0, ZoneId(0), KindId(0), u32::from(server));
         let server = ServerId([server; 6]);
-        let listed = Listed { server, standing, born, weight, zone, kind, cell };
-        self.manager.listed(self.now, &[listed], Extent::Changes);
+        let list_entry = ServerEntry { server, state, started_at, weight, zone, kind, cell };
+        self.manager.on_server_list(self.now, &[list_entry], ListScope::Changes);
     }
 
     /// Asks for a viewing of a title on the cells from `first`; tells what was done.
@@ -112,37 +112,48 @@
         let (package, title) = (PackageId(package), TitleId(u64::from(first)));
         let (cells, ends) = (Cells { first, spread }, self.now + ms(4000));
         let id = ViewingId(vw);
-        self.manager.asked(&mut self.did, self.now, id, package, title, cells, 3, ends);
+        self.manager.on_request(&mut self.did, self.now, id, package, title, cells, 3, ends);
         self.take()
     }
 
-    fn end(&mut self, vw: u32, n: u16, server: u8, ending: Ending, terminal: bool) -> Vec<Did> {
+    fn end(&mut self, vw: u32, n: u16, server: u8, outcome: TuneInOutcome, terminal: bool) -> Vec<Did> {
         let (id, server) = (ViewingId(vw), ServerId([server; 6]));
-        self.manager.ended(&mut self.did, self.now, id, n, server, ending, terminal, Load::default());
+        self.manager.on_tune_in_ended(
+            &mut self.did,
+            self.now,
+            id,
+            n,
+            server,
+            outcome,
+            terminal,
+            LoadReport::default(),
+        );
         self.take()
     }
 
     fn play(&mut self, vw: u32, server: u8) {
-        self.manager.plays(self.now, ViewingId(vw), ServerId([server; 6]));
+        self.manager.on_playing(self.now, ViewingId(vw), ServerId([server; 6]));
     }
 
     /// News that several viewings bring.
-    fn news(&mut self, vw: u32, server: u8, news: News) {
-        (0..9).for_each(|_| self.manager.news(self.now, ViewingId(vw), ServerId([server; 6]), news));
+    fn news(&mut self, vw: u32, server: u8, news: ServerUpdate) {
+        (0..9).for_each(|_| {
+            self.manager.on_server_update(self.now, ViewingId(vw), ServerId([server; 6]), news)
+        });
     }
 
     /// Lets time pass by looks; tells what was done.
     fn pass(&mut self, looks: u32) -> Vec<Did> {
         for _ in 0..looks {
             self.now += ms(500);
-            self.manager.woken(&mut self.did, self.now, 0);
+            self.manager.on_timer(&mut self.did, self.now, 0);
         }
         self.take()
     }
 
     fn patience(&mut self, vw: u32) -> Vec<Did> {
         self.now += ms(4000);
-        self.manager.woken(&mut self.did, self.now, 1 << 32 | u64::from(vw));
+        self.manager.on_timer(&mut self.did, self.now, 1 << 32 | u64::from(vw));
         self.take()
     }
 
@@ -165,25 +176,25 @@
 fn what_follows_a_tune_in() {
     // package, ending, what must follow: s a further tune-in, a aborted.
     let cases = [
-        (0, Ending::TurnedAway, 's'),
-        (0, Ending::Unreachable, 's'),
-        (0, Ending::Unanswered, 's'),
-        (0, Ending::Broken, 's'),
-        (1, Ending::TurnedAway, 's'),
-        (1, Ending::Unreachable, 's'),
-        (1, Ending::Unsent, 's'),
-        (1, Ending::Unanswered, 'a'),
-        (1, Ending::Errored, 'a'),
-        (1, Ending::Broken, 'a'),
-        (1, Ending::CalledOff, 'a'),
+        (0, TuneInOutcome::Refused, 's'),
+        (0, TuneInOutcome::Unreachable, 's'),
+        (0, TuneInOutcome::TimedOut, 's'),
+        (0, TuneInOutcome::ConnectionBroken, 's'),
+        (1, TuneInOutcome::Refused, 's'),
+        (1, TuneInOutcome::Unreachable, 's'),
+        (1, TuneInOutcome::NotSent, 's'),
+        (1, TuneInOutcome::TimedOut, 'a'),
+        (1, TuneInOutcome::Failed, 'a'),
+        (1, TuneInOutcome::ConnectionBroken, 'a'),
+        (1, TuneInOutcome::Cancelled, 'a'),
     ];
-    for (package, ending, follows) in cases {
+    for (package, outcome, follows) in cases {
         let mut desk = Desk::new(None);
         let first = sent_to(&desk.ask(1, package, 0, 3)).unwrap();
-        let did = desk.end(1, 0, first, ending, false);
+        let did = desk.end(1, 0, first, outcome, false);
         match follows {
-            's' => assert!(sent_to(&did).is_some_and(|s| s != first), "{package} {ending:?}: {did:?}"),
-            _ => assert_eq!(did, [Did::Abort(1)], "{package} {ending:?}"),
+            's' => assert!(sent_to(&did).is_some_and(|s| s != first), "{package} {outcome:?}: {did:?}"),
+            _ => assert_eq!(did, [Did::Abort(1)], "{package} {outcome:?}"),
         }
         assert!(!blocked(&did));
     }
@@ -192,64 +203,66 @@
 #[test]
 fn no_further_attempt_goes_where_an_earlier_one_may_still_run() {
     let cases = [
-        (Ending::TurnedAway, true),
-        (Ending::Unreachable, true),
-        (Ending::Unsent, true),
-        (Ending::Errored, true),
-        (Ending::Unanswered, false),
-        (Ending::Broken, false),
+        (TuneInOutcome::Refused, true),
+        (TuneInOutcome::Unreachable, true),
+        (TuneInOutcome::NotSent, true),
+        (TuneInOutcome::Failed, true),
+        (TuneInOutcome::TimedOut, false),
+        (TuneInOutcome::ConnectionBroken, false),
     ];
-    for (ending, again) in cases {
+    for (outcome, again) in cases {
         // The only holder, then one of two that the other attempt ended at.
         let mut desk = Desk::new(None);
         assert_eq!(sent_to(&desk.ask(1, 0, 0, 1)), Some(0));
-        let did = desk.end(1, 0, 0, ending, false);
-        assert_eq!(desk.did.1.contains(&Why::MayStillRun), !again, "{ending:?}");
-        assert!(again || blocked(&did) && sent_to(&did).is_none(), "{ending:?}: {did:?}");
+        let did = desk.end(1, 0, 0, outcome, false);
+        assert_eq!(desk.did.1.contains(&RefusalReason::MayStillRun), !again, "{outcome:?}");
+        assert!(again || blocked(&did) && sent_to(&did).is_none(), "{outcome:?}: {did:?}");
         let mut desk = Desk::new(None);
         let first = sent_to(&desk.ask(1, 0, 0, 2)).unwrap();
-        let second = sent_to(&desk.end(1, 0, first, ending, false)).unwrap();
-        assert_ne!(second, first, "{ending:?}");
+        let second = sent_to(&desk.end(1, 0, first, outcome, false)).unwrap();
+        assert_ne!(second, first, "{outcome:?}");
         desk.now += ms(600);
-        let third = sent_to(&desk.end(1, 1, second, Ending::TurnedAway, false));
-        assert!(again || third == Some(second), "{ending:?}: {third:?}");
+        let third = sent_to(&desk.end(1, 1, second, TuneInOutcome::Refused, false));
+        assert!(again || third == Some(second), "{outcome:?}: {third:?}");
     }
 }
 
 #[test]
 fn every_viewing_is_answered_once() {
     // package, endings of its tune-ins, whether patience then runs out, the answer.
-    let cases: [(usize, &[Ending], bool, Did); 4] = [
-        (0, &[Ending::Unanswered; 3], false, Did::Block(1, None)),
-        (1, &[Ending::TurnedAway; 3], false, Did::Block(1, None)),
+    let cases: [(usize, &[TuneInOutcome], bool, Did); 4] = [
+        (0, &[TuneInOutcome::TimedOut; 3], false, Did::Block(1, None)),
+        (1, &[TuneInOutcome::Refused; 3], false, Did::Block(1, None)),
         (0, &[], true, Did::Block(1, None)),
         (1, &[], true, Did::Abort(1)),
     ];
     for (package, endings, runs_out, answer) in cases {
         let mut desk = Desk::new(None);
         let mut did = desk.ask(1, package, 0, 4);
-        for (n, ending) in endings.iter().enumerate() {
+        for (n, outcome) in endings.iter().enumerate() {
             let server = sent_to(&did).unwrap();
-            did = desk.end(1, n as u16, server, *ending, false);
+            did = desk.end(1, n as u16, server, *outcome, false);
         }
         if runs_out {
             did = desk.patience(1);
         }
         assert_eq!(did.last(), Some(&answer), "{package} {endings:?}");
         assert_eq!(desk.patience(1), [], "answered again");
-        assert_eq!(desk.end(1, 2, 0, Ending::Unanswered, true), []);
-        assert_eq!(desk.end(9, 0, 0, Ending::Broken, true), [], "an id never heard of");
+        assert_eq!(desk.end(1, 2, 0, TuneInOutcome::TimedOut, true), []);
+        assert_eq!(desk.end(9, 0, 0, TuneInOutcome::ConnectionBroken, true), [], "an id never heard of");
     }
 }
 
 #[test]
 fn nothing_goes_where_it_must_not() {
     // How server 0 is listed last, whether it may be sent to.
-    for (standing, may) in [(Standing::Ready, true), (Standing::Draining, false), (Standing::Gone, false)] {
+    for (state, may) in
+        [(ServerState::Ready, true), (ServerState::Draining, false), (ServerState::Gone, false)]
+    {
         let mut desk = Desk::new(None);
-        desk.list(0, standing, None);
+        desk.list(0, state, None);
         let did = desk.ask(1, 0, 0, 1);
-        assert_eq!(sent_to(&did).is_some(), may, "{standing:?}");
+        assert_eq!(sent_to(&did).is_some(), may, "{state:?}");
         assert_eq!(blocked(&did), !may);
         assert!(blocked(&desk.ask(2, 0, 5, 2)), "no holder is listed");
     }
@@ -265,10 +278,10 @@
                 // Not listed anew: a viewing broke there, so it may have started since.
                 assert_eq!(sent_to(&desk.ask(99, 0, 0, 1)), Some(0));
                 desk.play(99, 0);
-                desk.end(99, 0, 0, Ending::Broken, true);
+                desk.end(99, 0, 0, TuneInOutcome::ConnectionBroken, true);
                 desk.now += ms(4000);
             } else {
-                desk.list(0, Standing::Ready, Some(desk.now));
+                desk.list(0, ServerState::Ready, Some(desk.now));
             }
             let mut sent = 0;
             for vw in 0..10 {
@@ -289,11 +302,11 @@
     for (free, share, viewings, most) in
         [(2.0, 0.0, 6, 2), (0.0, 0.5, 6, 3), (1.0, 0.25, 4, 2), (0.0, 0.0, 3, 0)]
     {
-        let mut desk = Desk::new(Some(Ration::new(ms(5000), free, share)));
+        let mut desk = Desk::new(Some(RetryBudget::new(ms(5000), free, share)));
         let asked: Vec<_> = (0..viewings).map(|vw| (vw, sent_to(&desk.ask(vw, 0, 0, 4)).unwrap())).collect();
         let mut further = 0;
         for (vw, server) in asked {
-            let did = desk.end(vw, 0, server, Ending::TurnedAway, false);
+            let did = desk.end(vw, 0, server, TuneInOutcome::Refused, false);
             further += usize::from(sent_to(&did).is_some());
             assert!(sent_to(&did).is_some() != blocked(&did));
         }
@@ -311,9 +324,9 @@
         // However short the link, no rung goes under the floor; however long, none over the top.
         for (full, share) in [(9.0, 0.2), (0.01, 1.0)] {
             for server in 0..4 {
-                desk.news(0, server, News::Share(share));
-                desk.news(0, server, News::Link(full));
-                desk.news(0, server, News::Uplink(f64::NAN));
+                desk.news(0, server, ServerUpdate::Share(share));
+                desk.news(0, server, ServerUpdate::Link(full));
+                desk.news(0, server, ServerUpdate::Uplink(f64::NAN));
             }
             for did in desk.pass(20) {
                 assert!(matches!(did, Did::Rung(_, rung) if rung >= floor && rung <= 3), "{did:?}");
@@ -331,14 +344,14 @@
         desk.play(1, 0);
         for _ in 0..4 {
             desk.pass(4);
-            desk.news(1, 0, News::Link(full));
-            desk.news(1, 0, News::Uplink(0.2));
+            desk.news(1, 0, ServerUpdate::Link(full));
+            desk.news(1, 0, ServerUpdate::Uplink(0.2));
         }
         let did = desk.ask(2, 0, 0, 1);
         let Some(Did::Rung(2, rung)) = did.first() else { panic!("{did:?}") };
         assert_eq!(*rung, at_set_up, "at {full}");
         desk.play(2, 0);
-        desk.news(2, 0, News::Link(full));
+        desk.news(2, 0, ServerUpdate::Link(full));
         let did = desk.pass(1);
         let mut rungs = did.iter().filter_map(|d| if let Did::Rung(2, r) = d { Some(*r) } else { None });
         assert_eq!(rungs.next_back().unwrap_or(at_set_up), after, "at {full}");
@@ -397,15 +410,15 @@
     for (full, taken) in [([0.2, 0.8], 0), ([0.8, 0.2], 1)] {
         let mut desk = Desk::new(None);
         for (server, full) in full.into_iter().enumerate() {
-            desk.news(0, server as u8, News::Link(full));
+            desk.news(0, server as u8, ServerUpdate::Link(full));
         }
         assert_eq!(sent_to(&desk.ask(1, 0, 0, 2)), Some(taken));
         // Link or uplink short and stuck with one viewing at its floor: one set-up an interval, the rest go to the other.
         desk.play(1, taken);
-        desk.news(1, taken, News::Rung(0));
+        desk.news(1, taken, ServerUpdate::Rung(0));
         for _ in 0..3 {
-            desk.news(1, taken, News::Link(if taken == 0 { 5.0 } else { 0.2 }));
-            desk.news(1, taken, News::Uplink(if taken == 0 { 0.2 } else { 5.0 }));
+            desk.news(1, taken, ServerUpdate::Link(if taken == 0 { 5.0 } else { 0.2 }));
+            desk.news(1, taken, ServerUpdate::Uplink(if taken == 0 { 0.2 } else { 5.0 }));
             desk.pass(4);
         }
         let to: Vec<_> = (2..8).filter_map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
@@ -420,13 +433,15 @@
 #[test]
 fn suspects_are_left_alone_then_tried() {
     // How the tune-in at server 0 ended, whether the next goes there too while another holder is sound.
-    for (ending, again) in [(Ending::Served, true), (Ending::Errored, false), (Ending::Unanswered, false)] {
+    for (outcome, again) in
+        [(TuneInOutcome::Completed, true), (TuneInOutcome::Failed, false), (TuneInOutcome::TimedOut, false)]
+    {
         let mut desk = Desk::new(None);
         assert_eq!(sent_to(&desk.ask(1, 0, 0, 1)), Some(0));
         desk.play(1, 0);
-        desk.end(1, 0, 0, ending, true);
+        desk.end(1, 0, 0, outcome, true);
         let to: Vec<_> = (2..12).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2)).unwrap()).collect();
-        assert_eq!(to.contains(&0), again, "{ending:?} {to:?}");
+        assert_eq!(to.contains(&0), again, "{outcome:?} {to:?}");
         // With all holders suspect the best is still tried.
         desk.now += ms(900);
         assert!(sent_to(&desk.ask(20, 0, 0, 1)).is_some());
@@ -438,27 +453,28 @@
     // At how many servers of a zone one tune-in each ends, how, whether one plays there after that, how much later a title
     // is asked for that another server there and one elsewhere hold; whether none of it goes to the zone.
     let cases = [
-        (3, Ending::Unreachable, false, 0, true),
-        (3, Ending::Unanswered, false, 400, true),
-        (3, Ending::Unreachable, false, 600, false),
-        (4, Ending::Unreachable, false, 600, true),
-        (2, Ending::Unreachable, false, 0, false),
-        (3, Ending::Errored, false, 0, false),
-        (3, Ending::TurnedAway, false, 0, false),
-        (3, Ending::Unreachable, true, 0, false),
+        (3, TuneInOutcome::Unreachable, false, 0, true),
+        (3, TuneInOutcome::TimedOut, false, 400, true),
+        (3, TuneInOutcome::Unreachable, false, 600, false),
+        (4, TuneInOutcome::Unreachable, false, 600, true),
+        (2, TuneInOutcome::Unreachable, false, 0, false),
+        (3, TuneInOutcome::Failed, false, 0, false),
+        (3, TuneInOutcome::Refused, false, 0, false),
+        (3, TuneInOutcome::Unreachable, true, 0, false),
     ];
-    for (servers, ending, plays, later, left) in cases {
+    for (servers, outcome, plays, later, left) in cases {
         let mut desk = Desk::new(None);
         for server in 0..7 {
             let (weight, zone, cell) = (2.0, ZoneId(u8::from(server != 6)), u32::from(server));
-            let (server, standing, kind, born) = (ServerId([server; 6]), Standing::Ready, KindId(0), None);
-            let listed = Listed { server, standing, born, weight, zone, kind, cell };
-            desk.manager.listed(desk.now, &[listed], Extent::Changes);
+            let (server, state, kind, started_at) =
+                (ServerId([server; 6]), ServerState::Ready, KindId(0), None);
+            let list_entry = ServerEntry { server, state, started_at, weight, zone, kind, cell };
+            desk.manager.on_server_list(desk.now, &[list_entry], ListScope::Changes);
         }
         desk.now += ms(20_000);
         for server in 0..servers {
             assert_eq!(sent_to(&desk.ask(100 + u32::from(server), 0, u32::from(server), 1)), Some(server));
-            desk.end(100 + u32::from(server), 0, server, ending, true);
+            desk.end(100 + u32::from(server), 0, server, outcome, true);
         }
         if plays {
             desk.ask(200, 0, 4, 1);
@@ -470,7 +486,7 @@
         assert_eq!(
             to.iter().all(|server| *server == 6),
             left,
-            "{servers} {ending:?} {plays} {later}: {to:?}"
+            "{servers} {outcome:?} {plays} {later}: {to:?}"
         );
         // Who has no other holder is set up there all the same.
         assert_eq!(sent_to(&desk.ask(50, 0, 5, 1)), Some(5));
@@ -489,9 +505,9 @@
     for (links, uplink, may) in cases {
         let mut desk = Desk::new(None);
         for (server, full) in links.into_iter().enumerate() {
-            desk.news(0, server as u8, News::Link(full));
+            desk.news(0, server as u8, ServerUpdate::Link(full));
         }
-        desk.news(0, 0, News::Uplink(uplink));
+        desk.news(0, 0, ServerUpdate::Uplink(uplink));
         for vw in 1..4 {
             let to = sent_to(&desk.ask(vw, 0, 0, 3)).unwrap();
             assert!(may.contains(&to), "{to} at {links:?}, {uplink}");
@@ -565,8 +581,8 @@
     ];
     for (tells, crowd, asks, unknown, short) in cases {
         let mut desk = Desk::new(None);
-        desk.manager.network.told = if tells { ms(3000) } else { Duration::ZERO };
-        let mut view = View::new(desk.manager.network.told(), 200.0);
+        desk.manager.network.configured_report_interval = if tells { ms(3000) } else { Duration::ZERO };
+        let mut view = View::new(desk.manager.network.report_interval(), 200.0);
         view.now = START;
         view.settle(asks * 1000.0 / 200.0, [1000.0, 1000.0], (!tells).then_some(crowd));
         let mut link = Link::new(1000.0, 0);
@@ -587,11 +603,11 @@
             let server = if vw == 1 { 0 } else { 1 };
             assert_eq!(sent_to(&desk.ask(vw, 0, server, 1)), Some(server as u8));
             desk.play(vw, server as u8);
-            desk.news(vw, server as u8, News::Rung(if vw == 1 { own } else { others }));
+            desk.news(vw, server as u8, ServerUpdate::Rung(if vw == 1 { own } else { others }));
         }
-        desk.news(1, 0, News::Link(full));
-        desk.news(1, 0, News::Uplink(0.1));
-        desk.news(2, 1, News::Link(1.0));
+        desk.news(1, 0, ServerUpdate::Link(full));
+        desk.news(1, 0, ServerUpdate::Uplink(0.1));
+        desk.news(2, 1, ServerUpdate::Link(1.0));
         let did = desk.pass(1);
         assert_eq!(did.iter().any(|d| matches!(d, Did::Rung(1, _))), rises, "{full} {own} {others}: {did:?}");
     }
@@ -615,7 +631,7 @@
         let mut desk = Desk::new(None);
         desk.manager.limits.probe = price;
         for (server, full) in [(0, 0.1), (1, 0.5)] {
-            desk.news(0, server, News::Link(full));
+            desk.news(0, server, ServerUpdate::Link(full));
         }
         desk.now += if fresh { ms(500) } else { ms(5000) };
         let mut did = desk.ask(1, 0, 0, 2);
@@ -624,8 +640,8 @@
         assert_eq!(probed.len(), probes, "{price:?} {fresh}");
         for server in &probed {
             assert_eq!(sent_to(&did), None, "before all are back");
-            let load = found[usize::from(*server)].map(|full| Load { link: Some(full), uplink: None });
-            desk.manager.probed(&mut desk.did, desk.now, ServerId([*server; 6]), load);
+            let load = found[usize::from(*server)].map(|full| LoadReport { link: Some(full), uplink: None });
+            desk.manager.on_probe_result(&mut desk.did, desk.now, ServerId([*server; 6]), load);
             did = desk.take();
         }
         // One that was found empty is taken, whichever was probed.
@@ -640,7 +656,7 @@
     for (price, full, taken) in [(0.0, 0.5, 1), (0.2, 0.5, 1), (0.3, 0.5, 0), (0.3, 0.7, 1)] {
         let mut desk = Desk::new(None);
         desk.manager.prices.handshake = price;
-        desk.news(0, 0, News::Link(full));
+        desk.news(0, 0, ServerUpdate::Link(full));
         assert_eq!(sent_to(&desk.ask(1, 0, 0, 2)), Some(taken), "{price} {full}");
     }
 }
@@ -673,7 +689,8 @@
             let new = |n: u64| {
                 let mut desk = Desk::new(None);
                 desk.manager.siblings = f64::from(managers);
-                desk.manager.pace = Pace::new(managers, &[streams], ms(10_000), 0.4, 2.0, ms(1000));
+                desk.manager.slow_start =
+                    SlowStart::new(managers, &[streams], ms(10_000), 0.4, 2.0, ms(1000));
                 desk.manager.chance = Pcg((seed * 1000 + n + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
                 desk
             };
@@ -681,21 +698,21 @@
             // A title at each of eight cells; the server stands at the first, and starts after twelve seconds.
             let (mut chance, mut vw, mut sent, mut wanted) = (Pcg(seed), 0, vec![], 0);
             let gap = Duration::from_secs_f64(part / (asked * bears));
-            let (mut now, born) = (desks[0].now, desks[0].now + ms(12_000));
-            while now < born + ms(10_000) {
+            let (mut now, started_at) = (desks[0].now, desks[0].now + ms(12_000));
+            while now < started_at + ms(10_000) {
                 now += gap;
                 let desk = &mut desks[chance.below(managers as usize)];
                 let cell = if chance.falls(part) { 0 } else { 1 + chance.below(7) as u32 };
                 let was = desk.now;
                 desk.now = now;
-                if was < born && now >= born {
-                    desk.list(0, Standing::Ready, Some(born));
+                if was < started_at && now >= started_at {
+                    desk.list(0, ServerState::Ready, Some(started_at));
                 }
                 vw += 1;
                 let to = sent_to(&desk.ask(vw, 0, cell, 1));
                 to.into_iter().for_each(|server| desk.play(vw, server));
-                wanted += usize::from(now >= born && cell == 0);
-                sent.extend(to.filter(|server| *server == 0 && now >= born).map(|_| now));
+                wanted += usize::from(now >= started_at && cell == 0);
+                sent.extend(to.filter(|server| *server == 0 && now >= started_at).map(|_| now));
             }
             let most =
                 sent.iter().map(|at| sent.iter().filter(|s| **s <= *at && **s + ms(1000) > *at).count());
@@ -726,24 +743,26 @@
                 }
                 4 if !live.is_empty() => {
                     let (vw, n, server) = live.swap_remove(chance.below(live.len()));
-                    let did = desk.end(vw, n, server, Ending::Broken, false);
+                    let did = desk.end(vw, n, server, TuneInOutcome::ConnectionBroken, false);
                     live.extend(sent_to(&did).map(|server| (vw, n + 1, server)));
                 }
                 5 if !live.is_empty() => {
                     let (vw, _, server) = live[chance.below(live.len())];
                     desk.play(vw, server);
-                    desk.news(vw, server, News::Rung(chance.below(4)));
-                    desk.news(vw, server, News::Link(2.0 * chance.part()));
+                    desk.news(vw, server, ServerUpdate::Rung(chance.below(4)));
+                    desk.news(vw, server, ServerUpdate::Link(2.0 * chance.part()));
                 }
                 6 => drop(desk.pass(1)),
-                7 => desk.list(server, Standing::Ready, None),
+                7 => desk.list(server, ServerState::Ready, None),
                 // A server unknown so far, one that stands elsewhere now, and viewings from before.
                 _ => {
                     let (package, title, id) = (PackageId(0), TitleId(1), ServerId([server; 6]));
-                    desk.manager.playing(desk.now, ViewingId(vw), id, package, title, (0, 3));
-                    let row = desk.manager.servers.get(&id).map(|s| s.listed);
-                    let moved = row.map(|row| Listed { cell: chance.below(8) as u32, ..row });
-                    moved.into_iter().for_each(|row| desk.manager.listed(desk.now, &[row], Extent::Changes));
+                    desk.manager.restore_viewing(desk.now, ViewingId(vw), id, package, title, (0, 3));
+                    let row = desk.manager.servers.get(&id).map(|s| s.list_entry);
+                    let moved = row.map(|row| ServerEntry { cell: chance.below(8) as u32, ..row });
+                    moved
+                        .into_iter()
+                        .for_each(|row| desk.manager.on_server_list(desk.now, &[row], ListScope::Changes));
                 }
             }
             let m = &desk.manager;
@@ -755,8 +774,9 @@
                 assert_eq!(*kept, asks(&|at| at == server), "seed {seed}, event {vw}, {server:?}");
             }
             for (rack, kept) in m.racks.iter().enumerate() {
-                let here =
-                    |at: &ServerId| m.servers.get(at).is_some_and(|s| m.network.rack(s.listed.cell) == rack);
+                let here = |at: &ServerId| {
+                    m.servers.get(at).is_some_and(|s| m.network.rack(s.list_entry.cell) == rack)
+                };
                 let kb: Vec<_> = kept.asks.iter().map(|ask| (ask.vw, ask.kb)).collect();
                 assert_eq!(kb, asks(&here), "seed {seed}, event {vw}, rack {rack}");
                 assert!(
@@ -813,8 +833,8 @@
         desk.now += ms(500);
     }
     // Our six fill the link at their highest rungs: beside them there is room for none.
-    (0..6).for_each(|vw| desk.news(vw, at, News::Rung(3)));
-    desk.news(0, at, News::Link(0.97));
+    (0..6).for_each(|vw| desk.news(vw, at, ServerUpdate::Rung(3)));
+    desk.news(0, at, ServerUpdate::Link(0.97));
     let server = ServerId([at; 6]);
     let s = desk.manager.servers.get_mut(&server).expect("listed");
     s.warning.bucket = Some(Bucket::new(100.0, desk.now));
@@ -825,9 +845,9 @@
 
 #[test]
 fn a_start_is_cold_however_the_list_came_to_tell_of_it() {
-    use Standing::{Draining, Gone, Ready};
+    use ServerState::{Draining, Gone, Ready};
     // Rows of server 0 one after another, each with whether it tells of a start now; the last is ready.
-    let cases: [&[(Standing, Option<bool>)]; 6] = [
+    let cases: [&[(ServerState, Option<bool>)]; 6] = [
         &[(Ready, Some(true))],
         &[(Draining, Some(true)), (Ready, Some(true))],
         &[(Gone, Some(true)), (Ready, Some(true))],
@@ -837,9 +857,9 @@
     ];
     for rows in cases {
         let mut desk = Desk::new(None);
-        for (standing, now) in rows {
-            let born = now.map(|now| if now { desk.now } else { START });
-            desk.list(0, *standing, born);
+        for (state, now) in rows {
+            let started_at = now.map(|now| if now { desk.now } else { START });
+            desk.list(0, *state, started_at);
         }
         let sent = (0..10).filter(|vw| sent_to(&desk.ask(*vw, 0, 0, 1)).is_some()).count();
         assert!(sent <= 1, "{sent} set-ups at once to a server that has just started: {rows:?}");
@@ -848,7 +868,7 @@
     let mut desk = Desk::new(None);
     desk.list(0, Ready, Some(START));
     desk.now += ms(20_000);
-    [None, Some(START)].into_iter().for_each(|born| desk.list(0, Ready, born));
+    [None, Some(START)].into_iter().for_each(|started_at| desk.list(0, Ready, started_at));
     assert_eq!((0..10).filter(|vw| sent_to(&desk.ask(*vw, 0, 0, 1)).is_some()).count(), 10);
 }
 
@@ -858,8 +878,8 @@
     for (cells, holds) in [(vec![5], 5), (vec![5, 0], 0), (vec![6, 5, 6], 6)] {
         let mut desk = Desk::new(None);
         for cell in cells {
-            let listed = Listed { cell, ..desk.manager.servers[&ServerId([0; 6])].listed };
-            desk.manager.listed(desk.now, &[listed], Extent::Changes);
+            let list_entry = ServerEntry { cell, ..desk.manager.servers[&ServerId([0; 6])].list_entry };
+            desk.manager.on_server_list(desk.now, &[list_entry], ListScope::Changes);
         }
         for cell in [0, 5, 6] {
             let did = desk.ask(cell, 0, cell, 1);
@@ -871,42 +891,44 @@
 #[test]
 fn what_is_held_follows_the_living() {
     // Every four seconds all servers are replaced by others under new ids; viewings come and go.
-    let (mut desk, mut kept) = (Desk::new(Some(Ration::new(ms(5000), 5.0, 0.2))), vec![]);
+    let (mut desk, mut kept) = (Desk::new(Some(RetryBudget::new(ms(5000), 5.0, 0.2))), vec![]);
     for turn in 0..60_u32 {
         let id = |turn: u32, i: u8| ServerId([i, (turn % 250) as u8 + 1, 0, 0, 0, 0]);
         for i in 0..4 {
-            let row = |server, standing| {
+            let row = |server, state| {
                 let (weight, zone, kind, cell) = (2.0, ZoneId(0), KindId(0), u32::from(i));
-                Listed { server, standing, born: Some(desk.now), weight, zone, kind, cell }
+                ServerEntry { server, state, started_at: Some(desk.now), weight, zone, kind, cell }
             };
-            let rows = [row(id(turn, i), Standing::Ready), row(id(turn.wrapping_sub(1), i), Standing::Gone)];
-            desk.manager.listed(desk.now, &rows[..if turn > 0 { 2 } else { 1 }], Extent::Changes);
+            let rows =
+                [row(id(turn, i), ServerState::Ready), row(id(turn.wrapping_sub(1), i), ServerState::Gone)];
+            desk.manager.on_server_list(desk.now, &rows[..if turn > 0 { 2 } else { 1 }], ListScope::Changes);
         }
         for vw in 0..8 {
             let id = ViewingId(turn * 8 + vw);
             let (title, cells, ends) = (TitleId(0), Cells { first: vw % 4, spread: 4 }, desk.now + ms(3000));
-            desk.manager.asked(&mut desk.did, desk.now, id, PackageId(0), title, cells, 3, ends);
+            desk.manager.on_request(&mut desk.did, desk.now, id, PackageId(0), title, cells, 3, ends);
             let server = desk.manager.viewings.get(&id).and_then(|v| v.server);
             if let Some(server) = server {
-                desk.manager.plays(desk.now, id, server);
-                let (served, none) = (Ending::Served, Load::default());
-                desk.manager.ended(&mut desk.did, desk.now, id, 0, server, served, true, none);
+                desk.manager.on_playing(desk.now, id, server);
+                let (served, none) = (TuneInOutcome::Completed, LoadReport::default());
+                desk.manager.on_tune_in_ended(&mut desk.did, desk.now, id, 0, server, served, true, none);
             }
             desk.pass(1);
         }
-        kept.push(desk.manager.kept());
+        kept.push(desk.manager.entry_count());
     }
     let (first, last) = (kept[10], kept[59]);
     assert!(last <= first + first / 10, "{first} entries after ten turns, {last} after sixty");
     // A late word of one that is forgotten is none, and one that comes back anew is cold.
     let old = ServerId([0, 2, 0, 0, 0, 0]);
     assert!(!desk.manager.servers.contains_key(&old));
-    desk.manager.news(desk.now, ViewingId(1), old, News::Share(0.5));
-    desk.end(1, 0, 0, Ending::Broken, true);
-    desk.manager.probed(&mut desk.did, desk.now, old, None);
-    let (zone, kind, born) = (ZoneId(0), KindId(0), Some(desk.now));
-    let row = Listed { server: old, standing: Standing::Ready, born, weight: 2.0, zone, kind, cell: 7 };
-    desk.manager.listed(desk.now, &[row], Extent::Changes);
+    desk.manager.on_server_update(desk.now, ViewingId(1), old, ServerUpdate::Share(0.5));
+    desk.end(1, 0, 0, TuneInOutcome::ConnectionBroken, true);
+    desk.manager.on_probe_result(&mut desk.did, desk.now, old, None);
+    let (zone, kind, started_at) = (ZoneId(0), KindId(0), Some(desk.now));
+    let row =
+        ServerEntry { server: old, state: ServerState::Ready, started_at, weight: 2.0, zone, kind, cell: 7 };
+    desk.manager.on_server_list(desk.now, &[row], ListScope::Changes);
     let sent = (900..910).filter(|vw| desk.ask(*vw, 0, 7, 1).iter().any(|d| matches!(d, Did::TuneIn(..))));
     assert!(sent.count() <= 1, "it has just started");
 }
@@ -916,10 +938,10 @@
     let mut desk = Desk::new(None);
     assert_eq!(sent_to(&desk.ask(1, 0, 0, 1)), Some(0));
     desk.now += ms(100);
-    desk.list(0, Standing::Ready, Some(desk.now));
+    desk.list(0, ServerState::Ready, Some(desk.now));
     // Warm by now; then the answer of the earlier start's connection breaks at last.
     desk.now += ms(15_000);
-    desk.end(1, 0, 0, Ending::Broken, true);
+    desk.end(1, 0, 0, TuneInOutcome::ConnectionBroken, true);
     let to: Vec<_> = (2..8).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
     assert!(to.contains(&Some(0)), "left alone for what its earlier start did: {to:?}");
 }
@@ -928,19 +950,24 @@
 fn each_viewing_turned_down_tells_why() {
     // What is done before, the package asked for, the cells, and why it is turned down.
     type Before = fn(&mut Desk);
-    let cases: [(Before, usize, (u32, u32), Why); 7] = [
-        (|_| {}, 9, (0, 1), Why::Unknown),
-        (|_| {}, 0, (5, 2), Why::NoHolder),
-        (|d| (0..4).for_each(|at| d.list(at, Standing::Draining, None)), 0, (0, 4), Why::NoHolder),
-        (|d| (0..2).for_each(|vw| drop(d.ask(50 + vw, 2, 0, 3))), 2, (0, 3), Why::Seats),
+    let cases: [(Before, usize, (u32, u32), RefusalReason); 7] = [
+        (|_| {}, 9, (0, 1), RefusalReason::UnknownPackage),
+        (|_| {}, 0, (5, 2), RefusalReason::NoReadyHolder),
+        (
+            |d| (0..4).for_each(|at| d.list(at, ServerState::Draining, None)),
+            0,
+            (0, 4),
+            RefusalReason::NoReadyHolder,
+        ),
+        (|d| (0..2).for_each(|vw| drop(d.ask(50 + vw, 2, 0, 3))), 2, (0, 3), RefusalReason::SeatsTaken),
         (
             |d| {
-                d.list(0, Standing::Ready, Some(d.now));
+                d.list(0, ServerState::Ready, Some(d.now));
                 d.ask(50, 0, 0, 1);
             },
             0,
             (0, 1),
-            Why::Cold,
+            RefusalReason::HoldersCold,
         ),
         (
             |d| {
@@ -949,31 +976,31 @@
             },
             0,
             (0, 1),
-            Why::Tokens,
+            RefusalReason::RateLimited,
         ),
-        (|d| d.manager.limits.tune_ins = 0, 0, (0, 1), Why::TuneIns),
+        (|d| d.manager.limits.tune_ins = 0, 0, (0, 1), RefusalReason::TuneInsUsedUp),
     ];
-    for (before, package, (first, spread), why) in cases {
+    for (before, package, (first, spread), reason) in cases {
         let mut desk = Desk::new(None);
         before(&mut desk);
         desk.did.1.clear();
         desk.ask(1, package, first, spread);
-        assert_eq!(desk.did.1, [why]);
+        assert_eq!(desk.did.1, [reason]);
     }
     // After a tune-in: the ration, what may have run, patience.
-    let none = || Some(Ration::new(ms(5000), 0.0, 0.0));
-    for (package, ending, why) in [
-        (0, Some(Ending::TurnedAway), Why::Ration),
-        (1, Some(Ending::Broken), Why::Ran),
-        (0, None, Why::Patience),
+    let none = || Some(RetryBudget::new(ms(5000), 0.0, 0.0));
+    for (package, outcome, reason) in [
+        (0, Some(TuneInOutcome::Refused), RefusalReason::RetryBudgetExhausted),
+        (1, Some(TuneInOutcome::ConnectionBroken), RefusalReason::MayHaveRun),
+        (0, None, RefusalReason::PatienceOver),
     ] {
         let mut desk = Desk::new(none());
         let at = sent_to(&desk.ask(1, package, 0, 3)).unwrap();
-        match ending {
-            Some(ending) => drop(desk.end(1, 0, at, ending, false)),
+        match outcome {
+            Some(outcome) => drop(desk.end(1, 0, at, outcome, false)),
             None => drop(desk.patience(1)),
         }
-        assert_eq!(desk.did.1, [why], "{package} {ending:?}");
+        assert_eq!(desk.did.1, [reason], "{package} {outcome:?}");
     }
 }
 
@@ -984,10 +1011,10 @@
     let mut desk = Desk::new(None);
     for vw in 1..4 {
         assert_eq!(sent_to(&desk.ask(vw, 0, 0, 1)), Some(0));
-        desk.end(vw, 0, 0, Ending::Errored, true);
+        desk.end(vw, 0, 0, TuneInOutcome::Failed, true);
     }
     desk.now += ms(100);
-    desk.list(0, Standing::Ready, Some(desk.now));
+    desk.list(0, ServerState::Ready, Some(desk.now));
     desk.now += ms(1000);
     let to: Vec<_> = (4..10).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
     assert!(to.contains(&Some(0)), "held against the start that runs: {to:?}");
--- a/src/tests/outage.rs
+++ b/src/tests/outage.rs
@@ -45,7 +45,7 @@
     Asked,
     Look,
     /// A tune-in of a viewing of a manager, or the viewing that came of it, ends at a server.
-    Ends(usize, u32, u16, u8, Ending),
+    Ends(usize, u32, u16, u8, TuneInOutcome),
 }
 
 /// What is to happen, by when, in the order in which it was put there.
@@ -60,10 +60,10 @@
 }
 
 fn desk(n: u64, (managers, streams, _): Load, fresh: bool) -> Desk {
-    let mut desk = Desk::new(Some(Ration::new(ms(5000), 5.0, 0.2)));
+    let mut desk = Desk::new(Some(RetryBudget::new(ms(5000), 5.0, 0.2)));
     let manager = &mut desk.manager;
     manager.siblings = f64::from(managers);
-    manager.pace = Pace::new(managers, &[streams], COLD, 0.4, 2.0, WINDOW);
+    manager.slow_start = SlowStart::new(managers, &[streams], COLD, 0.4, 2.0, WINDOW);
     manager.chance = Pcg(n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     // Links bear whatever is asked: nothing but the outage holds anything back.
     (manager.network.links_kb, manager.network.uplink_kb) = (4e6, 4e6);
@@ -111,7 +111,7 @@
             }
             Next::Ends(at, vw, n, server, ending) => {
                 desks[at].now = now;
-                (at, desks[at].end(vw, n, server, ending, ending == Ending::Served))
+                (at, desks[at].end(vw, n, server, ending, ending == TuneInOutcome::Completed))
             }
         };
         for did in did {
@@ -120,9 +120,9 @@
             if now >= down && now < up(server) {
                 vain += 1;
                 let (after, ending) = match outage.fails {
-                    Fails::Refuses => (ms(1), Ending::Unreachable),
-                    Fails::Silent => (limit.min(ms(250)), Ending::Unreachable),
-                    Fails::Resets => (ms(2), Ending::Broken),
+                    Fails::Refuses => (ms(1), TuneInOutcome::Unreachable),
+                    Fails::Silent => (limit.min(ms(250)), TuneInOutcome::Unreachable),
+                    Fails::Resets => (ms(2), TuneInOutcome::ConnectionBroken),
                 };
                 agenda.put(now + after, Next::Ends(at, vw, n, server, ending));
                 continue;
@@ -132,7 +132,7 @@
             }
             desks[at].play(vw, server);
             asked[vw as usize].1 = true;
-            agenda.put(now + ms(4000), Next::Ends(at, vw, n, server, Ending::Served));
+            agenda.put(now + ms(4000), Next::Ends(at, vw, n, server, TuneInOutcome::Completed));
         }
     }
     let nine = |late: &Duration| {
