--- a/src/interface.rs
+++ b/src/interface.rs
@@ -139,7 +139,7 @@
     fn abort(&mut self, vw: ViewingId, reason: RefusalReason);
     fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16);
     fn set_rung(&mut self, vw: ViewingId, rung: usize);
-    /// Asks a server for its load; `probed` tells what came of it.
+    /// Asks a server for its load; `on_probe_result` tells what came of it.
     fn probe(&mut self, server: ServerId);
     fn set_timer(&mut self, after: Duration, token: u64);
 }
