--- a/crates/signal/src/lib.rs
+++ b/crates/signal/src/lib.rs
@@ -1,35 +1,48 @@
-//! The viewing managers' protocol as bytes, without I/O: JSON lines towards viewers ([`line`]), length-prefixed messages
-//! towards video servers ([`binary`]). Messages get no types: what is read is a [`Signal`], whose fields are taken out
-//! one by one by whom they concern; what is written is put together field by field.
+//! Encodes and decodes the viewing manager's protocol, without I/O.
+//!
+//! Viewers exchange lines of JSON with the manager ([`line`]); video servers exchange length-prefixed binary
+//! messages with it ([`binary`]). There is no type for each message: decoding yields a [`Signal`], from which the
+//! caller reads the fields that it needs, and encoding takes a list of fields.
 
 pub mod binary;
 pub mod line;
 
 use std::borrow::Cow;
 
-/// The longest message.
+/// The greatest length of a message, in bytes. It includes the length prefix of a binary message and the line end of a
+/// line that is written, but not the line end of a line that is read.
 pub const LONGEST: usize = 16 << 10;
 
-/// What names a session on the wire.
+/// The reference that identifies a session on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ref(pub u64);
 
-/// What a message is.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Requests a session.
     SetUp,
+    /// Reports that a set-up is still in progress.
     Progress,
+    /// Confirms a set-up and carries the session's description.
     Answer,
+    /// Ends a set-up or a session, with a cause.
     Release,
+    /// Acknowledges a message.
     Heard,
+    /// A heartbeat request.
     Test,
+    /// The reply to a heartbeat request.
     Tested,
+    /// A notification about a session or its server, such as a load figure.
     Note,
+    /// Moves a session to another server.
     Move,
+    /// Changes the rung of a session.
     Rung,
 }
 
-/// Kinds, with their names in lines and their numbers in binary messages.
+/// Each kind with its name in JSON lines and its type number in binary messages.
 const KINDS: [(Kind, &str, u8); 10] = [
     (Kind::SetUp, "new", 1),
     (Kind::Progress, "wait", 6),
@@ -43,21 +56,27 @@
     (Kind::Rung, "step", 60),
 ];
 
-/// Fields, with their names in lines and their codes in binary messages. What is known in one only has no other.
+/// A field of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
     Package,
-    /// How long the answer is waited for, in milliseconds.
+    /// How much longer the viewer waits for an answer, in milliseconds.
     Left,
     Tenant,
     Title,
+    /// Further parameters as `name:value` pairs, separated by semicolons.
     Extras,
+    /// The name of the value that a notification reports.
     Note,
+    /// A load report.
     Report,
     Rung,
+    /// The value that a notification reports.
     Figure,
 }
 
+/// Each field with its name in JSON lines and its code in binary messages. An empty name or a code of 0 means that
+/// the encoding has no such field.
 const FIELDS: [(Field, &str, u8); 9] = [
     (Field::Package, "class", 64),
     (Field::Left, "left", 66),
@@ -70,10 +89,11 @@
     (Field::Figure, "", 88),
 ];
 
-/// A message as it was read.
+/// A decoded message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Signal<'a> {
     pub kind: Kind,
+    /// The session that the message concerns.
     pub of: Ref,
     pub cause: Option<u8>,
     pub description: Option<Cow<'a, [u8]>>,
@@ -81,31 +101,32 @@
 }
 
 impl Signal<'_> {
+    /// The value of a field as text.
     pub fn text(&self, field: Field) -> Option<&str> {
-        self.fields.iter().find(|(name, _)| *name == field).map(|(_, text)| text.as_ref())
+        self.fields.iter().find(|(known, _)| *known == field).map(|(_, text)| text.as_ref())
     }
 
-    /// A field that is a whole number.
+    /// The value of a field as a whole number.
     pub fn whole(&self, field: Field) -> Option<u64> {
         self.text(field)?.parse().ok()
     }
 
-    /// A field that is a number.
+    /// The value of a field as a finite number.
     pub fn number(&self, field: Field) -> Option<f64> {
         self.text(field)?.parse().ok().filter(|number: &f64| number.is_finite())
     }
 
-    /// One of the figures in the field for extras, as in `home:4;copies:3`.
+    /// The value of one pair in [`Field::Extras`], whose form is `home:4;copies:3`.
     pub fn extra(&self, name: &str) -> Option<&str> {
         let mut extras = self.text(Field::Extras)?.split(';').filter_map(|extra| extra.split_once(':'));
-        extras.find(|(of, _)| *of == name).map(|(_, value)| value)
+        extras.find(|(extra_name, _)| *extra_name == name).map(|(_, value)| value)
     }
 }
 
-/// Sixteen hexadecimal digits, as ids are written.
+/// Parses an id, which consists of sixteen hexadecimal digits.
 pub fn id(text: &str) -> Option<u64> {
-    let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|_| digits)
+    let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| well_formed)
 }
 
 #[cfg(test)]
--- a/crates/signal/src/line.rs
+++ b/crates/signal/src/line.rs
@@ -1,101 +1,108 @@
-//! Lines of JSON, towards viewers.
+//! JSON lines, exchanged with viewers.
+//!
+//! Each line is an object with the keys `t` (kind), `ref` (session reference), `f` (fields), `c` (cause) and `d`
+//! (description); the last three may be left out.
 
 use crate::{FIELDS, Field, KINDS, Kind, LONGEST, Ref, Signal, id};
 use serde_json::{Map, Value, json};
 use std::borrow::Cow;
 
-/// Bytes of a connection, cut into lines. It holds no more than the longest message and what one reading brings.
+/// Splits the bytes received on a connection into lines. The buffer holds at most one incomplete line and the bytes of
+/// one read.
 #[derive(Default)]
 pub struct Lines {
-    held: Vec<u8>,
-    /// What was taken of it.
-    taken: usize,
+    buffer: Vec<u8>,
+    /// How many bytes at the start of the buffer have been returned as lines.
+    consumed_bytes: usize,
 }
 
 impl Lines {
+    /// Appends received bytes and discards those already returned.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.drain(..std::mem::take(&mut self.taken));
-        self.held.extend_from_slice(bytes);
+        self.buffer.drain(..std::mem::take(&mut self.consumed_bytes));
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole line, without its end.
+    /// Returns the next complete line, without its line end.
     ///
     /// # Errors
-    /// A line is longer than a message can be: nothing more can be read.
+    /// The line exceeds the greatest length of a message; the connection has to be closed.
     pub fn cut(&mut self) -> Result<Option<&[u8]>, String> {
-        let rest = &self.held[self.taken..];
+        let rest = &self.buffer[self.consumed_bytes..];
         match rest.iter().take(LONGEST + 1).position(|byte| *byte == b'\n') {
             Some(end) => {
-                let start = self.taken;
-                self.taken += end + 1;
-                Ok(Some(&self.held[start..start + end]))
+                let start = self.consumed_bytes;
+                self.consumed_bytes += end + 1;
+                Ok(Some(&self.buffer[start..start + end]))
             }
-            None if rest.len() > LONGEST => Err(format!("a line of over {LONGEST} bytes")),
+            None if rest.len() > LONGEST => Err(format!("line is longer than {LONGEST} bytes")),
             None => Ok(None),
         }
     }
 
-    /// Whether a part of a line waits for its rest.
+    /// Whether the buffer holds an incomplete line.
     pub fn begun(&self) -> bool {
-        self.taken < self.held.len()
+        self.consumed_bytes < self.buffer.len()
     }
 }
 
-/// Reads a line.
+/// Decodes a line. Unknown fields are ignored.
 ///
 /// # Errors
-/// It is no message; what was wrong with it.
+/// The line is not a message; the text says why.
 pub fn read(line: &[u8]) -> Result<Signal<'static>, String> {
-    let Value::Object(mut all) = serde_json::from_slice(line).map_err(|e| format!("no JSON: {e}"))? else {
-        return Err("no object".into());
+    let Value::Object(mut message) =
+        serde_json::from_slice(line).map_err(|error| format!("invalid JSON: {error}"))?
+    else {
+        return Err("message is not a JSON object".into());
     };
-    let kind = all.get("t").and_then(Value::as_str).ok_or("t is missing or no text")?;
-    let kind = KINDS.iter().find(|(_, name, _)| *name == kind).ok_or("t is none that is known")?.0;
-    let of = all.get("ref").and_then(Value::as_str).and_then(id);
-    let of = Ref(of.ok_or("ref is missing or not sixteen hexadecimal digits")?);
-    let cause = match all.get("c") {
+    let kind = message.get("t").and_then(Value::as_str).ok_or("t is missing or not a string")?;
+    let kind = KINDS.iter().find(|(_, name, _)| *name == kind).ok_or("t is not a known message kind")?.0;
+    let session = message.get("ref").and_then(Value::as_str).and_then(id);
+    let session = Ref(session.ok_or("ref is missing or not sixteen hexadecimal digits")?);
+    let cause = match message.get("c") {
         None => None,
         Some(cause) => {
             let cause = cause.as_u64().and_then(|cause| u8::try_from(cause).ok());
-            Some(cause.ok_or("c is no cause")?)
+            Some(cause.ok_or("c is not a cause (a whole number from 0 to 255)")?)
         }
     };
-    let description = match all.remove("d") {
+    let description = match message.remove("d") {
         None => None,
         Some(Value::String(text)) => Some(Cow::Owned(text.into_bytes())),
-        Some(_) => return Err("d is no text".into()),
+        Some(_) => return Err("d is not a string".into()),
     };
-    let fields = match all.remove("f") {
+    let fields = match message.remove("f") {
         None => Map::new(),
         Some(Value::Object(fields)) => fields,
-        Some(_) => return Err("f is no object".into()),
+        Some(_) => return Err("f is not a JSON object".into()),
     };
-    let mut known = vec![];
+    let mut known_fields = vec![];
     for (name, value) in fields {
         let Some((field, ..)) = FIELDS.iter().find(|(_, known, _)| *known == name) else { continue };
         let value = match value {
             Value::String(text) => text,
             Value::Number(number) => number.to_string(),
-            _ => return Err(format!("{name} is neither text nor number")),
+            _ => return Err(format!("field {name} is neither a string nor a number")),
         };
-        known.push((*field, Cow::Owned(value)));
+        known_fields.push((*field, Cow::Owned(value)));
     }
-    Ok(Signal { kind, of, cause, description, fields: known })
+    Ok(Signal { kind, of: session, cause, description, fields: known_fields })
 }
 
-/// Writes a line with its end.
+/// Encodes a message as a line with its line end.
 ///
 /// # Errors
-/// It would be longer than a message can be.
+/// The line is too long.
 pub fn write(
-    kind: Kind, of: Ref, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&str>,
+    kind: Kind, session: Ref, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&str>,
 ) -> Result<Vec<u8>, String> {
     let name = KINDS.iter().find(|(known, ..)| *known == kind).map_or("", |(_, name, _)| name);
-    let named =
+    let field_name =
         |field: &Field| FIELDS.iter().find(|(known, ..)| known == field).map_or("", |(_, name, _)| name);
     let fields: Map<_, _> =
-        fields.iter().map(|(field, text)| (named(field).to_string(), Value::from(*text))).collect();
-    let mut line = json!({"t": name, "ref": format!("{:016x}", of.0), "f": fields});
+        fields.iter().map(|(field, text)| (field_name(field).to_string(), Value::from(*text))).collect();
+    let mut line = json!({"t": name, "ref": format!("{:016x}", session.0), "f": fields});
     if let Some(cause) = cause {
         line["c"] = cause.into();
     }
@@ -104,5 +111,5 @@
     }
     let mut bytes = line.to_string().into_bytes();
     bytes.push(b'\n');
-    if bytes.len() > LONGEST { Err(format!("a line of over {LONGEST} bytes")) } else { Ok(bytes) }
+    if bytes.len() > LONGEST { Err(format!("line is longer than {LONGEST} bytes")) } else { Ok(bytes) }
 }
--- a/crates/signal/src/tests.rs
+++ b/crates/signal/src/tests.rs
@@ -1,14 +1,14 @@
-//! Tables of messages in both encodings, and bytes that are none.
+//! Valid messages in both encodings, and malformed input.
 
 use crate::binary::Messages;
 use crate::line::Lines;
 use crate::{Field, Kind, LONGEST, Ref, binary, id, line};
 use proptest::prelude::*;
 
-const OF: Ref = Ref(0x9b1f_03aa_5c7e_2d41);
+const SESSION: Ref = Ref(0x9b1f_03aa_5c7e_2d41);
 
 #[test]
-fn the_kinds_in_both_encodings() {
+fn every_kind_is_read_and_written_in_both_encodings() {
     let cases: [(Kind, Option<u8>, &str, &[u8]); 5] = [
         (Kind::Release, Some(34), r#"{"t":"down","ref":"9b1f03aa5c7e2d41","f":{},"c":34}"#, &[12]),
         (Kind::Test, Some(0), r#"{"t":"hb","ref":"9b1f03aa5c7e2d41","f":{},"c":0}"#, &[52]),
@@ -16,20 +16,20 @@
         (Kind::Heard, None, r#"{"t":"ack","ref":"9b1f03aa5c7e2d41"}"#, &[16]),
         (Kind::Move, None, r#"{"t":"shift","ref":"9b1f03aa5c7e2d41","f":{}}"#, &[51]),
     ];
-    for (kind, cause, text, head) in cases {
+    for (kind, cause, text, header) in cases {
         let read = line::read(text.as_bytes()).expect(text);
-        assert_eq!((read.kind, read.of, read.cause), (kind, OF, cause), "{text}");
-        let written = line::write(kind, OF, &[], cause, None).expect(text);
+        assert_eq!((read.kind, read.of, read.cause), (kind, SESSION, cause), "{text}");
+        let written = line::write(kind, SESSION, &[], cause, None).expect(text);
         assert_eq!(line::read(&written).expect(text), read, "{text}");
         let parameters: Vec<u8> = cause.into_iter().flat_map(|cause| [92, 0, 1, cause]).collect();
         let length = 9 + parameters.len() as u16;
-        let bytes = [&length.to_be_bytes()[..], head, &OF.0.to_be_bytes(), &parameters].concat();
-        assert_eq!(binary::write(kind, OF, &[], cause, None).as_deref(), Ok(&bytes[..]), "{kind:?}");
+        let bytes = [&length.to_be_bytes()[..], header, &SESSION.0.to_be_bytes(), &parameters].concat();
+        assert_eq!(binary::write(kind, SESSION, &[], cause, None).as_deref(), Ok(&bytes[..]), "{kind:?}");
     }
 }
 
 #[test]
-fn a_set_up_goes_through_unchanged() {
+fn a_set_up_from_a_viewer_is_re_encoded_for_a_server_without_loss() {
     let text = r#"{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"paid","left":1500,"tenant":"acme","what":"x",
         "key":"7f3a9c21e0b4d655","extras":"home:4;copies:3;top:4;viewer:00000000b4d65521;again:1"},"d":"a\r\n\u00e4\u0000"}"#
         .replace('\n', "");
@@ -43,52 +43,56 @@
         (Field::Title, "7f3a9c21e0b4d655"),
         (Field::Rung, "2"),
     ];
-    let bytes = binary::write(Kind::SetUp, OF, &fields, None, read.description.as_deref()).expect("a set-up");
+    let bytes =
+        binary::write(Kind::SetUp, SESSION, &fields, None, read.description.as_deref()).expect("a set-up");
     let mut messages = Messages::default();
     messages.push(&bytes);
     let message = messages.cut().expect("whole").expect("one").to_vec();
-    let passed = binary::read(&message).expect("a set-up");
-    assert_eq!(passed.description, read.description);
-    assert_eq!((passed.text(Field::Title), passed.whole(Field::Rung)), (read.text(Field::Title), Some(2)));
+    let forwarded = binary::read(&message).expect("a set-up");
+    assert_eq!(forwarded.description, read.description);
+    assert_eq!(
+        (forwarded.text(Field::Title), forwarded.whole(Field::Rung)),
+        (read.text(Field::Title), Some(2))
+    );
     assert!(!messages.begun());
 }
 
 #[test]
-fn what_is_no_message_is_told() {
+fn malformed_messages_are_rejected_with_the_reason() {
     let cases = [
-        ("{", "no JSON"),
-        ("[]", "no object"),
+        ("{", "invalid JSON"),
+        ("[]", "message is not a JSON object"),
         ("{}", "t is missing"),
-        (r#"{"t":"up!"}"#, "t is none"),
+        (r#"{"t":"up!"}"#, "t is not a known"),
         (r#"{"t":"new"}"#, "ref is missing"),
         (r#"{"t":"new","ref":"12"}"#, "ref is missing or not"),
         (r#"{"t":"new","ref":"+b1f03aa5c7e2d41"}"#, "ref is missing or not"),
-        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":-1}"#, "c is no cause"),
-        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":256}"#, "c is no cause"),
-        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","d":4}"#, "d is no text"),
-        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","f":4}"#, "f is no object"),
-        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"left":[]}}"#, "left is neither"),
+        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":-1}"#, "c is not a cause"),
+        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":256}"#, "c is not a cause"),
+        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","d":4}"#, "d is not a string"),
+        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","f":4}"#, "f is not a JSON object"),
+        (r#"{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"left":[]}}"#, "field left is neither"),
     ];
-    for (text, wrong) in cases {
-        let told = line::read(text.as_bytes()).expect_err(text);
-        assert!(told.starts_with(wrong), "{text}: {told}");
+    for (text, expected) in cases {
+        let error = line::read(text.as_bytes()).expect_err(text);
+        assert!(error.starts_with(expected), "{text}: {error}");
     }
-    let of = OF.0.to_be_bytes();
+    let session = SESSION.0.to_be_bytes();
     let cases: [(&[u8], &str); 5] = [
-        (&[77], "type 77 is none"),
-        (&[12, 0], "no session"),
-        (&[12], "no session"),
-        (&[&[12][..], &of, &[92, 0, 2, 1, 1]].concat(), "a cause that is not one byte"),
-        (&[&[9][..], &of, &[94, 1, 0, 1]].concat(), "parameter 94 is cut short"),
+        (&[77], "unknown message type 77"),
+        (&[12, 0], "message without a complete session reference"),
+        (&[12], "message without a complete session reference"),
+        (&[&[12][..], &session, &[92, 0, 2, 1, 1]].concat(), "the cause is not one byte long"),
+        (&[&[9][..], &session, &[94, 1, 0, 1]].concat(), "parameter 94 is truncated"),
     ];
-    for (bytes, wrong) in cases {
-        assert_eq!(binary::read(bytes).map(|_| ()), Err(wrong.to_string()), "{bytes:?}");
+    for (bytes, expected) in cases {
+        assert_eq!(binary::read(bytes).map(|_| ()), Err(expected.to_string()), "{bytes:?}");
     }
 }
 
 #[test]
-fn lengths_at_the_edge() {
-    // The length that is announced, and whether it can be one.
+fn the_greatest_length_is_accepted_and_one_byte_more_is_not() {
+    // The announced length, and whether a message may have it.
     for (length, fits) in
         [(0u16, false), (8, false), (9, true), (16_382, true), (16_383, false), (65_535, false)]
     {
@@ -100,32 +104,38 @@
         let mut lines = Lines::default();
         lines.push(&vec![b'x'; length]);
         assert_eq!(lines.cut().is_ok(), fits, "{length}");
-        let overhead = line::write(Kind::Answer, OF, &[], None, Some("")).expect("empty").len();
+        let overhead = line::write(Kind::Answer, SESSION, &[], None, Some("")).expect("empty").len();
         let description = "x".repeat(length - overhead);
-        assert_eq!(line::write(Kind::Answer, OF, &[], None, Some(&description)).is_ok(), fits, "{length}");
+        assert_eq!(
+            line::write(Kind::Answer, SESSION, &[], None, Some(&description)).is_ok(),
+            fits,
+            "{length}"
+        );
     }
-    for (text, number) in [("00000000000000ff", Some(255)), ("0x000000000000ff", None), ("ff", None)] {
-        assert_eq!(id(text), number, "{text}");
+    for (text, parsed) in [("00000000000000ff", Some(255)), ("0x000000000000ff", None), ("ff", None)] {
+        assert_eq!(id(text), parsed, "{text}");
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_however_cut_panic_or_pile_up(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..2000), 0..40)) {
+    fn arbitrary_bytes_in_any_pieces_neither_panic_nor_yield_too_long_messages(
+        pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..2000), 0..40)
+    ) {
         let (mut lines, mut messages) = (Lines::default(), Messages::default());
-        let (mut broken, mut spoilt) = (false, false);
+        let (mut lines_failed, mut messages_failed) = (false, false);
         for piece in &pieces {
-            if !broken {
+            if !lines_failed {
                 lines.push(piece);
             }
-            while let Some(line) = lines.cut().unwrap_or_else(|_| { broken = true; None }) {
+            while let Some(line) = lines.cut().unwrap_or_else(|_| { lines_failed = true; None }) {
                 prop_assert!(line.len() <= LONGEST);
                 let _ = line::read(line);
             }
-            if !spoilt {
+            if !messages_failed {
                 messages.push(piece);
             }
-            while let Some(message) = messages.cut().unwrap_or_else(|_| { spoilt = true; None }) {
+            while let Some(message) = messages.cut().unwrap_or_else(|_| { messages_failed = true; None }) {
                 prop_assert!(message.len() <= LONGEST);
                 let _ = binary::read(message);
             }
@@ -133,8 +143,8 @@
     }
 
     #[test]
-    fn messages_are_the_same_wherever_they_are_cut(cut in 0usize..60, description in prop::collection::vec(any::<u8>(), 0..20)) {
-        let bytes = binary::write(Kind::Answer, OF, &[(Field::Report, "x0:12")], None, Some(&description)).expect("short");
+    fn a_message_received_in_two_pieces_is_read_whole(cut in 0usize..60, description in prop::collection::vec(any::<u8>(), 0..20)) {
+        let bytes = binary::write(Kind::Answer, SESSION, &[(Field::Report, "x0:12")], None, Some(&description)).expect("short");
         let mut messages = Messages::default();
         let cut = cut.min(bytes.len());
         messages.push(&bytes[..cut]);
