--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,5 +1,7 @@
-//! The options of a deployment, as the bench's wire and the platform's configuration tell them, turned into the calls
-//! that set a manager up. Each error names the key.
+//! Reads the options of a deployment and builds the decision module from them.
+//!
+//! Options are a JSON document. The bench sends them on its wire; the platform has them in its configuration. Each error
+//! names the key that is missing or invalid, as a JSON pointer.
 
 use ivyward::front::{Load, ZoneId};
 use ivyward::policy::Manager;
@@ -7,156 +9,176 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// What the values of a load report mean, by their order.
+/// The meaning of one value in a load report.
 pub enum Gauge {
+    /// The load of the server's link.
     Link,
+    /// The load of the rack's uplink.
     Uplink,
+    /// Any other value; it is ignored.
     Other,
 }
 
-fn number(of: &Value, key: &str) -> Result<f64, String> {
-    let found = of.pointer(key).and_then(Value::as_f64);
-    found.ok_or_else(|| format!("options: {key} is missing or no number"))
+/// The number at `key`.
+fn number(object: &Value, key: &str) -> Result<f64, String> {
+    let found = object.pointer(key).and_then(Value::as_f64);
+    found.ok_or_else(|| format!("options: {key} is missing or not a number"))
 }
 
-/// An absent value is zero, as the wire has it; any other than a number from zero up is an error.
-fn or_zero(of: &Value, key: &str) -> Result<f64, String> {
-    match of.pointer(key) {
+/// The number at `key`, which must not be negative. An absent value means zero, as on the bench's wire.
+fn number_or_zero(object: &Value, key: &str) -> Result<f64, String> {
+    match object.pointer(key) {
         None | Some(Value::Null) => Ok(0.0),
         Some(value) => value
             .as_f64()
             .filter(|n| *n >= 0.0)
-            .ok_or_else(|| format!("options: {key} is no number from 0 up")),
+            .ok_or_else(|| format!("options: {key} is not a number of at least 0")),
     }
 }
 
-/// The same: absent is no.
-fn truth(of: &Value, key: &str) -> Result<bool, String> {
-    match of.pointer(key) {
+/// The boolean at `key`. An absent value means false.
+fn flag_or_false(object: &Value, key: &str) -> Result<bool, String> {
+    match object.pointer(key) {
         None | Some(Value::Null) => Ok(false),
         Some(value) => value.as_bool().ok_or_else(|| format!("options: {key} is neither true nor false")),
     }
 }
 
-fn numbers(of: &Value, key: &str) -> Result<Vec<f64>, String> {
-    let list = of.pointer(key).and_then(Value::as_array);
-    let list = list.ok_or_else(|| format!("options: {key} is missing or no list"))?;
+/// The list of numbers at `key`.
+fn numbers(object: &Value, key: &str) -> Result<Vec<f64>, String> {
+    let list = object.pointer(key).and_then(Value::as_array);
+    let list = list.ok_or_else(|| format!("options: {key} is missing or not a list"))?;
     let numbers: Option<Vec<f64>> = list.iter().map(Value::as_f64).collect();
-    numbers.ok_or_else(|| format!("options: {key} holds other than numbers"))
+    numbers.ok_or_else(|| format!("options: {key} holds values that are not numbers"))
 }
 
-fn list<'a>(of: &'a Value, key: &str) -> Result<&'a Vec<Value>, String> {
-    let list = of.pointer(key).and_then(Value::as_array);
-    list.ok_or_else(|| format!("options: {key} is missing or no list"))
+/// The list at `key`.
+fn list<'a>(object: &'a Value, key: &str) -> Result<&'a Vec<Value>, String> {
+    let list = object.pointer(key).and_then(Value::as_array);
+    list.ok_or_else(|| format!("options: {key} is missing or not a list"))
 }
 
-fn micros(value: f64) -> Duration {
+/// A duration given in microseconds, without its fraction.
+fn duration_from_micros(value: f64) -> Duration {
     Duration::from_micros(value as u64)
 }
 
-/// Whether a package is paid at set-up: what may have run can't be sent again.
-fn once(package: &Value) -> bool {
+/// Whether a package is paid at set-up. A set-up of it that may have run must not be sent again.
+fn at_most_once(package: &Value) -> bool {
     package.pointer("/semantics").and_then(Value::as_str) != Some("read_like")
 }
 
-fn packages(all: &Value) -> Result<Vec<Package>, String> {
-    let scales = numbers(all, "/specifics/class-scale")?;
-    let floors = numbers(all, "/specifics/floor-by-class")?;
-    let tops = numbers(all, "/specifics/top-by-class")?;
-    let rungs = numbers(all, "/specifics/rates-kb")?.len();
+/// The packages with their values, targets and bounds, in the order of their numbers.
+fn packages(options: &Value) -> Result<Vec<Package>, String> {
+    let scales = numbers(options, "/specifics/class-scale")?;
+    let floors = numbers(options, "/specifics/floor-by-class")?;
+    let tops = numbers(options, "/specifics/top-by-class")?;
+    let rungs = numbers(options, "/specifics/rates-kb")?.len();
     if floors.iter().any(|floor| *floor as usize >= rungs) {
-        return Err("options: /specifics/floor-by-class lies over the ladder".into());
+        return Err("options: /specifics/floor-by-class names a rung above the ladder's top".into());
     }
-    let seats = numbers(all, "/specifics/class-seats")?;
+    let seats = numbers(options, "/specifics/class-seats")?;
     let package = |(i, package): (usize, &Value)| {
-        let of = |figures: &[f64], name: &str| {
-            figures.get(i).copied().ok_or_else(|| format!("options: {name} lacks package {i}"))
+        let for_package = |values: &[f64], name: &str| {
+            values.get(i).copied().ok_or_else(|| format!("options: {name} has no entry for package {i}"))
         };
         Ok(Package {
             value: number(package, "/worth")?,
-            target: micros(number(package, "/slo-us")?),
-            once: once(package),
-            scale: of(&scales, "class-scale")?,
-            floor: of(&floors, "floor-by-class")? as usize,
-            top: of(&tops, "top-by-class")? as usize,
-            seats: of(&seats, "class-seats")? as usize,
+            target: duration_from_micros(number(package, "/slo-us")?),
+            once: at_most_once(package),
+            scale: for_package(&scales, "class-scale")?,
+            floor: for_package(&floors, "floor-by-class")? as usize,
+            top: for_package(&tops, "top-by-class")? as usize,
+            seats: for_package(&seats, "class-seats")? as usize,
         })
     };
-    list(all, "/profiles")?.iter().enumerate().map(package).collect()
+    list(options, "/profiles")?.iter().enumerate().map(package).collect()
 }
 
+/// Parses the text of the options.
+///
 /// # Errors
-/// It is no JSON.
+/// The text is not JSON.
 pub fn read(text: &[u8]) -> Result<Value, String> {
-    serde_json::from_slice(text).map_err(|e| format!("options: {e}"))
+    serde_json::from_slice(text).map_err(|error| format!("options: {error}"))
 }
 
-/// The decision module of an instance.
+/// Builds the decision module of one instance.
 ///
 /// # Errors
-/// A key is missing or holds what can't be used.
-pub fn manager(seed: u64, all: &Value) -> Result<Manager, String> {
-    let siblings = number(all, "/siblings")? as u32;
-    let rates = numbers(all, "/specifics/rates-kb")?;
-    let worths = numbers(all, "/specifics/rung-worth")?;
+/// A key is missing or has an invalid value.
+pub fn manager(seed: u64, options: &Value) -> Result<Manager, String> {
+    let siblings = number(options, "/siblings")? as u32;
+    let rates = numbers(options, "/specifics/rates-kb")?;
+    let worths = numbers(options, "/specifics/rung-worth")?;
     if rates.is_empty() || worths.len() < rates.len() {
-        return Err("options: /specifics/rates-kb and rung-worth do not match".into());
+        return Err("options: /specifics/rates-kb is empty or has more entries than rung-worth".into());
     }
-    let ladder = Ladder { rates, worths, switch: number(all, "/specifics/switch-s")? };
+    let ladder = Ladder { rates, worths, switch: number(options, "/specifics/switch-s")? };
     let network = Network {
-        places: number(all, "/specifics/places")? as u32,
-        racks: number(all, "/specifics/shelves")? as u32,
-        links_kb: or_zero(all, "/specifics/links-kb")?,
-        weight_kb: number(all, "/specifics/weight-kb")?,
-        uplink_kb: number(all, "/specifics/rack-link-kb")?,
-        told: micros(or_zero(all, "/specifics/told-every-us")?),
-        seen: micros(or_zero(all, "/specifics/seen-after-us")?),
+        places: number(options, "/specifics/places")? as u32,
+        racks: number(options, "/specifics/shelves")? as u32,
+        links_kb: number_or_zero(options, "/specifics/links-kb")?,
+        weight_kb: number(options, "/specifics/weight-kb")?,
+        uplink_kb: number(options, "/specifics/rack-link-kb")?,
+        told: duration_from_micros(number_or_zero(options, "/specifics/told-every-us")?),
+        seen: duration_from_micros(number_or_zero(options, "/specifics/seen-after-us")?),
     };
     let pace = Pace::new(
         siblings,
-        &numbers(all, "/specifics/kind-streams")?,
-        micros(number(all, "/guarantees/cold-us")?),
-        number(all, "/guarantees/cold-from")?,
-        number(all, "/guarantees/tip-multiple")?,
-        micros(number(all, "/guarantees/fall-us")?),
+        &numbers(options, "/specifics/kind-streams")?,
+        duration_from_micros(number(options, "/guarantees/cold-us")?),
+        number(options, "/guarantees/cold-from")?,
+        number(options, "/guarantees/tip-multiple")?,
+        duration_from_micros(number(options, "/guarantees/fall-us")?),
+    );
+    let retry_budget = ration(options)?.map(|(span, free, share)| Ration::new(span, free, share));
+    let max_come_back = duration_from_micros(number_or_zero(options, "/limits/max-retry-after-us")?);
+    let (reports_links, probe_price) = (
+        report(options).iter().any(|gauge| matches!(gauge, Gauge::Link)),
+        number_or_zero(options, "/prices/probe")?,
     );
-    let ration = ration(all)?.map(|(span, free, share)| Ration::new(span, free, share));
-    let longest = micros(or_zero(all, "/limits/max-retry-after-us")?);
-    let (tells, probe) =
-        (report(all).iter().any(|gauge| matches!(gauge, Gauge::Link)), or_zero(all, "/prices/probe")?);
     let limits = Limits {
-        tune_ins: number(all, "/limits/max-attempts")? as u16,
-        // What a probe brings is chosen by only where it tells of links.
-        probe: (truth(all, "/limits/may-probe")? && tells).then_some(probe),
-        call_off: truth(all, "/limits/cancelling")?,
-        come_back: truth(all, "/limits/retry-after")?.then_some(longest),
+        tune_ins: number(options, "/limits/max-attempts")? as u16,
+        // The choice among probed servers uses the loads of their links, so probes need reports that hold them.
+        probe: (flag_or_false(options, "/limits/may-probe")? && reports_links).then_some(probe_price),
+        call_off: flag_or_false(options, "/limits/cancelling")?,
+        come_back: flag_or_false(options, "/limits/retry-after")?.then_some(max_come_back),
+    };
+    let prices = Prices {
+        cross: number_or_zero(options, "/prices/cross-zone")?,
+        handshake: number_or_zero(options, "/prices/handshake")?,
     };
-    let prices =
-        Prices { cross: or_zero(all, "/prices/cross-zone")?, handshake: or_zero(all, "/prices/handshake")? };
-    let here = (seed, siblings, ZoneId(or_zero(all, "/my-zone")? as u8), prices);
-    Ok(Manager::new(here, ladder, network, pace, limits, ration, packages(all)?))
+    let instance = (seed, siblings, ZoneId(number_or_zero(options, "/my-zone")? as u8), prices);
+    Ok(Manager::new(instance, ladder, network, pace, limits, retry_budget, packages(options)?))
 }
 
-/// Span, free and share of further tune-ins, where they are rationed: a span of nothing is no ration.
+/// The retry budget: its window, the number of further tune-ins that are always allowed in a window, and the share of
+/// first tune-ins that is allowed in addition. None if the window is zero: further tune-ins are then unlimited.
 ///
 /// # Errors
-/// A key holds what can't be used.
-pub fn ration(all: &Value) -> Result<Option<(Duration, f64, f64)>, String> {
-    let span = micros(or_zero(all, "/guarantees/budget-span-us")?);
-    let (free, share) = (or_zero(all, "/guarantees/min-extra")?, or_zero(all, "/guarantees/further-ratio")?);
-    Ok((!span.is_zero()).then_some((span, free, share)))
+/// A key has an invalid value.
+pub fn ration(options: &Value) -> Result<Option<(Duration, f64, f64)>, String> {
+    let window = duration_from_micros(number_or_zero(options, "/guarantees/budget-span-us")?);
+    let (free, share) = (
+        number_or_zero(options, "/guarantees/min-extra")?,
+        number_or_zero(options, "/guarantees/further-ratio")?,
+    );
+    Ok((!window.is_zero()).then_some((window, free, share)))
 }
 
-/// What the values of a load report mean.
-pub fn report(all: &Value) -> Vec<Gauge> {
-    named(all).map(gauge).collect()
+/// The meaning of each value in a load report, in the order of the values.
+pub fn report(options: &Value) -> Vec<Gauge> {
+    report_fields(options).map(gauge).collect()
 }
 
-fn named(all: &Value) -> impl Iterator<Item = &str> {
-    let fields = all.pointer("/report/fields").and_then(Value::as_array);
+/// The names of the values in a load report, in their order.
+fn report_fields(options: &Value) -> impl Iterator<Item = &str> {
+    let fields = options.pointer("/report/fields").and_then(Value::as_array);
     fields.into_iter().flatten().filter_map(Value::as_str)
 }
 
+/// The meaning of a value by its name.
 fn gauge(name: &str) -> Gauge {
     match name {
         "x0" => Gauge::Link,
@@ -165,7 +187,7 @@
     }
 }
 
-/// A report's values by name, as in `x0:12;x1:40`, What can't be read is left out.
+/// Parses a load report of the form `x0:12;x1:40`. Values that are malformed, negative or not finite are left out.
 pub fn load(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
@@ -179,51 +201,54 @@
     load
 }
 
-/// By package: the viewer's patience, and whether it is paid at set-up.
+/// For each package: the viewer's patience, and whether the package is paid at set-up.
 ///
 /// # Errors
-/// A package lacks its patience.
-pub fn terms(all: &Value) -> Result<Vec<(Duration, bool)>, String> {
-    let term = |package: &Value| Ok((micros(number(package, "/hard-limit-us")?), once(package)));
-    list(all, "/profiles")?.iter().map(term).collect()
+/// A package has no patience.
+pub fn terms(options: &Value) -> Result<Vec<(Duration, bool)>, String> {
+    let term = |package: &Value| {
+        Ok((duration_from_micros(number(package, "/hard-limit-us")?), at_most_once(package)))
+    };
+    list(options, "/profiles")?.iter().map(term).collect()
 }
 
-/// The grace after news of a drain, how long after the patience an answer is in time, and by package its seats.
+/// The grace period after the notification of a drain, the time after the patience in which an answer still counts as in
+/// time, and the seats of each package.
 ///
 /// # Errors
 /// A key is missing.
-pub fn rules(all: &Value) -> Result<(Duration, Duration, Vec<usize>), String> {
-    let seats = numbers(all, "/specifics/class-seats")?;
-    let span = |key| Ok::<_, String>(micros(number(all, key)?));
-    let spans = (span("/guarantees/drain-grace-us")?, span("/guarantees/answer-slack-us")?);
-    Ok((spans.0, spans.1, seats.into_iter().map(|seats| seats as usize).collect()))
+pub fn rules(options: &Value) -> Result<(Duration, Duration, Vec<usize>), String> {
+    let seats = numbers(options, "/specifics/class-seats")?;
+    let duration = |key| Ok::<_, String>(duration_from_micros(number(options, key)?));
+    let grace_and_slack = (duration("/guarantees/drain-grace-us")?, duration("/guarantees/answer-slack-us")?);
+    Ok((grace_and_slack.0, grace_and_slack.1, seats.into_iter().map(|seats| seats as usize).collect()))
 }
 
-/// How connections to servers are kept: set-ups on one at once, how long one may take to stand, after how long an idle
-/// one is closed.
+/// The limits of connections to servers: the number of concurrent set-ups on one, the connect timeout, and the idle
+/// timeout.
 ///
 /// # Errors
 /// A key is missing.
-pub fn connections(all: &Value) -> Result<(usize, Duration, Duration), String> {
-    let span = |key| Ok::<_, String>(micros(number(all, key)?));
-    let streams = number(all, "/limits/streams-per-conn")?.max(1.0) as usize;
-    Ok((streams, span("/limits/connect-timeout-us")?, span("/limits/keepalive-us")?))
+pub fn connections(options: &Value) -> Result<(usize, Duration, Duration), String> {
+    let duration = |key| Ok::<_, String>(duration_from_micros(number(options, key)?));
+    let streams = number(options, "/limits/streams-per-conn")?.max(1.0) as usize;
+    Ok((streams, duration("/limits/connect-timeout-us")?, duration("/limits/keepalive-us")?))
 }
 
-/// How often servers tell of their links at least, and how long their starts count as cold.
+/// The longest interval between two load reports of a server, and how long a server counts as cold after its start.
 ///
 /// # Errors
 /// A key is missing.
-pub fn spans(all: &Value) -> Result<(Duration, Duration), String> {
-    let span = |key| Ok::<_, String>(micros(number(all, key)?));
-    Ok((span("/specifics/told-every-us")?, span("/guarantees/cold-us")?))
+pub fn spans(options: &Value) -> Result<(Duration, Duration), String> {
+    let duration = |key| Ok::<_, String>(duration_from_micros(number(options, key)?));
+    Ok((duration("/specifics/told-every-us")?, duration("/guarantees/cold-us")?))
 }
 
-/// The names of packages, of tenants, of zones and of kinds, in the order of their numbers.
-pub fn names(all: &Value) -> [Vec<String>; 4] {
-    let name = |of: &Value| of.as_str().or(of["name"].as_str()).unwrap_or_default().to_string();
+/// The names of the packages, tenants, zones and kinds of servers, each in the order of their numbers.
+pub fn names(options: &Value) -> [Vec<String>; 4] {
+    let name = |object: &Value| object.as_str().or(object["name"].as_str()).unwrap_or_default().to_string();
     ["/profiles", "/projects", "/azs", "/kinds"]
-        .map(|key| all.pointer(key).and_then(Value::as_array).into_iter().flatten().map(name).collect())
+        .map(|key| options.pointer(key).and_then(Value::as_array).into_iter().flatten().map(name).collect())
 }
 
 #[cfg(test)]
--- a/crates/options/src/tests.rs
+++ b/crates/options/src/tests.rs
@@ -1,10 +1,10 @@
-//! Settings as they are told.
+//! Load reports, missing options, and the rules for absent values.
 
 use super::*;
 use serde_json::json;
 
 #[test]
-fn reports_as_text() {
+fn load_reports_leave_out_values_that_are_malformed_negative_or_not_finite() {
     let both = |link, uplink| Load { link, uplink };
     let cases = [
         ("x0:0.4;x1:1.25;queue:3", both(Some(0.4), Some(1.25))),
@@ -14,14 +14,14 @@
         ("x0:-1;x1:NaN", both(None, None)),
         ("x0:inf;x1:1e400", both(None, None)),
     ];
-    for (text, load_of) in cases {
-        assert_eq!(load(text), load_of, "{text}");
+    for (text, expected) in cases {
+        assert_eq!(load(text), expected, "{text}");
     }
 }
 
 #[test]
-fn what_is_missing_is_named() {
-    let all = json!({
+fn values_are_read_and_errors_name_the_missing_key() {
+    let options = json!({
         "profiles": [{"name": "clip", "hard-limit-us": 4_000_000, "semantics": "read_like"},
             {"name": "ticket", "hard-limit-us": 3_000_000, "semantics": "non_idempotent"}],
         "projects": [{"name": "acme"}], "azs": ["east"], "kinds": ["std"],
@@ -31,16 +31,16 @@
         "specifics": {"class-seats": [0, 2], "told-every-us": 3_000_000},
     });
     let ms = Duration::from_millis;
-    assert_eq!(terms(&all), Ok(vec![(ms(4000), false), (ms(3000), true)]));
-    assert_eq!(rules(&all), Ok((ms(250), ms(40), vec![0, 2])));
-    assert_eq!(connections(&all), Ok((32, ms(250), ms(15_000))));
-    assert_eq!(spans(&all), Ok((ms(3000), ms(5000))));
-    assert_eq!(ration(&all), Ok(Some((ms(5000), 5.0, 0.2))));
-    assert_eq!(names(&all), [vec!["clip", "ticket"], vec!["acme"], vec!["east"], vec!["std"]]);
-    let told = |key: &str, without: &Value| {
-        let all =
+    assert_eq!(terms(&options), Ok(vec![(ms(4000), false), (ms(3000), true)]));
+    assert_eq!(rules(&options), Ok((ms(250), ms(40), vec![0, 2])));
+    assert_eq!(connections(&options), Ok((32, ms(250), ms(15_000))));
+    assert_eq!(spans(&options), Ok((ms(3000), ms(5000))));
+    assert_eq!(ration(&options), Ok(Some((ms(5000), 5.0, 0.2))));
+    assert_eq!(names(&options), [vec!["clip", "ticket"], vec!["acme"], vec!["east"], vec!["std"]]);
+    let reports = |key: &str, without: &Value| {
+        let errors =
             [terms(without).err(), rules(without).err(), connections(without).err(), spans(without).err()];
-        all.into_iter().flatten().any(|error| error.contains(key))
+        errors.into_iter().flatten().any(|error| error.contains(key))
     };
     for key in [
         "/profiles",
@@ -54,16 +54,16 @@
         "/specifics/told-every-us",
         "/guarantees/cold-us",
     ] {
-        let mut without = all.clone();
+        let mut without = options.clone();
         *without.pointer_mut(key).expect(key) = Value::Null;
-        assert!(told(key.rsplit('/').next().unwrap_or(key), &without), "{key}");
+        assert!(reports(key.rsplit('/').next().unwrap_or(key), &without), "{key}");
     }
 }
 
 #[test]
-fn an_absent_value_is_none_and_any_other_is_as_it_is_or_an_error() {
-    // What stands in the place of a number, and of a yes or no; what is read.
-    for (value, number) in [
+fn absent_values_have_defaults_and_invalid_ones_are_errors() {
+    // The value at the key, and the number or boolean that is read; none for an error.
+    for (value, expected_number) in [
         (Value::Null, Some(0.0)),
         (json!(0), Some(0.0)),
         (json!(0.08), Some(0.08)),
@@ -71,19 +71,20 @@
         (json!("0.08"), None),
         (json!([1]), None),
     ] {
-        let all = json!({"prices": {"probe": value}});
-        assert_eq!(or_zero(&all, "/prices/probe").ok(), number, "{all}");
+        let options = json!({"prices": {"probe": value}});
+        assert_eq!(number_or_zero(&options, "/prices/probe").ok(), expected_number, "{options}");
     }
-    for (value, truth_of) in [
+    for (value, expected_flag) in [
         (Value::Null, Some(false)),
         (json!(false), Some(false)),
         (json!(true), Some(true)),
         (json!("true"), None),
         (json!(1), None),
     ] {
-        let all = json!({"limits": {"may-probe": value}});
-        assert_eq!(truth(&all, "/limits/may-probe").ok(), truth_of, "{all}");
+        let options = json!({"limits": {"may-probe": value}});
+        assert_eq!(flag_or_false(&options, "/limits/may-probe").ok(), expected_flag, "{options}");
     }
-    let wrong = or_zero(&json!({"prices": {"probe": "dear"}}), "/prices/probe").expect_err("no number");
-    assert!(wrong.contains("/prices/probe"), "{wrong}");
+    let message =
+        number_or_zero(&json!({"prices": {"probe": "dear"}}), "/prices/probe").expect_err("not a number");
+    assert!(message.contains("/prices/probe"), "{message}");
 }
