--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the options of a deployment and builds the decision module from them.
 //!
-//! Options are a JSON document. The bench sends them on its wire; the platform has them in its configuration. Each error
-//! names the key that is missing or invalid, as a JSON pointer.
+//! Options are a JSON document. The bench sends them on its wire; the platform has them in its
+//! configuration. Each error names the key that is missing or invalid, as a JSON pointer.
 
 use ivyward::front::{Load, ZoneId};
 use ivyward::policy::Manager;
@@ -140,7 +140,8 @@
     );
     let limits = Limits {
         tune_ins: number(options, "/limits/max-attempts")? as u16,
-        // The choice among probed servers uses the loads of their links, so probes need reports that hold them.
+        // The choice among probed servers uses the loads of their links, so probes need reports that hold
+        // them.
         probe: (flag_or_false(options, "/limits/may-probe")? && reports_links).then_some(probe_price),
         call_off: flag_or_false(options, "/limits/cancelling")?,
         come_back: flag_or_false(options, "/limits/retry-after")?.then_some(max_come_back),
@@ -153,8 +154,9 @@
     Ok(Manager::new(instance, ladder, network, pace, limits, retry_budget, packages(options)?))
 }
 
-/// The retry budget: its window, the number of further tune-ins that are always allowed in a window, and the share of
-/// first tune-ins that is allowed in addition. None if the window is zero: further tune-ins are then unlimited.
+/// The retry budget: its window, the number of further tune-ins that are always allowed in a window, and
+/// the share of first tune-ins that is allowed in addition. None if the window is zero: further tune-ins
+/// are then unlimited.
 ///
 /// # Errors
 /// A key has an invalid value.
@@ -187,7 +189,8 @@
     }
 }
 
-/// Parses a load report of the form `x0:12;x1:40`. Values that are malformed, negative or not finite are left out.
+/// Parses a load report of the form `x0:12;x1:40`. Values that are malformed, negative or not finite are
+/// left out.
 pub fn load(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
@@ -212,8 +215,8 @@
     list(options, "/profiles")?.iter().map(term).collect()
 }
 
-/// The grace period after the notification of a drain, the time after the patience in which an answer still counts as in
-/// time, and the seats of each package.
+/// The grace period after the notification of a drain, the time after the patience in which an answer still
+/// counts as in time, and the seats of each package.
 ///
 /// # Errors
 /// A key is missing.
@@ -224,8 +227,8 @@
     Ok((grace_and_slack.0, grace_and_slack.1, seats.into_iter().map(|seats| seats as usize).collect()))
 }
 
-/// The limits of connections to servers: the number of concurrent set-ups on one, the connect timeout, and the idle
-/// timeout.
+/// The limits of connections to servers: the number of concurrent set-ups on one, the connect timeout, and
+/// the idle timeout.
 ///
 /// # Errors
 /// A key is missing.
@@ -235,7 +238,8 @@
     Ok((streams, duration("/limits/connect-timeout-us")?, duration("/limits/keepalive-us")?))
 }
 
-/// The longest interval between two load reports of a server, and how long a server counts as cold after its start.
+/// The longest interval between two load reports of a server, and how long a server counts as cold after
+/// its start.
 ///
 /// # Errors
 /// A key is missing.
--- a/crates/quality/src/blame.rs
+++ b/crates/quality/src/blame.rs
@@ -1,111 +1,132 @@
-//! What explains the excess of bad sessions. Levels are proposed by a model in which each adds its part to how bad a session
-//! is; each proposed must then stand against its likes within each level of every other factor (the strata of Mantel and
-//! Haenszel), without the sessions of all others that are named: so a rack isn't blamed for the titles that lie there, nor a
-//! title for its racks. What can't be held against its likes, since it comes with something else only, is named together with
-//! that. Why this way: `docs/quality.md`.
+//! Attributes an excess of bad sessions to levels of factors.
+//!
+//! An additive model, in which each level contributes an effect to a session's badness, proposes levels.
+//! Each proposed level is then compared with the other levels of its factor within each level of another
+//! factor (stratified as by Mantel and Haenszel), without the sessions of the other levels that are named.
+//! So a rack isn't blamed for the titles that it holds, nor a title for its racks. Where a comparison isn't
+//! possible, since the level only occurs together with a level of another factor, both are named together.
+//! `docs/quality.md` explains the choice of the method.
 
 use crate::table::{FACTORS, Factor, Level, Sum, Table};
 use std::collections::BTreeMap;
 
-/// What counts as more than chance, in standard errors: one in many thousands, for hundreds of levels are looked at.
-const PLAIN: f64 = 4.5;
-/// The least excess that is worth a name, as a part of how bad sessions are on the whole.
-const WORTH: f64 = 0.35;
-/// So many sessions of the usual variance are taken for granted of each stratum.
-const GRANTED: f64 = 4.0;
-/// A factor tells about a level only where it can hold this part of its sessions against others.
-const OVERLAP: f64 = 0.2;
-/// What a rack must still show without its worst server.
-const REST: f64 = 0.5;
-/// No more are named in one window.
-const MOST: usize = 24;
+/// An excess of so many standard errors is significant. Chance exceeds it once in many thousands of
+/// comparisons; a window has hundreds of levels.
+const SIGNIFICANT_STANDARD_ERRORS: f64 = 4.5;
+/// The least excess that is reported, as a fraction of the mean badness of all sessions.
+const MIN_EXCESS_FRACTION: f64 = 0.35;
+/// The prior for the variance of a stratum has the weight of so many sessions, with the variance of all
+/// sessions.
+const PRIOR_SESSION_COUNT: f64 = 4.0;
+/// A comparison within a factor counts only if this fraction of the level's sessions has sessions of other
+/// levels in its stratum.
+const MIN_OVERLAP_FRACTION: f64 = 0.2;
+/// A rack is named only if this fraction of its excess and of the significance threshold remains without
+/// its worst server. The same fraction of the threshold is required of each comparison of a proposed level.
+const REMAINING_FRACTION: f64 = 0.5;
+/// The greatest number of levels that are named in one window.
+const MAX_NAMED_COUNT: usize = 24;
 
-/// Each level's part is drawn towards none by so many sessions.
-const DRAWN: f64 = 20.0;
-/// The fit is gone through so often, one factor after another.
-const TURNS: usize = 30;
+/// Shrinks the effect of each level towards zero, with the weight of so many sessions.
+const SHRINKAGE_SESSION_COUNT: f64 = 20.0;
+/// Passes of the fit over all factors.
+const FIT_PASS_COUNT: usize = 30;
 
-/// One that is named.
+/// A level that explains an excess of bad sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Blame {
     pub factor: Factor,
     pub level: Level,
-    /// How much worse its sessions were than their likes elsewhere.
+    /// How much worse its sessions are than those of other levels, in badness.
     pub excess: f64,
-    /// The same in standard errors, by the factor that tells least for it.
+    /// The excess in standard errors, as estimated by the additive model.
     pub plain: f64,
-    /// Sessions that it explains.
+    /// The number of sessions of the level.
     pub sessions: f64,
-    /// Levels that the same sessions have in common, and that the data don't tell from it.
+    /// Levels of other factors that most of the same sessions share, so that the data can't distinguish
+    /// them from this one.
     pub or: Vec<(Factor, Level)>,
 }
 
-/// How bad a session is, as the sum of a part of each of its levels: each level with its part, and that in standard errors.
-/// Fitted by turns.
-fn parts(table: &Table) -> Vec<(Factor, Level, f64, f64)> {
-    let all = table.whole();
-    let usual = all.variance(0.0, 0.0);
+/// Fits the additive model by iterating over the factors: each level with its effect, and the effect in
+/// standard errors.
+fn effects(table: &Table) -> Vec<(Factor, Level, f64, f64)> {
+    let total = table.whole();
+    let overall_variance = total.variance(0.0, 0.0);
     let levels: Vec<Vec<(Level, Sum)>> =
         FACTORS.iter().map(|factor| table.by(*factor).into_iter().collect()).collect();
-    let place = |f: usize, level: &Level| {
+    let position = |f: usize, level: &Level| {
         levels[f].binary_search_by_key(level, |(level, _)| *level).unwrap_or_default()
     };
     let cells: Vec<([usize; FACTORS.len()], Sum)> =
-        table.cells().map(|(of, sum)| (std::array::from_fn(|f| place(f, &of[f])), *sum)).collect();
-    let mut parts: Vec<Vec<f64>> = levels.iter().map(|levels| vec![0.0; levels.len()]).collect();
-    for _ in 0..TURNS {
+        table.cells().map(|(cell, sum)| (std::array::from_fn(|f| position(f, &cell[f])), *sum)).collect();
+    let mut effects: Vec<Vec<f64>> = levels.iter().map(|levels| vec![0.0; levels.len()]).collect();
+    for _ in 0..FIT_PASS_COUNT {
         for f in 0..FACTORS.len() {
-            let mut left = vec![0.0; parts[f].len()];
-            for (of, sum) in &cells {
-                let others: f64 = (0..FACTORS.len()).filter(|g| *g != f).map(|g| parts[g][of[g]]).sum();
-                left[of[f]] += sum.bad - sum.n * (all.mean() + others);
+            let mut residuals = vec![0.0; effects[f].len()];
+            for (cell, sum) in &cells {
+                let others: f64 = (0..FACTORS.len()).filter(|g| *g != f).map(|g| effects[g][cell[g]]).sum();
+                residuals[cell[f]] += sum.bad - sum.n * (total.mean() + others);
             }
-            let drawn = left.iter().zip(&levels[f]).map(|(left, (_, sum))| left / (sum.n + DRAWN));
-            parts[f] = drawn.collect();
+            let shrunk = residuals
+                .iter()
+                .zip(&levels[f])
+                .map(|(residual, (_, sum))| residual / (sum.n + SHRINKAGE_SESSION_COUNT));
+            effects[f] = shrunk.collect();
         }
     }
-    let mut told = vec![];
+    let mut results = vec![];
     for (f, factor) in FACTORS.into_iter().enumerate() {
-        for ((level, sum), part) in levels[f].iter().zip(&parts[f]) {
-            let plain = part / (usual / (sum.n + DRAWN)).sqrt().max(1e-9);
-            told.push((factor, *level, *part, plain));
+        for ((level, sum), effect) in levels[f].iter().zip(&effects[f]) {
+            let standard_errors =
+                effect / (overall_variance / (sum.n + SHRINKAGE_SESSION_COUNT)).sqrt().max(1e-9);
+            results.push((factor, *level, *effect, standard_errors));
         }
     }
-    told
+    results
 }
 
-/// A level against its likes: excess, standard errors, and the part of its sessions that could be held against any.
+/// The comparison of a level with the other levels of its factor.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct Comparison {
+    /// How much worse the level's sessions are.
     pub excess: f64,
-    pub plain: f64,
+    /// The excess in standard errors.
+    pub standard_errors: f64,
+    /// The fraction of the level's sessions that have sessions of other levels in their stratum.
     pub overlap: f64,
 }
 
-/// Sessions of a level and of its likes, stratum by stratum.
-fn held(strata: impl Iterator<Item = (Sum, Sum)>, usual: f64) -> Held {
-    let (mut weights, mut excess, mut variance, mut over, mut all) = (0.0, 0.0, 0.0, 0.0, 0.0);
+/// Compares the sessions of a level with those of other levels; each item of `strata` holds both for one
+/// stratum.
+fn compare(strata: impl Iterator<Item = (Sum, Sum)>, overall_variance: f64) -> Comparison {
+    let (mut weights, mut excess, mut variance, mut compared, mut total) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for (own, rest) in strata {
-        all += own.n;
+        total += own.n;
         if own.n < 1.0 || rest.n < 1.0 {
             continue;
         }
         let weight = own.n * rest.n / (own.n + rest.n);
-        over += own.n;
+        compared += own.n;
         weights += weight;
         excess += weight * (own.mean() - rest.mean());
-        let spread = |sum: &Sum| sum.variance(usual, GRANTED) / sum.n;
-        variance += weight * weight * (spread(&own) + spread(&rest));
+        let mean_variance = |sum: &Sum| sum.variance(overall_variance, PRIOR_SESSION_COUNT) / sum.n;
+        variance += weight * weight * (mean_variance(&own) + mean_variance(&rest));
     }
-    if weights <= 0.0 || all <= 0.0 {
-        return Held::default();
+    if weights <= 0.0 || total <= 0.0 {
+        return Comparison::default();
     }
     let error = (variance / weights / weights).sqrt().max(1e-9);
-    Held { excess: excess / weights, plain: excess / weights / error, overlap: over / all }
+    Comparison {
+        excess: excess / weights,
+        standard_errors: excess / weights / error,
+        overlap: compared / total,
+    }
 }
 
-/// The factors that a level of another is held against. A server has its likes in its rack; a rack's servers are part of it.
-fn against(factor: Factor) -> &'static [Factor] {
+/// The factors whose levels are the strata when levels of `factor` are compared. A server is compared
+/// within its rack; a rack isn't compared within servers, since they are part of it.
+fn strata_factors(factor: Factor) -> &'static [Factor] {
     match factor {
         Factor::Rack => &[Factor::Title, Factor::Tenant, Factor::Network],
         Factor::Server => &[Factor::Rack, Factor::Title],
@@ -115,18 +136,21 @@
     }
 }
 
-/// All levels of a factor against their likes within another.
-fn all_held(table: &Table, factor: Factor, within: Factor, usual: f64) -> BTreeMap<Level, Held> {
+/// Compares each level of a factor with the factor's other levels, within the levels of another factor.
+fn compare_levels(
+    table: &Table, factor: Factor, within: Factor, overall_variance: f64,
+) -> BTreeMap<Level, Comparison> {
     let (cells, strata) = (table.across((factor, within)), table.by(within));
     let mut own = BTreeMap::<Level, Vec<(Sum, Sum)>>::new();
     for ((level, stratum), sum) in &cells {
         own.entry(*level).or_default().push((*sum, strata[stratum].without(sum)));
     }
-    own.into_iter().map(|(level, strata)| (level, held(strata.into_iter(), usual))).collect()
+    own.into_iter().map(|(level, strata)| (level, compare(strata.into_iter(), overall_variance))).collect()
 }
 
-/// A rack without its worst server, against other racks within titles: whether it is the rack.
-fn without_worst(table: &Table, rack: Level, usual: f64) -> Held {
+/// Compares a rack without its worst server with other racks within titles. It shows whether the rack
+/// itself is bad.
+fn rack_without_worst_server(table: &Table, rack: Level, overall_variance: f64) -> Comparison {
     let mut servers = BTreeMap::<Level, Sum>::new();
     for (levels, sum) in table.cells().filter(|(levels, _)| levels[Factor::Rack as usize] == rack) {
         servers.entry(levels[Factor::Server as usize]).or_default().add(sum);
@@ -134,63 +158,88 @@
     let worst = servers.iter().max_by(|a, b| a.1.bad.total_cmp(&b.1.bad)).map(|(server, _)| *server);
     let mut rest = table.clone();
     rest.drop(|levels| Some(levels[Factor::Server as usize]) == worst);
-    all_held(&rest, Factor::Rack, Factor::Title, usual).get(&rack).copied().unwrap_or_default()
+    compare_levels(&rest, Factor::Rack, Factor::Title, overall_variance)
+        .get(&rack)
+        .copied()
+        .unwrap_or_default()
 }
 
-/// What most of a level's sessions have in common in the factors in which it has no likes.
-fn alike(table: &Table, factor: Factor, level: Level, usual: f64) -> Vec<(Factor, Level)> {
+/// Levels of other factors that most of a level's sessions share, in the factors within which it can't be
+/// compared.
+fn indistinguishable(
+    table: &Table, factor: Factor, level: Level, overall_variance: f64,
+) -> Vec<(Factor, Level)> {
     let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
-    let mut or = vec![];
-    for within in against(factor) {
-        let held = all_held(table, factor, *within, usual).get(&level).copied().unwrap_or_default();
-        if held.overlap >= OVERLAP {
+    let mut alternatives = vec![];
+    for within in strata_factors(factor) {
+        let comparison =
+            compare_levels(table, factor, *within, overall_variance).get(&level).copied().unwrap_or_default();
+        if comparison.overlap >= MIN_OVERLAP_FRACTION {
             continue;
         }
         let cells = table.across((factor, *within));
-        let mine = cells.iter().filter(|((own, _), sum)| *own == level && sum.n > sessions / 2.0);
-        or.extend(mine.map(|((_, other), _)| (*within, *other)));
+        let shared_levels = cells.iter().filter(|((own, _), sum)| *own == level && sum.n > sessions / 2.0);
+        alternatives.extend(shared_levels.map(|((_, other), _)| (*within, *other)));
     }
-    or
+    alternatives
 }
 
-/// Names what explains the excess, the plainest first; nobody where the data don't say.
+/// Names the levels that explain the excess of bad sessions, the most significant first. The result is
+/// empty if the data don't identify any.
 pub fn blame(table: &Table) -> Vec<Blame> {
-    let all = table.whole();
-    let usual = all.variance(0.0, 0.0);
-    let mut proposed: Vec<_> = parts(table);
-    proposed.retain(|(.., excess, plain)| *plain >= PLAIN && *excess >= WORTH * all.mean());
+    let total = table.whole();
+    let overall_variance = total.variance(0.0, 0.0);
+    let mut proposed: Vec<_> = effects(table);
+    proposed.retain(|(.., excess, standard_errors)| {
+        *standard_errors >= SIGNIFICANT_STANDARD_ERRORS && *excess >= MIN_EXCESS_FRACTION * total.mean()
+    });
     proposed.sort_by(|a, b| b.3.total_cmp(&a.3));
-    proposed.truncate(MOST);
+    proposed.truncate(MAX_NAMED_COUNT);
     let mut named: Vec<Blame> = vec![];
-    for (i, (factor, level, excess, plain)) in proposed.iter().copied().enumerate() {
-        // Without what is named already, and what is proposed after it but for those that share most of its sessions.
+    for (i, (factor, level, excess, standard_errors)) in proposed.iter().copied().enumerate() {
+        // Excludes the levels named already, and those proposed after this one, unless they share most of
+        // its sessions.
         let mut rest = table.clone();
-        for (j, (other, at, ..)) in proposed.iter().enumerate().filter(|(j, _)| *j != i) {
-            let before = named.iter().any(|blame| (blame.factor, blame.level) == (*other, *at));
-            let shared = table.across((factor, *other)).get(&(level, *at)).map_or(0.0, |sum| sum.n);
+        for (j, (other_factor, other_level, ..)) in proposed.iter().enumerate().filter(|(j, _)| *j != i) {
+            let named_before =
+                named.iter().any(|blame| (blame.factor, blame.level) == (*other_factor, *other_level));
+            let shared =
+                table.across((factor, *other_factor)).get(&(level, *other_level)).map_or(0.0, |sum| sum.n);
             let own = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
-            if before || j > i && shared < own / 2.0 {
-                rest.drop(|levels| levels[*other as usize] == *at);
+            if named_before || j > i && shared < own / 2.0 {
+                rest.drop(|levels| levels[*other_factor as usize] == *other_level);
             }
         }
-        let held = |within: &Factor| {
-            all_held(&rest, factor, *within, usual).get(&level).copied().unwrap_or_default()
+        let compare_within = |within: &Factor| {
+            compare_levels(&rest, factor, *within, overall_variance).get(&level).copied().unwrap_or_default()
         };
-        let told: Vec<_> = against(factor).iter().map(held).filter(|held| held.overlap >= OVERLAP).collect();
-        let server = factor == Factor::Server && held(&Factor::Rack).overlap < OVERLAP;
-        if server || told.is_empty() || told.iter().any(|held| held.plain < PLAIN * REST) {
+        let comparisons: Vec<_> = strata_factors(factor)
+            .iter()
+            .map(compare_within)
+            .filter(|comparison| comparison.overlap >= MIN_OVERLAP_FRACTION)
+            .collect();
+        let lacks_other_servers_in_rack =
+            factor == Factor::Server && compare_within(&Factor::Rack).overlap < MIN_OVERLAP_FRACTION;
+        if lacks_other_servers_in_rack
+            || comparisons.is_empty()
+            || comparisons.iter().any(|comparison| {
+                comparison.standard_errors < SIGNIFICANT_STANDARD_ERRORS * REMAINING_FRACTION
+            })
+        {
             continue;
         }
         if factor == Factor::Rack {
-            // Guards against a rack named for one server of it.
-            let without = without_worst(&rest, level, usual);
-            if without.plain < PLAIN * REST || without.excess < excess * REST {
+            // A rack must not be named for one bad server in it.
+            let without_worst = rack_without_worst_server(&rest, level, overall_variance);
+            if without_worst.standard_errors < SIGNIFICANT_STANDARD_ERRORS * REMAINING_FRACTION
+                || without_worst.excess < excess * REMAINING_FRACTION
+            {
                 continue;
             }
         }
         let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
-        let or = alike(table, factor, level, usual);
-        named.push(Blame { factor, level, excess, plain, sessions, or });
+        let alternatives = indistinguishable(table, factor, level, overall_variance);
+        named.push(Blame { factor, level, excess, plain: standard_errors, sessions, or: alternatives });
     }
     named
 }
--- a/crates/quality/src/lib.rs
+++ b/crates/quality/src/lib.rs
@@ -1,5 +1,7 @@
-//! Quality of experience, grouped by what sessions have in common, and what explains the excess of bad ones. No sockets, no
-//! clocks, nothing random: the same sessions give the same names.
+//! Finds what explains poor quality of experience: racks, servers, titles, tenants or networks whose
+//! sessions are worse than comparable sessions.
+//!
+//! The crate uses no sockets, no clock and no random numbers: the same reports always give the same result.
 
 mod blame;
 mod intake;
--- a/crates/quality/src/table.rs
+++ b/crates/quality/src/table.rs
@@ -1,27 +1,29 @@
-//! Sessions, summed up by what they have in common.
+//! Sums of sessions by the levels that they have in common.
 
 use std::collections::BTreeMap;
 
-/// What a session has in common with others.
+/// A property by which sessions are grouped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Factor {
     Rack,
-    /// Within its rack.
+    /// A server is part of its rack.
     Server,
     Title,
     Tenant,
-    /// The player's own network.
+    /// The network that the player is in.
     Network,
 }
 
+/// All factors. The position of a factor is also its position in a session's levels.
 pub const FACTORS: [Factor; 5] =
     [Factor::Rack, Factor::Server, Factor::Title, Factor::Tenant, Factor::Network];
 
-/// One rack, one title, and so on.
+/// One value of a factor, such as one rack or one title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Level(pub u32);
 
-/// A number of sessions, and the sum and the sum of squares of how bad they were, each between 0 and 1.
+/// The number of some sessions, the sum of their badness and the sum of its squares. Badness is between 0
+/// and 1 a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
     pub n: f64,
@@ -30,71 +32,80 @@
 }
 
 impl Sum {
+    /// Adds other sessions.
     pub fn add(&mut self, other: &Sum) {
         (self.n, self.bad, self.squares) =
             (self.n + other.n, self.bad + other.bad, self.squares + other.squares);
     }
 
+    /// These sessions without some of them. Rounding errors don't make a part negative.
     pub fn without(&self, other: &Sum) -> Sum {
-        let least = |x: f64| x.max(0.0);
+        let at_least_zero = |x: f64| x.max(0.0);
         Sum {
-            n: least(self.n - other.n),
-            bad: least(self.bad - other.bad),
-            squares: least(self.squares - other.squares),
+            n: at_least_zero(self.n - other.n),
+            bad: at_least_zero(self.bad - other.bad),
+            squares: at_least_zero(self.squares - other.squares),
         }
     }
 
+    /// The mean badness; zero without sessions.
     pub fn mean(&self) -> f64 {
         if self.n > 0.0 { self.bad / self.n } else { 0.0 }
     }
 
-    /// Variance of one session, of which as much as `k` sessions of variance `usual` is taken for granted.
-    pub fn variance(&self, usual: f64, k: f64) -> f64 {
-        let own = self.squares - self.bad * self.mean();
-        (own.max(0.0) + k * usual) / (self.n - 1.0 + k).max(1.0)
+    /// The variance of a session's badness, estimated with a prior: `prior_sessions` sessions of variance
+    /// `prior_variance` are added to those that were observed.
+    pub fn variance(&self, prior_variance: f64, prior_sessions: f64) -> f64 {
+        let observed = self.squares - self.bad * self.mean();
+        (observed.max(0.0) + prior_sessions * prior_variance) / (self.n - 1.0 + prior_sessions).max(1.0)
     }
 }
 
-/// A window's sessions by all that they have in common. A session weighs as one, however often it reported.
+/// The sessions of a window, grouped by their levels of all factors. Each session has the weight 1, however
+/// often it reported.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     cells: BTreeMap<[Level; FACTORS.len()], Sum>,
 }
 
 impl Table {
+    /// Adds a session with its badness, which is limited to 0 to 1; a badness that is not finite counts as 0.
     pub fn add(&mut self, levels: [Level; FACTORS.len()], bad: f64) {
         let bad = if bad.is_finite() { bad.clamp(0.0, 1.0) } else { 0.0 };
         self.cells.entry(levels).or_default().add(&Sum { n: 1.0, bad, squares: bad * bad });
     }
 
+    /// Each combination of levels with the sum of its sessions.
     pub fn cells(&self) -> impl Iterator<Item = (&[Level; FACTORS.len()], &Sum)> {
         self.cells.iter()
     }
 
+    /// The number of different combinations of levels.
     pub fn len(&self) -> usize {
         self.cells.len()
     }
 
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.cells.is_empty()
     }
 
-    /// All sessions together.
+    /// The sum of all sessions.
     pub fn whole(&self) -> Sum {
-        self.cells.values().fold(Sum::default(), |mut all, sum| {
-            all.add(sum);
-            all
+        self.cells.values().fold(Sum::default(), |mut total, sum| {
+            total.add(sum);
+            total
         })
     }
 
-    /// The sessions of each level of a factor.
+    /// The sum of the sessions of each level of a factor.
     pub fn by(&self, factor: Factor) -> BTreeMap<Level, Sum> {
         let mut sums = BTreeMap::<_, Sum>::new();
         self.cells().for_each(|(levels, sum)| sums.entry(levels[factor as usize]).or_default().add(sum));
         sums
     }
 
-    /// The same by two factors.
+    /// The sum of the sessions of each pair of levels of two factors.
     pub fn across(&self, factors: (Factor, Factor)) -> BTreeMap<(Level, Level), Sum> {
         let mut sums = BTreeMap::<_, Sum>::new();
         for (levels, sum) in self.cells() {
@@ -103,8 +114,8 @@
         sums
     }
 
-    /// Those that fit no more.
-    pub fn drop(&mut self, fits: impl Fn(&[Level; FACTORS.len()]) -> bool) {
-        self.cells.retain(|levels, _| !fits(levels));
+    /// Removes the sessions whose levels match.
+    pub fn drop(&mut self, matches: impl Fn(&[Level; FACTORS.len()]) -> bool) {
+        self.cells.retain(|levels, _| !matches(levels));
     }
 }
--- a/crates/signal/src/binary.rs
+++ b/crates/signal/src/binary.rs
@@ -1,8 +1,8 @@
 //! Binary messages, exchanged with video servers.
 //!
-//! A message is its length (2 bytes), its type (1 byte), its session's reference (8 bytes) and its parameters. A
-//! parameter is its code (1 byte), its length (2 bytes) and its value. Numbers are big-endian; the length of a message
-//! does not count the 2 bytes of the length itself.
+//! A message is its length (2 bytes), its type (1 byte), its session's reference (8 bytes) and its
+//! parameters. A parameter is its code (1 byte), its length (2 bytes) and its value. Numbers are
+//! big-endian; the length of a message does not count the 2 bytes of the length itself.
 
 use crate::{FIELDS, Field, KINDS, Kind, LONGEST, Ref, Signal};
 use std::borrow::Cow;
@@ -16,8 +16,8 @@
 /// Code of the parameter that holds the session's description.
 const DESCRIPTION_CODE: u8 = 94;
 
-/// Splits the bytes received on a connection into messages. The buffer holds at most one incomplete message and the
-/// bytes of one read.
+/// Splits the bytes received on a connection into messages. The buffer holds at most one incomplete message
+/// and the bytes of one read.
 #[derive(Default)]
 pub struct Messages {
     buffer: Vec<u8>,
@@ -35,8 +35,8 @@
     /// Returns the next complete message, without its length prefix.
     ///
     /// # Errors
-    /// The length or the type is invalid. The position of the next message is then unknown, so the connection has to
-    /// be closed.
+    /// The length or the type is invalid. The position of the next message is then unknown, so the
+    /// connection has to be closed.
     pub fn cut(&mut self) -> Result<Option<&[u8]>, String> {
         let rest = &self.buffer[self.consumed_bytes..];
         let Some(&[high, low]) = rest.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
@@ -44,8 +44,8 @@
         if !(HEADER_BYTES..=LONGEST - LENGTH_PREFIX_BYTES).contains(&length) {
             return Err(format!("invalid message length: {length} bytes"));
         }
-        // Checks the type before the whole message is there: a stream of other bytes may announce a long message that
-        // never arrives.
+        // Checks the type before the whole message is there: a stream of other bytes may announce a long
+        // message that never arrives.
         if rest
             .get(LENGTH_PREFIX_BYTES)
             .is_some_and(|type_number| KINDS.iter().all(|(.., known)| known != type_number))
--- a/crates/signal/src/lib.rs
+++ b/crates/signal/src/lib.rs
@@ -1,16 +1,16 @@
 //! Encodes and decodes the viewing manager's protocol, without I/O.
 //!
-//! Viewers exchange lines of JSON with the manager ([`line`]); video servers exchange length-prefixed binary
-//! messages with it ([`binary`]). There is no type for each message: decoding yields a [`Signal`], from which the
-//! caller reads the fields that it needs, and encoding takes a list of fields.
+//! Viewers exchange lines of JSON with the manager ([`line`]); video servers exchange length-prefixed
+//! binary messages with it ([`binary`]). There is no type for each message: decoding yields a [`Signal`],
+//! from which the caller reads the fields that it needs, and encoding takes a list of fields.
 
 pub mod binary;
 pub mod line;
 
 use std::borrow::Cow;
 
-/// The greatest length of a message, in bytes. It includes the length prefix of a binary message and the line end of a
-/// line that is written, but not the line end of a line that is read.
+/// The greatest length of a message, in bytes. It includes the length prefix of a binary message and the
+/// line end of a line that is written, but not the line end of a line that is read.
 pub const LONGEST: usize = 16 << 10;
 
 /// The reference that identifies a session on the wire.
@@ -75,8 +75,8 @@
     Figure,
 }
 
-/// Each field with its name in JSON lines and its code in binary messages. An empty name or a code of 0 means that
-/// the encoding has no such field.
+/// Each field with its name in JSON lines and its code in binary messages. An empty name or a code of 0
+/// means that the encoding has no such field.
 const FIELDS: [(Field, &str, u8); 9] = [
     (Field::Package, "class", 64),
     (Field::Left, "left", 66),
--- a/crates/signal/src/line.rs
+++ b/crates/signal/src/line.rs
@@ -1,14 +1,14 @@
 //! JSON lines, exchanged with viewers.
 //!
-//! Each line is an object with the keys `t` (kind), `ref` (session reference), `f` (fields), `c` (cause) and `d`
-//! (description); the last three may be left out.
+//! Each line is an object with the keys `t` (kind), `ref` (session reference), `f` (fields), `c` (cause)
+//! and `d` (description); the last three may be left out.
 
 use crate::{FIELDS, Field, KINDS, Kind, LONGEST, Ref, Signal, id};
 use serde_json::{Map, Value, json};
 use std::borrow::Cow;
 
-/// Splits the bytes received on a connection into lines. The buffer holds at most one incomplete line and the bytes of
-/// one read.
+/// Splits the bytes received on a connection into lines. The buffer holds at most one incomplete line and
+/// the bytes of one read.
 #[derive(Default)]
 pub struct Lines {
     buffer: Vec<u8>,
