--- a/crates/settings/build.rs
+++ b/crates/settings/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schemas, so that the program carries them.
+//! Compiles the schemas in `proto/` into a descriptor set that the crate embeds.
 
 use std::{env, error::Error, fs, path::Path};
 
@@ -9,7 +9,8 @@
     compiler
         .include_imports(true)
         .open_files(["ivyward.proto", "day.proto", "history.proto"].map(|name| schemas.join(name)))?;
-    // Encoded by the compiler itself: its descriptor types would drop the options that the checks go by.
+    // The compiler encodes the set itself: its descriptor types would drop the custom options that the
+    // checks use.
     fs::write(Path::new(&env::var("OUT_DIR")?).join("schemas.bin"), compiler.encode_file_descriptor_set())?;
     Ok(())
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings in protobuf text format, read and checked against the schemas in `proto/`. All faults of a text are
-//! found in one reading, each with its line, column and field.
+//! Reads protobuf text format and checks it against the schemas in `proto/`.
+//!
+//! One call reports all faults of a text, each with its line, column and field.
 
 mod place;
 
@@ -11,16 +12,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// More faults than this are not looked for: the text is something else altogether.
-const MOST_FAULTS: usize = 200;
+/// The search stops after so many faults: the text is then probably in another format.
+const MAX_FAULT_COUNT: usize = 200;
 
-/// Something wrong with a text, at a line and column that count from 1.
+/// An error in a text. The line and the column count from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     pub line: usize,
     pub column: usize,
-    /// The way to the field, as `title[2].spread`.
+    /// The path of the field, such as `title[2].spread`.
     pub field: String,
+    /// What is wrong with the field.
     pub what: String,
 }
 
@@ -38,57 +40,63 @@
     }
 }
 
-/// One message of a text, which knows where its fields stand.
+/// A message of a text, with the positions of its fields.
 #[derive(Clone)]
 pub struct Part {
     message: DynamicMessage,
     place: Place,
-    way: String,
+    /// The path of the message from the text's root; empty for the root.
+    path: String,
+    /// The whole text.
     text: Rc<str>,
 }
 
 thread_local! {
+    /// The compiled schemas.
     static SCHEMAS: DescriptorPool = {
         let compiled = include_bytes!(concat!(env!("OUT_DIR"), "/schemas.bin"));
-        DescriptorPool::decode(compiled.as_slice()).expect("the build compiled the schemas")
+        DescriptorPool::decode(compiled.as_slice()).expect("the build script compiled the schemas")
     };
 }
 
-/// Reads `text` as a message of the schemas' package, such as `Settings`.
+/// Reads `text` as the named message of the schemas, such as `Settings`.
 ///
 /// # Errors
-/// All faults found: what can't be read, unknown and repeated fields, missing ones, values out of range.
+/// All faults found: syntax errors, unknown, repeated or missing fields, and values out of range.
 pub fn read(message: &str, text: &str) -> Result<Part, Vec<Fault>> {
     let pool = SCHEMAS.with(DescriptorPool::clone);
-    let kind = pool.get_message_by_name(&format!("ivyward.{message}")).expect("a message of the schemas");
-    let (mut faults, mut rest) = (vec![], text.to_string());
+    let kind =
+        pool.get_message_by_name(&format!("ivyward.{message}")).expect("the schemas define the message");
+    let (mut faults, mut cleaned_text) = (vec![], text.to_string());
     let message = loop {
-        let error = match DynamicMessage::parse_text_format(kind.clone(), &rest) {
+        let error = match DynamicMessage::parse_text_format(kind.clone(), &cleaned_text) {
             Ok(message) => break message,
             Err(error) => error,
         };
         let labels = miette::Diagnostic::labels(&error);
-        let at =
-            labels.and_then(|all| all.map(|label| label.offset()).max()).unwrap_or(rest.trim_end().len());
-        let (way, span) = place::scan(&rest).field_at(at);
+        let at = labels
+            .and_then(|all| all.map(|label| label.offset()).max())
+            .unwrap_or(cleaned_text.trim_end().len());
+        let (path, span) = place::scan(&cleaned_text).field_at(at);
         let (line, column) = place::line_column(text, span.as_ref().map_or(at, |span| span.start));
-        faults.push(Fault { line, column, field: way, what: error.to_string() });
-        // The field is blanked, so that what stands behind it is looked at too.
+        faults.push(Fault { line, column, field: path, what: error.to_string() });
+        // Blanks out the faulty field, so that the next attempt finds faults after it.
         match span {
-            Some(span) if faults.len() < MOST_FAULTS && !rest[span.clone()].trim().is_empty() => {
+            Some(span) if faults.len() < MAX_FAULT_COUNT && !cleaned_text[span.clone()].trim().is_empty() => {
                 let blank: String =
-                    rest[span.clone()].chars().map(|c| if c == '\n' { c } else { ' ' }).collect();
-                rest.replace_range(span, &blank);
+                    cleaned_text[span.clone()].chars().map(|c| if c == '\n' { c } else { ' ' }).collect();
+                cleaned_text.replace_range(span, &blank);
             }
             _ => return Err(faults),
         }
     };
-    let part = Part { message, place: place::scan(&rest), way: String::new(), text: text.into() };
+    let part = Part { message, place: place::scan(&cleaned_text), path: String::new(), text: text.into() };
     part.check(&pool, &kind, &mut faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     if faults.is_empty() { Ok(part) } else { Err(faults) }
 }
 
+/// A value as a number; none if it isn't one.
 fn number(value: &Value) -> Option<f64> {
     match value {
         Value::U32(n) => Some(f64::from(*n)),
@@ -99,16 +107,17 @@
 }
 
 impl Part {
+    /// Checks the message and those inside it against the options of the schema's fields.
     fn check(&self, pool: &DescriptorPool, kind: &MessageDescriptor, faults: &mut Vec<Fault>) {
         for field in kind.fields() {
             let options = field.options();
-            let held = |name: &str| {
+            let option_value = |name: &str| {
                 let option = pool.get_extension_by_name(&format!("ivyward.{name}"))?;
                 options.has_extension(&option).then(|| options.get_extension(&option).into_owned())
             };
-            let bound = |name: &str| held(name).as_ref().and_then(number);
+            let bound = |name: &str| option_value(name).as_ref().and_then(number);
             if !self.message.has_field(&field) {
-                if held("need").is_some() {
+                if option_value("need").is_some() {
                     faults.push(self.fault(field.name(), "is missing"));
                 }
                 continue;
@@ -118,20 +127,26 @@
                 Value::List(list) => list.iter().filter_map(number).collect(),
                 one => Vec::from_iter(number(one)),
             };
-            for x in numbers {
-                let whole = field.kind() != prost_reflect::Kind::Double;
-                let wrong = [
-                    (!x.is_finite()).then(|| "is no number".to_string()),
-                    bound("least").filter(|least| x < *least).map(|least| format!("is {x}, under {least}")),
-                    bound("most").filter(|most| x > *most).map(|most| format!("is {x}, over {most}")),
-                    bound("above").filter(|low| x <= *low).map(|low| format!("is {x}, must be over {low}")),
-                    (whole && x.fract() != 0.0).then(|| "must be whole".to_string()),
+            for actual in numbers {
+                let is_integer = field.kind() != prost_reflect::Kind::Double;
+                let violations = [
+                    (!actual.is_finite()).then(|| "is not a finite number".to_string()),
+                    bound("least")
+                        .filter(|least| actual < *least)
+                        .map(|least| format!("is {actual}, under {least}")),
+                    bound("most")
+                        .filter(|most| actual > *most)
+                        .map(|most| format!("is {actual}, over {most}")),
+                    bound("above")
+                        .filter(|limit| actual <= *limit)
+                        .map(|limit| format!("is {actual}, must be over {limit}")),
+                    (is_integer && actual.fract() != 0.0).then(|| "must be a whole number".to_string()),
                 ];
-                faults.extend(wrong.into_iter().flatten().map(|what| self.fault(field.name(), &what)));
+                faults.extend(violations.into_iter().flatten().map(|what| self.fault(field.name(), &what)));
             }
             if let Value::String(text) = &value
                 && text.is_empty()
-                && held("need").is_some()
+                && option_value("need").is_some()
             {
                 faults.push(self.fault(field.name(), "is empty"));
             }
@@ -141,6 +156,7 @@
         }
     }
 
+    /// The messages in a field, in their order.
     fn parts(&self, field: &FieldDescriptor) -> Vec<Part> {
         let value = self.message.get_field(field).into_owned();
         let messages = match value {
@@ -150,78 +166,89 @@
         };
         let part = |(i, value): (usize, Value)| {
             let Value::Message(message) = value else { return None };
-            let way = if field.is_list() { format!("{}[{i}]", field.name()) } else { field.name().into() };
-            let place = self.place.inner(field.name(), i).cloned().unwrap_or_else(|| self.place.bare());
-            let way = if self.way.is_empty() { way } else { format!("{}.{way}", self.way) };
-            Some(Part { message, place, way, text: self.text.clone() })
+            let path = if field.is_list() { format!("{}[{i}]", field.name()) } else { field.name().into() };
+            let place =
+                self.place.inner(field.name(), i).cloned().unwrap_or_else(|| self.place.without_fields());
+            let path = if self.path.is_empty() { path } else { format!("{}.{path}", self.path) };
+            Some(Part { message, place, path, text: self.text.clone() })
         };
         messages.into_iter().enumerate().filter_map(part).collect()
     }
 
+    /// The schema's field of that name.
     fn field(&self, name: &str) -> FieldDescriptor {
         let kind = self.message.descriptor();
-        kind.get_field_by_name(name).unwrap_or_else(|| panic!("no field {name} in {}", kind.full_name()))
+        kind.get_field_by_name(name)
+            .unwrap_or_else(|| panic!("no field {name} in message {}", kind.full_name()))
     }
 
-    /// A fault of one field of this part; of the part itself where the field is not there.
+    /// A fault at a field of this message, or at the message itself if the text has no such field.
     pub fn fault(&self, name: &str, what: &str) -> Fault {
-        let at = self.place.inner(name, 0).map_or(self.place.at(), Place::at);
-        let (line, column) = place::line_column(&self.text, at);
-        let dot = if self.way.is_empty() || name.is_empty() { "" } else { "." };
-        Fault { line, column, field: format!("{}{dot}{name}", self.way), what: what.into() }
+        let start_byte = self.place.inner(name, 0).map_or(self.place.start_byte(), Place::start_byte);
+        let (line, column) = place::line_column(&self.text, start_byte);
+        let dot = if self.path.is_empty() || name.is_empty() { "" } else { "." };
+        Fault { line, column, field: format!("{}{dot}{name}", self.path), what: what.into() }
     }
 
+    /// Whether the text sets a field.
     pub fn has(&self, name: &str) -> bool {
         self.message.has_field(&self.field(name))
     }
 
+    /// The value of a number field.
     pub fn number(&self, name: &str) -> f64 {
         number(&self.message.get_field(&self.field(name))).unwrap_or_default()
     }
 
+    /// The value of a number field as a count.
     pub fn count(&self, name: &str) -> usize {
         self.number(name) as usize
     }
 
+    /// The value of an integer field.
     pub fn whole(&self, name: &str) -> u64 {
         self.message.get_field(&self.field(name)).as_u64().unwrap_or_else(|| self.number(name) as u64)
     }
 
+    /// The value of a boolean field.
     pub fn truth(&self, name: &str) -> bool {
         self.message.get_field(&self.field(name)).as_bool().unwrap_or_default()
     }
 
+    /// The value of a string field.
     pub fn text(&self, name: &str) -> String {
         self.message.get_field(&self.field(name)).as_str().unwrap_or_default().to_string()
     }
 
-    /// A field that counts seconds.
+    /// The value of a field in seconds as a duration.
     pub fn span(&self, name: &str) -> Duration {
         Duration::try_from_secs_f64(self.number(name)).unwrap_or_default()
     }
 
-    /// The parts under a name, in their order; none where it isn't given.
+    /// The messages in a repeated field, in their order.
     pub fn list(&self, name: &str) -> Vec<Part> {
         self.parts(&self.field(name))
     }
 
-    /// The one part under a name; one of defaults where it isn't given.
+    /// The message in a field, or one with default values if the field isn't set.
     pub fn one(&self, name: &str) -> Part {
         let field = self.field(name);
         self.parts(&field).pop().unwrap_or_else(|| Part {
-            message: DynamicMessage::new(field.kind().as_message().expect("a field of parts").clone()),
-            place: self.place.bare(),
-            way: if self.way.is_empty() { name.into() } else { format!("{}.{name}", self.way) },
+            message: DynamicMessage::new(
+                field.kind().as_message().expect("the field holds a message").clone(),
+            ),
+            place: self.place.without_fields(),
+            path: if self.path.is_empty() { name.into() } else { format!("{}.{name}", self.path) },
             text: self.text.clone(),
         })
     }
 
-    /// Sets a field that holds text.
+    /// Sets a string field.
     pub fn put_text(&mut self, name: &str, text: &str) {
         self.message.set_field(&self.field(name), Value::String(text.into()));
     }
 
-    /// Sets a field that holds a whole number.
+    /// Sets an integer field.
     pub fn put_whole(&mut self, name: &str, number: u64) {
         let field = self.field(name);
         let value = match field.kind() {
@@ -231,42 +258,43 @@
         self.message.set_field(&field, value);
     }
 
+    /// Sets a field of type `double`.
     pub fn put_number(&mut self, name: &str, number: f64) {
         self.message.set_field(&self.field(name), Value::F64(number));
     }
 
-    /// As if a field were not given.
+    /// Unsets a field.
     pub fn clear(&mut self, name: &str) {
         self.message.clear_field(&self.field(name));
     }
 
-    /// Sets a part.
+    /// Sets a field that holds a message.
     pub fn put(&mut self, name: &str, part: Part) {
         self.message.set_field(&self.field(name), Value::Message(part.message));
     }
 
-    /// The name of an enumeration's value.
+    /// The name of the value of an enum field.
     pub fn choice(&self, name: &str) -> String {
         let (field, kind) = (self.field(name), self.field(name).kind());
         let number = self.message.get_field(&field).as_enum_number().unwrap_or_default();
-        let values = kind.as_enum().expect("a field of choices");
+        let values = kind.as_enum().expect("the field is an enum");
         values.get_value(number).map(|value| value.name().to_string()).unwrap_or_default()
     }
 
-    /// The numbers under a name.
+    /// The values of a repeated number field.
     pub fn numbers(&self, name: &str) -> Vec<f64> {
         let value = self.message.get_field(&self.field(name)).into_owned();
         value.as_list().into_iter().flatten().filter_map(number).collect()
     }
 
-    /// Keeps only some of the parts under a name.
+    /// Removes the messages of a repeated field for which `keep` is false.
     pub fn retain(&mut self, name: &str, keep: impl Fn(&Part) -> bool) {
-        let kept: Vec<_> = self.list(name).into_iter().filter(|part| keep(part)).collect();
-        let values = kept.into_iter().map(|part| Value::Message(part.message)).collect();
+        let remaining: Vec<_> = self.list(name).into_iter().filter(|part| keep(part)).collect();
+        let values = remaining.into_iter().map(|part| Value::Message(part.message)).collect();
         self.message.set_field(&self.field(name), Value::List(values));
     }
 
-    /// Changes each of the parts under a name.
+    /// Changes each message of a repeated field.
     pub fn each(&mut self, name: &str, change: impl Fn(&mut Part)) {
         let mut parts = self.list(name);
         parts.iter_mut().for_each(change);
@@ -274,27 +302,27 @@
         self.message.set_field(&self.field(name), Value::List(values));
     }
 
-    /// The texts under a name.
+    /// The values of a repeated string field.
     pub fn texts(&self, name: &str) -> Vec<String> {
         let value = self.message.get_field(&self.field(name)).into_owned();
         value.as_list().into_iter().flatten().filter_map(Value::as_str).map(String::from).collect()
     }
 
-    /// The part as text again.
+    /// The message in protobuf text format.
     pub fn to_text(&self) -> String {
         self.message
             .to_text_format_with_options(&prost_reflect::text_format::FormatOptions::new().pretty(true))
     }
 }
 
-/// A fault for each field `name` of `parts` whose value stands there before.
+/// Returns a fault for each of `parts` whose field `name` has the value of an earlier one.
 pub fn twice(parts: &[Part], name: &str) -> Vec<Fault> {
-    let again = |(i, part): (usize, &Part)| {
+    let duplicate = |(i, part): (usize, &Part)| {
         let value = part.text(name);
-        let before = parts[..i].iter().any(|other| other.text(name) == value);
-        before.then(|| part.fault(name, &format!("{value:?} is given twice")))
+        let is_duplicate = parts[..i].iter().any(|other| other.text(name) == value);
+        is_duplicate.then(|| part.fault(name, &format!("{value:?} is given twice")))
     };
-    parts.iter().enumerate().filter_map(again).collect()
+    parts.iter().enumerate().filter_map(duplicate).collect()
 }
 
 #[cfg(test)]
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -1,9 +1,11 @@
-//! Where the fields of a text stand. The values are read by the library; this finds lines and columns for
-//! faults that the library doesn't know of.
+//! Finds the positions of the fields in a text.
+//!
+//! The protobuf library reads the values but keeps no positions. The lines and columns of faults found
+//! after that come from this scan.
 
 use std::ops::Range;
 
-/// A field of the text with those inside it; the text itself at the top.
+/// The position of a field and of the fields inside it. The root stands for the whole text.
 #[derive(Clone, Debug)]
 pub(crate) struct Place {
     name: String,
@@ -12,38 +14,40 @@
 }
 
 impl Place {
-    pub fn at(&self) -> usize {
+    /// The byte at which the field starts.
+    pub fn start_byte(&self) -> usize {
         self.span.start
     }
 
-    /// A place without fields, where a part was left out.
-    pub fn bare(&self) -> Place {
+    /// A position without inner fields, for a part that the text leaves out.
+    pub fn without_fields(&self) -> Place {
         Place { name: String::new(), span: self.span.clone(), inner: vec![] }
     }
 
-    /// The field of that name which stands there as the n-th.
-    pub fn inner(&self, name: &str, n: usize) -> Option<&Place> {
-        self.inner.iter().filter(|field| field.name == name).nth(n)
+    /// The field that is the `index`-th of its name, counted from 0.
+    pub fn inner(&self, name: &str, index: usize) -> Option<&Place> {
+        self.inner.iter().filter(|field| field.name == name).nth(index)
     }
 
-    /// The smallest field round a byte: the way to it and its span.
+    /// The path and the span of the innermost field that contains a byte.
     pub fn field_at(&self, at: usize) -> (String, Option<Range<usize>>) {
-        let (mut way, mut span, mut here) = (String::new(), None, self);
-        while let Some(i) = here.inner.iter().position(|field| field.span.start <= at && at < field.span.end)
+        let (mut path, mut span, mut current) = (String::new(), None, self);
+        while let Some(i) =
+            current.inner.iter().position(|field| field.span.start <= at && at < field.span.end)
         {
-            let field = &here.inner[i];
-            let before = here.inner[..i].iter().filter(|other| other.name == field.name).count();
-            way = format!("{way}{}{}", if way.is_empty() { "" } else { "." }, field.name);
+            let field = &current.inner[i];
+            let before = current.inner[..i].iter().filter(|other| other.name == field.name).count();
+            path = format!("{path}{}{}", if path.is_empty() { "" } else { "." }, field.name);
             if before > 0 {
-                way = format!("{way}[{before}]");
+                path = format!("{path}[{before}]");
             }
-            (span, here) = (Some(field.span.clone()), field);
+            (span, current) = (Some(field.span.clone()), field);
         }
-        (way, span)
+        (path, span)
     }
 }
 
-/// Line and column of a byte, counted from 1; columns in characters.
+/// The line and column of a byte, counted from 1. Columns count characters.
 pub(crate) fn line_column(text: &str, at: usize) -> (usize, usize) {
     let before = &text.as_bytes()[..at.min(text.len())];
     let line = before.iter().filter(|b| **b == b'\n').count() + 1;
@@ -51,7 +55,7 @@
     (line, String::from_utf8_lossy(&before[start..]).chars().count() + 1)
 }
 
-/// Token spans: words, quoted strings, and single marks.
+/// The spans of the tokens: words, quoted strings and single punctuation marks. Comments are left out.
 fn tokens(text: &str) -> Vec<Range<usize>> {
     let (bytes, mut tokens, mut at) = (text.as_bytes(), vec![], 0);
     let word = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-' | b'+') || b >= 0x80;
@@ -81,10 +85,13 @@
     tokens
 }
 
-/// Reads fields up to a closing mark: `name: value`, `name { fields }`, `name: [value, value]`.
+/// Scans fields up to a closing bracket or the end of the text.
+///
+/// A field is `name: value`, `name { fields }` or `name: [value, value]`. The result is the fields and the
+/// index of the token at which the scan ended.
 fn fields(text: &str, tokens: &[Range<usize>], mut at: usize) -> (Vec<Place>, usize) {
     let mark = |at: usize| tokens.get(at).map_or("", |span| &text[span.clone()]);
-    let mut found = vec![];
+    let mut places = vec![];
     while at < tokens.len() && !matches!(mark(at), "}" | ">") {
         let (start, name) = (tokens[at].start, mark(at).to_string());
         at += 1;
@@ -94,33 +101,34 @@
         if mark(at) == ":" {
             at += 1;
         }
-        let many = mark(at) == "[";
-        at += usize::from(many);
+        let is_list = mark(at) == "[";
+        at += usize::from(is_list);
         loop {
-            let from = if many && at < tokens.len() { tokens[at].start } else { start };
+            let from = if is_list && at < tokens.len() { tokens[at].start } else { start };
             let mut inner = vec![];
             if matches!(mark(at), "{" | "<") {
                 (inner, at) = fields(text, tokens, at + 1);
                 at += 1;
             } else if at < tokens.len() && !matches!(mark(at), "}" | ">" | "]") {
                 at += 1;
-                // Strings that follow each other are one.
+                // Adjacent strings form one value.
                 while mark(at).starts_with(['"', '\'']) {
                     at += 1;
                 }
             }
             let end = tokens.get(at.min(tokens.len()).wrapping_sub(1)).map_or(start, |span| span.end);
-            found.push(Place { name: name.clone(), span: from..end, inner });
-            if !many || mark(at) != "," {
+            places.push(Place { name: name.clone(), span: from..end, inner });
+            if !is_list || mark(at) != "," {
                 break;
             }
             at += 1;
         }
-        at += usize::from(many && mark(at) == "]");
+        at += usize::from(is_list && mark(at) == "]");
     }
-    (found, at)
+    (places, at)
 }
 
+/// The positions of all fields of a text.
 pub(crate) fn scan(text: &str) -> Place {
     let tokens = tokens(text);
     Place { name: String::new(), span: 0..0, inner: fields(text, &tokens, 0).0 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,8 @@
+//! Positions and texts of faults, and reading arbitrary texts.
+
 use super::*;
 
-const GOOD: &str = include_str!("../../daemon/src/default.txtpb");
+const VALID_SETTINGS: &str = include_str!("../../daemon/src/default.txtpb");
 
 #[test]
 fn faults_name_line_column_and_field() {
@@ -8,7 +10,7 @@
         ("manager { name: \"a\" listen: \"l\" }\nspeed: 3", "2:1: speed", "speed"),
         ("manager {\n  name: \"a\"\n  name: \"b\" }", "3:3: manager.name[1]", "already set"),
         ("cold { from: 1.5 }", "1:8: cold.from", "over 1"),
-        ("cold {\n\n from: nan }", "3:2: cold.from", "no number"),
+        ("cold {\n\n from: nan }", "3:2: cold.from", "is not a finite number"),
         ("cold { from: \"x\" }", "1:8: cold.from", "expected"),
         ("kind {}", "1:1: kind[0].streams", "is missing"),
         ("kind { streams: 3 }\n kind { streams: -3 }", "2:9: kind[1].streams", "must be over 0"),
@@ -18,27 +20,32 @@
     ];
     for (text, place, what) in cases {
         let faults = read("Settings", text).err().unwrap_or_default();
-        let told: Vec<_> = faults.iter().map(Fault::to_string).collect();
-        assert!(told.iter().any(|t| t.starts_with(place) && t.contains(what)), "{text}: {told:#?}");
+        let messages: Vec<_> = faults.iter().map(Fault::to_string).collect();
+        assert!(
+            messages.iter().any(|message| message.starts_with(place) && message.contains(what)),
+            "{text}: {messages:#?}"
+        );
     }
 }
 
 #[test]
-fn all_faults_come_at_once() {
-    let text = GOOD.replace("switch_s", "swich_s").replace("spread", "spred") + "\nwhat: 7 manager { }";
+fn all_faults_are_reported_at_once() {
+    let text =
+        VALID_SETTINGS.replace("switch_s", "swich_s").replace("spread", "spred") + "\nwhat: 7 manager { }";
     let faults = read("Settings", &text).err().unwrap_or_default();
-    let of = |field: &str| faults.iter().filter(|fault| fault.field.ends_with(field)).count();
-    let asked = [("swich_s", 1), ("spred", GOOD.matches("spread").count()), ("what", 1), ("manager[1]", 1)];
-    for (field, count) in asked {
-        assert_eq!(of(field), count, "{field}: {faults:#?}");
+    let count_of = |field: &str| faults.iter().filter(|fault| fault.field.ends_with(field)).count();
+    let expected =
+        [("swich_s", 1), ("spred", VALID_SETTINGS.matches("spread").count()), ("what", 1), ("manager[1]", 1)];
+    for (field, count) in expected {
+        assert_eq!(count_of(field), count, "{field}: {faults:#?}");
     }
 }
 
 #[test]
-fn what_is_read_is_what_stands_there() {
-    let part = read("Settings", GOOD).unwrap_or_else(|faults| panic!("{faults:#?}"));
-    let again = read("Settings", &part.to_text()).unwrap_or_else(|faults| panic!("{faults:#?}"));
-    assert_eq!(part.to_text(), again.to_text());
+fn a_text_that_was_read_and_written_is_read_the_same() {
+    let part = read("Settings", VALID_SETTINGS).unwrap_or_else(|faults| panic!("{faults:#?}"));
+    let part_again = read("Settings", &part.to_text()).unwrap_or_else(|faults| panic!("{faults:#?}"));
+    assert_eq!(part.to_text(), part_again.to_text());
     let titles = part.list("title");
     assert!(titles.len() > 1 && part.one("ladder").list("rung").len() > 1);
     assert_eq!(twice(&titles, "name"), []);
@@ -46,7 +53,7 @@
 }
 
 #[test]
-fn no_text_brings_the_reader_down() {
+fn random_texts_are_rejected_without_a_panic() {
     let marks =
         ["{", "}", "<", ">", "[", "]", ":", ",", "\"", "'", "\\", "#", "manager", "7", "ü", "\n", " "];
     let mut state = 7_usize;
