--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -90,10 +90,10 @@
             _ => return Err(faults),
         }
     };
-    let part = Part { message, place: place::scan(&cleaned_text), path: String::new(), text: text.into() };
-    part.check(&pool, &kind, &mut faults);
+    let section = Part { message, place: place::scan(&cleaned_text), path: String::new(), text: text.into() };
+    section.check(&pool, &kind, &mut faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
-    if faults.is_empty() { Ok(part) } else { Err(faults) }
+    if faults.is_empty() { Ok(section) } else { Err(faults) }
 }
 
 /// A value as a number; none if it isn't one.
@@ -151,20 +151,20 @@
                 faults.push(self.fault(field.name(), "is empty"));
             }
             if let Some(inner) = field.kind().as_message() {
-                self.parts(&field).iter().for_each(|part| part.check(pool, inner, faults));
+                self.sections_in(&field).iter().for_each(|section| section.check(pool, inner, faults));
             }
         }
     }
 
     /// The messages in a field, in their order.
-    fn parts(&self, field: &FieldDescriptor) -> Vec<Part> {
+    fn sections_in(&self, field: &FieldDescriptor) -> Vec<Part> {
         let value = self.message.get_field(field).into_owned();
         let messages = match value {
             Value::List(list) => list,
             one if self.message.has_field(field) => vec![one],
             _ => vec![],
         };
-        let part = |(i, value): (usize, Value)| {
+        let section = |(i, value): (usize, Value)| {
             let Value::Message(message) = value else { return None };
             let path = if field.is_list() { format!("{}[{i}]", field.name()) } else { field.name().into() };
             let place =
@@ -172,7 +172,7 @@
             let path = if self.path.is_empty() { path } else { format!("{}.{path}", self.path) };
             Some(Part { message, place, path, text: self.text.clone() })
         };
-        messages.into_iter().enumerate().filter_map(part).collect()
+        messages.into_iter().enumerate().filter_map(section).collect()
     }
 
     /// The schema's field of that name.
@@ -227,13 +227,13 @@
 
     /// The messages in a repeated field, in their order.
     pub fn list(&self, name: &str) -> Vec<Part> {
-        self.parts(&self.field(name))
+        self.sections_in(&self.field(name))
     }
 
     /// The message in a field, or one with default values if the field isn't set.
     pub fn one(&self, name: &str) -> Part {
         let field = self.field(name);
-        self.parts(&field).pop().unwrap_or_else(|| Part {
+        self.sections_in(&field).pop().unwrap_or_else(|| Part {
             message: DynamicMessage::new(
                 field.kind().as_message().expect("the field holds a message").clone(),
             ),
@@ -269,8 +269,8 @@
     }
 
     /// Sets a field that holds a message.
-    pub fn put(&mut self, name: &str, part: Part) {
-        self.message.set_field(&self.field(name), Value::Message(part.message));
+    pub fn put(&mut self, name: &str, section: Part) {
+        self.message.set_field(&self.field(name), Value::Message(section.message));
     }
 
     /// The name of the value of an enum field.
@@ -289,16 +289,16 @@
 
     /// Removes the messages of a repeated field for which `keep` is false.
     pub fn retain(&mut self, name: &str, keep: impl Fn(&Part) -> bool) {
-        let remaining: Vec<_> = self.list(name).into_iter().filter(|part| keep(part)).collect();
-        let values = remaining.into_iter().map(|part| Value::Message(part.message)).collect();
+        let remaining: Vec<_> = self.list(name).into_iter().filter(|section| keep(section)).collect();
+        let values = remaining.into_iter().map(|section| Value::Message(section.message)).collect();
         self.message.set_field(&self.field(name), Value::List(values));
     }
 
     /// Changes each message of a repeated field.
     pub fn each(&mut self, name: &str, change: impl Fn(&mut Part)) {
-        let mut parts = self.list(name);
-        parts.iter_mut().for_each(change);
-        let values = parts.into_iter().map(|part| Value::Message(part.message)).collect();
+        let mut sections = self.list(name);
+        sections.iter_mut().for_each(change);
+        let values = sections.into_iter().map(|section| Value::Message(section.message)).collect();
         self.message.set_field(&self.field(name), Value::List(values));
     }
 
@@ -315,14 +315,14 @@
     }
 }
 
-/// Returns a fault for each of `parts` whose field `name` has the value of an earlier one.
-pub fn twice(parts: &[Part], name: &str) -> Vec<Fault> {
-    let duplicate = |(i, part): (usize, &Part)| {
-        let value = part.text(name);
-        let is_duplicate = parts[..i].iter().any(|other| other.text(name) == value);
-        is_duplicate.then(|| part.fault(name, &format!("{value:?} is given twice")))
+/// Returns a fault for each of `sections` whose field `name` has the value of an earlier one.
+pub fn twice(sections: &[Part], name: &str) -> Vec<Fault> {
+    let duplicate = |(i, section): (usize, &Part)| {
+        let value = section.text(name);
+        let is_duplicate = sections[..i].iter().any(|other| other.text(name) == value);
+        is_duplicate.then(|| section.fault(name, &format!("{value:?} is given twice")))
     };
-    parts.iter().enumerate().filter_map(duplicate).collect()
+    sections.iter().enumerate().filter_map(duplicate).collect()
 }
 
 #[cfg(test)]
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -19,7 +19,7 @@
         self.span.start
     }
 
-    /// A position without inner fields, for a part that the text leaves out.
+    /// A position without inner fields, for a message that the text leaves out.
     pub fn without_fields(&self) -> Place {
         Place { name: String::new(), span: self.span.clone(), inner: vec![] }
     }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -43,11 +43,11 @@
 
 #[test]
 fn a_text_that_was_read_and_written_is_read_the_same() {
-    let part = read("Settings", VALID_SETTINGS).unwrap_or_else(|faults| panic!("{faults:#?}"));
-    let part_again = read("Settings", &part.to_text()).unwrap_or_else(|faults| panic!("{faults:#?}"));
-    assert_eq!(part.to_text(), part_again.to_text());
-    let titles = part.list("title");
-    assert!(titles.len() > 1 && part.one("ladder").list("rung").len() > 1);
+    let section = read("Settings", VALID_SETTINGS).unwrap_or_else(|faults| panic!("{faults:#?}"));
+    let section_again = read("Settings", &section.to_text()).unwrap_or_else(|faults| panic!("{faults:#?}"));
+    assert_eq!(section.to_text(), section_again.to_text());
+    let titles = section.list("title");
+    assert!(titles.len() > 1 && section.one("ladder").list("rung").len() > 1);
     assert_eq!(twice(&titles, "name"), []);
     assert_eq!(twice(&[titles[0].clone(), titles[0].clone()], "name").len(), 1);
 }
