--- a/crates/lab/src/soak/judge.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -1,9 +1,9 @@
 //! The rules, judged from what stand-ins and clients of a trial saw.
 
+use super::observations::{Attempt, AttemptEnd, Final, Life, Request, Seen};
 use super::plan::{
     COLD, COLD_FROM, FALL_WINDOW, GRACE, LENGTH, MULTIPLE, Plan, RATION_FREE, RATION_SHARE, RATION_SPAN,
 };
-use super::seen::{Attempt, AttemptEnd, Final, Life, Request, Seen};
 use ivyward_signal::Ref;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery as one manager sees it: numbered events over an address of its own, counted from each start of the manager;
 //! it goes down, mute or silent, breaks off, moves. For each change it is kept when that counts as told.
 
-use super::seen::Shared;
+use super::observations::Shared;
 use ivyward_standin::platform::{listen, own_address};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,22 +1,21 @@
 //! A soak of short, dense trials: a handful of real viewing managers over stand-ins for video servers, discovery and
 //! clients, with faults drawn from a seed, judged by what the stand-ins and clients saw.
 
-mod client;
+mod checker;
 mod discovery;
-mod judge;
+mod observations;
 mod plan;
 mod process;
-mod seen;
 mod server;
+mod viewer;
 
-pub use judge::Breach;
+pub use checker::Breach;
 
-use client::Client;
+use observations::{Change, Seen, Shared, World};
 use plan::{Fault, LENGTH, Plan};
 use process::Process;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
-use seen::{Change, Seen, Shared, World};
 use serde_json::{Value, json};
 use server::{Carries, Listening, Server};
 use std::cell::{Cell, RefCell};
@@ -29,6 +28,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
+use viewer::Client;
 
 /// How late the rig runs is measured so often.
 const TICK: Duration = Duration::from_millis(10);
@@ -369,15 +369,16 @@
         }
     }
     let seen = world.seen.borrow();
-    let served =
-        |request: &&seen::Request| matches!(request.answers.first(), Some((_, seen::Final::Served(_))));
+    let served = |request: &&observations::Request| {
+        matches!(request.answers.first(), Some((_, observations::Final::Served(_))))
+    };
     Ok(Trial {
         seed: plan.seed,
         requests: seen.requests.len(),
         served: seen.requests.values().filter(served).count(),
         attempts: seen.attempts.len(),
         processes: seen.lives.iter().map(Vec::len).sum(),
-        breaches: judge::judge(plan, &seen),
+        breaches: checker::judge(plan, &seen),
     })
 }
 
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -1,7 +1,7 @@
 //! Managers' processes: started on a configuration of their own, told to end, killed, started anew.
 
 use super::discovery::Discovery;
-use super::seen::{Life, Shared};
+use super::observations::{Life, Shared};
 use ivyward_signal::{Kind, Ref};
 use ivyward_standin::platform::{Viewer, own_address};
 use serde_json::{Value, json};
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -2,8 +2,8 @@
 //! protocol page names. Each manager has an address of its own, so that paths can be cut one by one. The near end of a path
 //! records what a manager wrote and when; behind it messages wait as long as the path, or the server, holds them.
 
+use super::observations::{Attempt, AttemptEnd, Shared};
 use super::plan::{Outcome, Plan};
-use super::seen::{Attempt, AttemptEnd, Shared};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Field, Kind, Ref, Signal};
 use ivyward_standin::platform::{listen, own_address};
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/viewer.rs
@@ -1,7 +1,7 @@
 //! Clients of a trial: each asks on a connection of its own as long as that stands, and comes again at once elsewhere.
 
+use super::observations::{Final, Request, Shared};
 use super::plan::{ASKING_ENDS, Habit};
-use super::seen::{Final, Request, Shared};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal};
 use rand::RngExt;
