--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -1,296 +1,395 @@
-//! The rules, judged from what stand-ins and clients of a trial saw.
+//! Checks the rules for viewing managers against the observations of a trial.
 
-use super::observations::{Attempt, AttemptEnd, Final, Life, Request, Seen};
+use super::observations::{Attempt, AttemptEnd, FinalAnswer, Incarnation, Observations, Viewing};
 use super::plan::{
-    COLD, COLD_FROM, FALL_WINDOW, GRACE, LENGTH, MULTIPLE, Plan, RATION_FREE, RATION_SHARE, RATION_SPAN,
+    DRAIN_GRACE_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_DURATION, Plan, RETRY_BUDGET_FRACTION,
+    RETRY_BUDGET_FREE_COUNT, RETRY_BUDGET_INTERVAL, SLOW_START_DURATION, SLOW_START_INITIAL_FRACTION,
+    TRIAL_DURATION,
 };
 use ivyward_signal::Ref;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Every time limit is this much longer on sockets.
-const GRAIN: Duration = Duration::from_millis(50);
-/// An answer is only worth nothing for so long after its time, then the request is lost.
-const OVERDUE: Duration = Duration::from_millis(500);
-/// No attempt begins later than this after its client left or was answered.
-const AFTER_LEFT: Duration = Duration::from_millis(100);
-/// What stood and is over is released towards its client within so long of being told, and of its end.
-const RELEASED: Duration = Duration::from_secs(1);
-const RELEASED_AT_ALL: Duration = Duration::from_secs(8);
-/// A request that came later than this after SIGTERM is owed an answer before SIGKILL.
-const COMING: Duration = Duration::from_millis(700);
-/// What was written so shortly before SIGKILL can't be told from what came behind it.
-const KILL_GRAIN: Duration = Duration::from_millis(15);
-/// A client that can't be served is turned away within so long.
-const RUDE: Duration = Duration::from_secs(3);
-const READY: Duration = Duration::from_secs(10);
-/// A time limit isn't judged where the rig, or the manager for want of a processor, ran so late in the seconds before.
-const LATE: Duration = Duration::from_millis(30);
-const BEFORE: Duration = Duration::from_secs(3);
-/// How much wider the ration of further attempts is.
-const RATION_SLACK: f64 = 1.15;
+/// Tolerance added to every time limit, as times are taken at sockets.
+const TIMING_TOLERANCE: Duration = Duration::from_millis(50);
+/// An answer up to this long after the patience has run out is merely worthless; after that the viewing
+/// counts as lost.
+const OVERDUE_TIMEOUT: Duration = Duration::from_millis(500);
+/// No attempt may begin later than this after its viewer left or was answered.
+const LAST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
+/// A session that ended must be released towards its viewer this soon after its manager was notified.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A session that ended must be released towards its viewer this soon after its end, notified or not.
+const RELEASE_WITHOUT_NOTICE_TIMEOUT: Duration = Duration::from_secs(8);
+/// A request sent later than this after SIGTERM must be answered before SIGKILL.
+const LATE_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// Messages written this shortly before SIGKILL can't be distinguished from messages written after it.
+const KILL_TOLERANCE: Duration = Duration::from_millis(15);
+/// A viewer that sends invalid bytes must be answered or disconnected within this time.
+const INVALID_VIEWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A manager must be ready this soon after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A violated time limit is void if the harness ran this late, or the manager waited this long for a
+/// processor.
+const VOIDING_DELAY: Duration = Duration::from_millis(30);
+/// How long before a violation such a delay makes it void.
+const VOIDING_INTERVAL: Duration = Duration::from_secs(3);
+/// Tolerance factor for the retry budget.
+const RETRY_BUDGET_TOLERANCE_FACTOR: f64 = 1.15;
 
-/// A breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     pub at: Duration,
     pub text: String,
-    /// It rests on a time limit that can't be judged, as the machine ran late.
-    pub void: bool,
+    /// Whether it concerns a time limit that can't be checked, as the machine ran late.
+    pub is_void: bool,
 }
 
-struct Judge<'a> {
+/// The state of a check.
+struct Checker<'a> {
     plan: &'a Plan,
-    seen: &'a Seen,
-    by_request: BTreeMap<Ref, Vec<&'a Attempt>>,
-    breaches: Vec<Breach>,
+    observations: &'a Observations,
+    by_viewing: BTreeMap<Ref, Vec<&'a Attempt>>,
+    violations: Vec<Violation>,
 }
 
-/// What broke a rule in a trial, in the order of time.
-pub fn judge(plan: &Plan, seen: &Seen) -> Vec<Breach> {
-    let mut by_request: BTreeMap<Ref, Vec<&Attempt>> = BTreeMap::new();
-    seen.attempts.iter().for_each(|attempt| by_request.entry(attempt.of).or_default().push(attempt));
-    let mut judge = Judge { plan, seen, by_request, breaches: vec![] };
-    for (at, text) in &seen.breaches {
-        judge.broken(*at, text.clone());
+/// Checks a trial and returns its violations in the order of time.
+pub fn check_trial(plan: &Plan, observations: &Observations) -> Vec<Violation> {
+    let mut by_viewing: BTreeMap<Ref, Vec<&Attempt>> = BTreeMap::new();
+    observations
+        .attempts
+        .iter()
+        .for_each(|attempt| by_viewing.entry(attempt.viewing_id).or_default().push(attempt));
+    let mut checker = Checker { plan, observations, by_viewing, violations: vec![] };
+    for (at, text) in &observations.violations {
+        checker.add_violation(*at, text.clone());
     }
-    seen.requests.iter().for_each(|(of, request)| judge.request(*of, request));
-    judge.duplicates();
-    seen.attempts.iter().for_each(|attempt| judge.drain(attempt));
-    judge.cold();
-    judge.ration();
-    judge.rude();
-    judge.lives();
-    let mut breaches = judge.breaches;
-    breaches.sort_by_key(|breach| breach.at);
-    breaches
+    observations
+        .viewings
+        .iter()
+        .for_each(|(viewing_id, viewing)| checker.check_viewing(*viewing_id, viewing));
+    checker.check_duplicates();
+    observations.attempts.iter().for_each(|attempt| checker.check_drain(attempt));
+    checker.check_slow_start();
+    checker.check_retry_budget();
+    checker.check_invalid_viewers();
+    checker.check_incarnations();
+    let mut violations = checker.violations;
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
 
-impl Judge<'_> {
-    fn broken(&mut self, at: Duration, text: String) {
-        self.breaches.push(Breach { at, text, void: false });
+impl Checker<'_> {
+    /// Adds a violation that doesn't depend on a time limit.
+    fn add_violation(&mut self, at: Duration, text: String) {
+        self.violations.push(Violation { at, text, is_void: false });
     }
 
-    /// The same where it rests on a time limit; `manager`: whose processor time counts.
-    fn broken_in_time(&mut self, at: Duration, manager: usize, text: String) {
-        let near = |when: &Duration| *when + BEFORE >= at && *when <= at + GRAIN;
-        let rig = self.seen.late.iter().any(|(when, late)| near(when) && *late >= LATE);
-        let starved = self.seen.starved.iter();
-        let starved = starved
-            .filter(|(when, of, _)| near(when) && *of == manager)
-            .any(|(_, _, waited)| *waited >= LATE);
-        self.breaches.push(Breach { at, text, void: rig || starved });
+    /// Adds a violation of a time limit. It is void if the harness, or `manager` for lack of a processor, ran
+    /// late.
+    fn add_timing_violation(&mut self, at: Duration, manager: usize, text: String) {
+        let is_near = |when: &Duration| *when + VOIDING_INTERVAL >= at && *when <= at + TIMING_TOLERANCE;
+        let harness_late = self
+            .observations
+            .harness_delays
+            .iter()
+            .any(|(when, delay)| is_near(when) && *delay >= VOIDING_DELAY);
+        let cpu_waits = self.observations.cpu_waits.iter();
+        let manager_late = cpu_waits
+            .filter(|(when, waiting, _)| is_near(when) && *waiting == manager)
+            .any(|(_, _, wait)| *wait >= VOIDING_DELAY);
+        self.violations.push(Violation { at, text, is_void: harness_late || manager_late });
     }
 
-    fn life(&self, manager: usize, process: usize) -> Life {
-        self.seen.lives[manager].get(process).cloned().unwrap_or_default()
+    /// An incarnation of a manager by its index, or an empty record if there is none.
+    fn find_incarnation(&self, manager: usize, index: usize) -> Incarnation {
+        self.observations.incarnations[manager].get(index).cloned().unwrap_or_default()
     }
 
-    /// Whether it can't be told when an attempt was written, or withdrawn.
-    fn is_undated(&self, attempt: &Attempt) -> bool {
-        let until = attempt.withdrawn.unwrap_or(LENGTH) + GRAIN;
-        let within = |from: Duration, to: Duration| from <= until && attempt.first_byte <= to + GRAIN;
-        self.seen.stalled.iter().any(|(server, from, to)| *server == attempt.server && within(*from, *to))
+    /// Whether the times at which an attempt was written or withdrawn are unknown, as its server's sockets
+    /// were not read.
+    fn has_unknown_times(&self, attempt: &Attempt) -> bool {
+        let until = attempt.withdrawn_at.unwrap_or(TRIAL_DURATION) + TIMING_TOLERANCE;
+        let overlaps =
+            |from: Duration, to: Duration| from <= until && attempt.first_byte_at <= to + TIMING_TOLERANCE;
+        self.observations
+            .unread_periods
+            .iter()
+            .any(|(server, from, to)| *server == attempt.server && overlaps(*from, *to))
     }
 
-    fn request(&mut self, of: Ref, request: &Request) {
-        if request.sent.is_zero() {
+    /// Checks a viewing: one answer, in time, and no refusal of a request that may have run.
+    fn check_viewing(&mut self, viewing_id: Ref, viewing: &Viewing) {
+        if viewing.sent_at.is_zero() {
             return;
         }
-        let name = format!("{:016x} of class {} at manager {}", of.0, request.class, request.manager);
-        if request.answers.len() > 1 {
-            self.broken(request.answers[1].0, format!("lost: {name}: a second answer {:?}", request.answers));
+        let name = format!("{:016x} of class {} at manager {}", viewing_id.0, viewing.class, viewing.manager);
+        if viewing.answers.len() > 1 {
+            self.add_violation(
+                viewing.answers[1].0,
+                format!("lost: {name}: a second answer {:?}", viewing.answers),
+            );
         }
-        self.forwarded_late(of, request, &name);
-        let Some((at, answer)) = request.answers.first().cloned() else {
-            return self.unanswered(request, &name);
+        self.check_late_attempts(viewing_id, viewing, &name);
+        let Some((at, answer)) = viewing.answers.first().cloned() else {
+            return self.check_unanswered(viewing, &name);
         };
-        if request.left.is_none_or(|left| at <= left)
-            && at > request.sent + request.patience + OVERDUE + GRAIN
+        if viewing.abandoned_at.is_none_or(|abandoned_at| at <= abandoned_at)
+            && at > viewing.sent_at + viewing.patience + OVERDUE_TIMEOUT + TIMING_TOLERANCE
         {
-            let late = (at - request.sent - request.patience).as_millis();
-            self.broken_in_time(
+            let late_ms = (at - viewing.sent_at - viewing.patience).as_millis();
+            self.add_timing_violation(
                 at,
-                request.manager,
-                format!("lost: {name}: answered {late} ms after its time"),
+                viewing.manager,
+                format!("lost: {name}: answered {late_ms} ms after its patience ran out"),
             );
         }
         match answer {
-            Final::Served(text) => self.served(of, request, &name, (at, &text)),
-            Final::Down(34 | 42 | 102) if self.plan.classes[request.class].once() => {
-                let ran = |attempt: &&&Attempt| {
-                    let never = matches!(attempt.end, Some((_, AttemptEnd::NeverRan | AttemptEnd::Moot)));
-                    attempt.last_byte < at && !never
+            FinalAnswer::Served(description) => {
+                self.check_served(viewing_id, viewing, &name, (at, &description))
+            }
+            FinalAnswer::Down(34 | 42 | 102) if self.plan.classes[viewing.class].is_at_most_once() => {
+                let may_have_run = |attempt: &&&Attempt| {
+                    let did_not_run =
+                        matches!(attempt.end, Some((_, AttemptEnd::NeverRan | AttemptEnd::CountsAsUnsent)));
+                    attempt.last_byte_at < at && !did_not_run
                 };
-                let ran = self.by_request.get(&of).into_iter().flatten().any(|attempt| ran(&attempt));
-                if ran {
-                    self.broken(at, format!("duplicate: {name}: refused though it may have run"));
+                let any_ran = self
+                    .by_viewing
+                    .get(&viewing_id)
+                    .into_iter()
+                    .flatten()
+                    .any(|attempt| may_have_run(&attempt));
+                if any_ran {
+                    self.add_violation(at, format!("duplicate: {name}: refused though it may have run"));
                 }
             }
-            Final::Down(_) => {}
+            FinalAnswer::Down(_) => {}
         }
     }
 
-    fn unanswered(&mut self, request: &Request, name: &str) {
-        let deadline = request.sent + request.patience;
-        let life = self.life(request.manager, request.process);
-        if request.left.is_some() {
+    /// Checks whether a viewing without an answer is lost, or a kill or the viewer itself explains it.
+    fn check_unanswered(&mut self, viewing: &Viewing, name: &str) {
+        let deadline = viewing.sent_at + viewing.patience;
+        let run = self.find_incarnation(viewing.manager, viewing.incarnation);
+        if viewing.abandoned_at.is_some() {
             return;
         }
-        if let Some(killed) = life.killed.filter(|killed| *killed <= deadline + OVERDUE + GRAIN) {
-            let late = life.terminated.is_some_and(|told| request.sent > told + COMING);
-            if late && request.sent + KILL_GRAIN < killed {
-                let after = (request.sent - life.terminated.unwrap_or_default()).as_millis();
-                let left = (killed - request.sent).as_millis();
+        if let Some(killed_at) =
+            run.killed_at.filter(|killed_at| *killed_at <= deadline + OVERDUE_TIMEOUT + TIMING_TOLERANCE)
+        {
+            let sent_late =
+                run.terminated_at.is_some_and(|term_at| viewing.sent_at > term_at + LATE_REQUEST_TIMEOUT);
+            if sent_late && viewing.sent_at + KILL_TOLERANCE < killed_at {
+                let after_term_ms = (viewing.sent_at - run.terminated_at.unwrap_or_default()).as_millis();
+                let before_kill_ms = (killed_at - viewing.sent_at).as_millis();
                 let text = format!(
-                    "lost: {name}: came {after} ms after SIGTERM, unanswered {left} ms later at SIGKILL"
+                    "lost: {name}: sent {after_term_ms} ms after SIGTERM, unanswered {before_kill_ms} ms later at SIGKILL"
                 );
-                self.broken_in_time(killed, request.manager, text);
+                self.add_timing_violation(killed_at, viewing.manager, text);
             }
             return;
         }
-        let at = request.cut.unwrap_or(deadline);
-        if request.cut.is_some() {
-            let after = at.saturating_sub(request.sent).as_millis();
-            return self
-                .broken(at, format!("lost: {name}: its connection ended {after} ms later with no answer"));
+        let at = viewing.connection_lost_at.unwrap_or(deadline);
+        if viewing.connection_lost_at.is_some() {
+            let elapsed_ms = at.saturating_sub(viewing.sent_at).as_millis();
+            return self.add_violation(
+                at,
+                format!("lost: {name}: its connection ended {elapsed_ms} ms later without an answer"),
+            );
         }
-        if deadline + OVERDUE < LENGTH {
-            self.broken(at, format!("lost: {name}: sent at {:?}, no answer at all", request.sent));
+        if deadline + OVERDUE_TIMEOUT < TRIAL_DURATION {
+            self.add_violation(at, format!("lost: {name}: sent at {:?}, never answered", viewing.sent_at));
         }
     }
 
-    fn forwarded_late(&mut self, of: Ref, request: &Request, name: &str) {
-        let answered = request.answers.first().map(|(at, _)| *at);
-        let Some(over) = answered.into_iter().chain(request.left).min() else { return };
-        let attempts = self.by_request.get(&of).into_iter().flatten();
-        let late = attempts.filter(|attempt| !self.is_undated(attempt)).map(|attempt| attempt.first_byte);
-        let late: Vec<_> = late.collect();
-        for at in late.into_iter().filter(|at| *at > over + AFTER_LEFT) {
-            let after = (at - over).as_millis();
-            self.broken_in_time(
+    /// No attempt may begin long after its viewing was answered or abandoned.
+    fn check_late_attempts(&mut self, viewing_id: Ref, viewing: &Viewing, name: &str) {
+        let answered_at = viewing.answers.first().map(|(at, _)| *at);
+        let Some(over_at) = answered_at.into_iter().chain(viewing.abandoned_at).min() else { return };
+        let attempts = self.by_viewing.get(&viewing_id).into_iter().flatten();
+        let begun_at =
+            attempts.filter(|attempt| !self.has_unknown_times(attempt)).map(|attempt| attempt.first_byte_at);
+        let begun_at: Vec<_> = begun_at.collect();
+        for at in begun_at.into_iter().filter(|at| *at > over_at + LAST_ATTEMPT_TIMEOUT) {
+            let overrun_ms = (at - over_at).as_millis();
+            self.add_timing_violation(
                 at,
-                request.manager,
-                format!("lost: {name}: forwarded {after} ms after its end"),
+                viewing.manager,
+                format!("lost: {name}: forwarded {overrun_ms} ms after its end"),
             );
         }
     }
 
-    fn served(&mut self, of: Ref, request: &Request, name: &str, (at, text): (Duration, &[u8])) {
-        let attempts = self.by_request.get(&of).cloned().unwrap_or_default();
-        let Some(attempt) = attempts.iter().find(|attempt| attempt.text == text && !text.is_empty()) else {
-            return self
-                .broken(at, format!("lost: {name}: served with something that no server made for it"));
+    /// A served viewing must carry a server's answer, and be released in time once its session ends.
+    fn check_served(
+        &mut self, viewing_id: Ref, viewing: &Viewing, name: &str, (at, description): (Duration, &[u8]),
+    ) {
+        let attempts = self.by_viewing.get(&viewing_id).cloned().unwrap_or_default();
+        let Some(attempt) =
+            attempts.iter().find(|attempt| attempt.description == description && !description.is_empty())
+        else {
+            return self.add_violation(
+                at,
+                format!("lost: {name}: served with a description that no server made for it"),
+            );
         };
-        let Some((end, _)) = attempt.end else { return };
-        if request.ended_by_client.is_some()
-            || request.left.is_some()
-            || end + RELEASED_AT_ALL + GRAIN > LENGTH
+        let Some((ended_at, _)) = attempt.end else { return };
+        if viewing.ended_by_viewer_at.is_some()
+            || viewing.abandoned_at.is_some()
+            || ended_at + RELEASE_WITHOUT_NOTICE_TIMEOUT + TIMING_TOLERANCE > TRIAL_DURATION
         {
             return;
         }
-        let end = end.max(at);
-        let life = self.life(request.manager, request.process);
-        let died = life.killed.or(life.ended.map(|(at, _)| at));
-        if died.is_some_and(|died| died <= end + RELEASED_AT_ALL) {
+        let ended_at = ended_at.max(at);
+        let run = self.find_incarnation(viewing.manager, viewing.incarnation);
+        let process_ended_at = run.killed_at.or(run.exit.map(|(at, _)| at));
+        if process_ended_at
+            .is_some_and(|process_ended_at| process_ended_at <= ended_at + RELEASE_WITHOUT_NOTICE_TIMEOUT)
+        {
             return;
         }
-        if request.released.is_none_or(|released| released > end + RELEASED_AT_ALL + GRAIN) {
+        if viewing.released_at.is_none_or(|released_at| {
+            released_at > ended_at + RELEASE_WITHOUT_NOTICE_TIMEOUT + TIMING_TOLERANCE
+        }) {
             let text = format!(
-                "lost: {name}: over at server {} at {end:?}, released {:?}",
-                attempt.server, request.released
+                "lost: {name}: ended at server {} at {ended_at:?}, released at {:?}",
+                attempt.server, viewing.released_at
+            );
+            return self.add_timing_violation(
+                ended_at + RELEASE_WITHOUT_NOTICE_TIMEOUT,
+                viewing.manager,
+                text,
             );
-            return self.broken_in_time(end + RELEASED_AT_ALL, request.manager, text);
         }
-        let Some(told) = attempt.end_written.map(|told| told.max(at)) else { return };
-        let released = request.released.unwrap_or_default();
-        if released > told + RELEASED + GRAIN && self.is_clear(attempt, told) {
-            let text = format!("lost: {name}: its end was told at {told:?}, released at {released:?}");
-            self.broken_in_time(released, request.manager, text);
+        let Some(notified_at) = attempt.end_written_at.map(|written_at| written_at.max(at)) else { return };
+        let released_at = viewing.released_at.unwrap_or_default();
+        if released_at > notified_at + RELEASE_TIMEOUT + TIMING_TOLERANCE
+            && self.is_path_undisturbed(attempt, notified_at)
+        {
+            let text =
+                format!("lost: {name}: its end was reported at {notified_at:?}, released at {released_at:?}");
+            self.add_timing_violation(released_at, viewing.manager, text);
         }
     }
 
-    /// Whether nothing befell the path of an attempt about that time.
-    fn is_clear(&self, attempt: &Attempt, at: Duration) -> bool {
-        let near = |from: Duration, to: Duration| from <= at + RELEASED && to + RELEASED >= at;
-        let troubled = |(manager, server, from, to): &(usize, usize, Duration, Duration)| {
-            (*manager, *server) == (attempt.manager, attempt.server) && near(*from, *to)
+    /// Whether the server has no faults of its own and no fault disrupted the attempt's path around a time.
+    fn is_path_undisturbed(&self, attempt: &Attempt, at: Duration) -> bool {
+        let is_near =
+            |from: Duration, to: Duration| from <= at + RELEASE_TIMEOUT && to + RELEASE_TIMEOUT >= at;
+        let disturbs = |(manager, server, from, to): &(usize, usize, Duration, Duration)| {
+            (*manager, *server) == (attempt.manager, attempt.server) && is_near(*from, *to)
         };
-        self.plan.badness[attempt.server] == 0.0 && !self.seen.troubled.iter().any(troubled)
+        self.plan.badness[attempt.server] == 0.0 && !self.observations.disrupted_paths.iter().any(disturbs)
     }
 
-    /// Two attempts of one request out at once, or of a class that is never sent again.
-    fn duplicates(&mut self) {
-        let all: Vec<_> = self.by_request.clone().into_iter().collect();
-        for (of, mut attempts) in all {
-            attempts.sort_by_key(|attempt| attempt.last_byte);
-            let once =
-                self.seen.requests.get(&of).is_some_and(|request| self.plan.classes[request.class].once());
+    /// A viewing may have only one attempt out at a time, and at most one that may have run if its class
+    /// forbids repetition.
+    fn check_duplicates(&mut self) {
+        let attempts_by_viewing: Vec<_> = self.by_viewing.clone().into_iter().collect();
+        for (viewing_id, mut attempts) in attempts_by_viewing {
+            attempts.sort_by_key(|attempt| attempt.last_byte_at);
+            let at_most_once = self
+                .observations
+                .viewings
+                .get(&viewing_id)
+                .is_some_and(|viewing| self.plan.classes[viewing.class].is_at_most_once());
             for pair in attempts.windows(2) {
                 let (first, second) = (pair[0], pair[1]);
-                let never_ran = matches!(first.end, Some((_, AttemptEnd::NeverRan | AttemptEnd::Moot)));
-                let told = first.end_written.filter(|_| first.answered.is_none());
-                let out = first.withdrawn.into_iter().chain(first.answered).chain(told).min();
-                let name =
-                    format!("{:016x}: at server {} and at server {}", of.0, first.server, second.server);
-                if self.is_undated(first) || self.is_undated(second) {
+                let never_ran =
+                    matches!(first.end, Some((_, AttemptEnd::NeverRan | AttemptEnd::CountsAsUnsent)));
+                let notice_at = first.end_written_at.filter(|_| first.answered_at.is_none());
+                let settled_at =
+                    first.withdrawn_at.into_iter().chain(first.answered_at).chain(notice_at).min();
+                let name = format!(
+                    "{:016x}: at server {} and at server {}",
+                    viewing_id.0, first.server, second.server
+                );
+                if self.has_unknown_times(first) || self.has_unknown_times(second) {
                     continue;
                 }
-                if once && !never_ran {
-                    self.broken(second.last_byte, format!("duplicate: {name}, never to be sent again"));
-                } else if out.is_none_or(|out| out > second.last_byte + GRAIN) {
-                    let text =
-                        format!("duplicate: {name}, out at once: until {out:?}, from {:?}", second.last_byte);
-                    self.broken_in_time(second.last_byte, second.manager, text);
+                if at_most_once && !never_ran {
+                    self.add_violation(
+                        second.last_byte_at,
+                        format!("duplicate: {name}, though its class must never be sent again"),
+                    );
+                } else if settled_at
+                    .is_none_or(|settled_at| settled_at > second.last_byte_at + TIMING_TOLERANCE)
+                {
+                    let text = format!(
+                        "duplicate: {name}, concurrent: until {settled_at:?}, from {:?}",
+                        second.last_byte_at
+                    );
+                    self.add_timing_violation(second.last_byte_at, second.manager, text);
                 }
             }
         }
     }
 
-    /// Nothing new later than the grace after a drain or an end was told.
-    fn drain(&mut self, attempt: &Attempt) {
-        if self.is_undated(attempt) {
+    /// No attempt may begin later than the grace period after its manager was notified that the server drains
+    /// or is gone.
+    fn check_drain(&mut self, attempt: &Attempt) {
+        if self.has_unknown_times(attempt) {
             return;
         }
-        let at = attempt.first_byte;
-        let of = self.seen.changes.iter().filter(|change| change.server == attempt.server && change.at <= at);
-        let Some(last) =
-            of.clone().rfind(|change| change.ready).map(|change| change.at).or(Some(Duration::ZERO))
+        let at = attempt.first_byte_at;
+        let changes = self
+            .observations
+            .phase_changes
+            .iter()
+            .filter(|change| change.server == attempt.server && change.at <= at);
+        let Some(last_ready_at) =
+            changes.clone().rfind(|change| change.ready).map(|change| change.at).or(Some(Duration::ZERO))
         else {
             return;
         };
-        let told = of.filter(|change| !change.ready && change.at >= last);
-        let told =
-            told.filter_map(|change| change.told.get(&(attempt.manager, attempt.process))).min().copied();
-        if let Some(told) = told.filter(|told| at > *told + GRACE + GRAIN) {
-            let after = (at - told).as_millis();
+        let withdrawals = changes.filter(|change| !change.ready && change.at >= last_ready_at);
+        let notified_at = withdrawals
+            .filter_map(|change| change.notified_at.get(&(attempt.manager, attempt.incarnation)))
+            .min()
+            .copied();
+        if let Some(notified_at) =
+            notified_at.filter(|notified_at| at > *notified_at + DRAIN_GRACE_PERIOD + TIMING_TOLERANCE)
+        {
+            let overrun_ms = (at - notified_at).as_millis();
             let text = format!(
-                "drain: {:016x} to server {}, {after} ms after it was told",
-                attempt.of.0, attempt.server
+                "drain: {:016x} to server {}, {overrun_ms} ms after its manager was notified",
+                attempt.viewing_id.0, attempt.server
             );
-            self.broken_in_time(at, attempt.manager, text);
+            self.add_timing_violation(at, attempt.manager, text);
         }
     }
 
-    /// What a server that has just started gets in any window.
-    fn cold(&mut self) {
-        for (server, born) in self.seen.births.clone() {
-            let warm = born + COLD;
-            let of = self.seen.attempts.iter().filter(|attempt| attempt.server == server);
-            let taken: Vec<_> =
-                of.filter_map(|attempt| attempt.taken).filter(|at| *at >= born && *at < warm).collect();
-            for until in &taken {
-                let warmth =
-                    COLD_FROM + (1.0 - COLD_FROM) * (*until - born).as_secs_f64() / COLD.as_secs_f64();
-                let windows = COLD.as_secs_f64() / FALL_WINDOW.as_secs_f64();
-                let bears = MULTIPLE * warmth * self.plan.kind_streams / windows;
-                let roots = if bears < 30.0 { 3.0 } else { 2.0 };
-                let most = bears + roots * bears.sqrt() + roots;
-                let got = taken.iter().filter(|at| *at <= until && **at + FALL_WINDOW > *until).count();
-                if got as f64 > most {
-                    self.broken(
+    /// A server that has just started must not be overloaded within any window.
+    fn check_slow_start(&mut self) {
+        for (server, server_started_at) in self.observations.server_starts.clone() {
+            let warm_at = server_started_at + SLOW_START_DURATION;
+            let server_attempts =
+                self.observations.attempts.iter().filter(|attempt| attempt.server == server);
+            let received_times: Vec<_> = server_attempts
+                .filter_map(|attempt| attempt.received_at)
+                .filter(|at| *at >= server_started_at && *at < warm_at)
+                .collect();
+            for until in &received_times {
+                let capacity_fraction = SLOW_START_INITIAL_FRACTION
+                    + (1.0 - SLOW_START_INITIAL_FRACTION) * (*until - server_started_at).as_secs_f64()
+                        / SLOW_START_DURATION.as_secs_f64();
+                let window_count = SLOW_START_DURATION.as_secs_f64() / OVERLOAD_WINDOW_DURATION.as_secs_f64();
+                // Managers choose servers independently, so several may choose one at once by chance. The limit
+                // therefore adds 3 standard deviations and 3 more, or 2 and 2 where the base is 30 or more.
+                let base_limit =
+                    OVERLOAD_MULTIPLE * capacity_fraction * self.plan.kind_streams / window_count;
+                let deviations = if base_limit < 30.0 { 3.0 } else { 2.0 };
+                let max_received = base_limit + deviations * base_limit.sqrt() + deviations;
+                let received = received_times
+                    .iter()
+                    .filter(|at| *at <= until && **at + OVERLOAD_WINDOW_DURATION > *until)
+                    .count();
+                if received as f64 > max_received {
+                    self.add_violation(
                         *until,
-                        format!("failback: server {server} got {got} of {most:.0} in a window"),
+                        format!("failback: server {server} received {received} set-ups in a window, at most {max_received:.0} allowed"),
                     );
                     break;
                 }
@@ -298,26 +397,47 @@
         }
     }
 
-    fn ration(&mut self) {
-        let mut further: BTreeMap<(usize, usize), Vec<Duration>> = BTreeMap::new();
-        for attempts in self.by_request.values() {
-            let counted = attempts.iter().skip(1).filter(|of| !matches!(of.end, Some((_, AttemptEnd::Moot))));
-            counted.for_each(|of| further.entry((of.manager, of.process)).or_default().push(of.last_byte));
+    /// The further attempts of each process must stay within its retry budget.
+    fn check_retry_budget(&mut self) {
+        let mut times_by_process: BTreeMap<(usize, usize), Vec<Duration>> = BTreeMap::new();
+        for attempts in self.by_viewing.values() {
+            let counted = attempts
+                .iter()
+                .skip(1)
+                .filter(|retry| !matches!(retry.end, Some((_, AttemptEnd::CountsAsUnsent))));
+            counted.for_each(|attempt| {
+                times_by_process
+                    .entry((attempt.manager, attempt.incarnation))
+                    .or_default()
+                    .push(attempt.last_byte_at)
+            });
         }
-        for ((manager, process), mut times) in further {
-            times.sort();
-            let of = self.seen.requests.values().filter(|of| (of.manager, of.process) == (manager, process));
-            let taken: Vec<_> = of.map(|request| request.sent).collect();
-            let within = |at: Duration, until: Duration| at <= until && at + RATION_SPAN + GRAIN > until;
-            for until in &times {
-                let made =
-                    times.iter().filter(|at| **at <= *until && **at + RATION_SPAN > *until).count() as f64;
-                let came = taken.iter().filter(|at| within(**at, *until + GRAIN)).count() as f64;
-                let allowed = RATION_SLACK * (RATION_FREE + RATION_SHARE * came) + 1.0;
-                if made > allowed {
-                    self.broken(
+        for ((manager, incarnation), mut attempt_times) in times_by_process {
+            attempt_times.sort();
+            let own_viewings = self
+                .observations
+                .viewings
+                .values()
+                .filter(|candidate| (candidate.manager, candidate.incarnation) == (manager, incarnation));
+            let sent_times: Vec<_> = own_viewings.map(|candidate| candidate.sent_at).collect();
+            let is_in_window = |at: Duration, until: Duration| {
+                at <= until && at + RETRY_BUDGET_INTERVAL + TIMING_TOLERANCE > until
+            };
+            for until in &attempt_times {
+                let attempt_count = attempt_times
+                    .iter()
+                    .filter(|at| **at <= *until && **at + RETRY_BUDGET_INTERVAL > *until)
+                    .count() as f64;
+                let viewing_count =
+                    sent_times.iter().filter(|at| is_in_window(**at, *until + TIMING_TOLERANCE)).count()
+                        as f64;
+                let allowed = RETRY_BUDGET_TOLERANCE_FACTOR
+                    * (RETRY_BUDGET_FREE_COUNT + RETRY_BUDGET_FRACTION * viewing_count)
+                    + 1.0;
+                if attempt_count > allowed {
+                    self.add_violation(
                         *until,
-                        format!("ration: manager {manager}: {made} of {allowed:.1} further attempts"),
+                        format!("ration: manager {manager}: {attempt_count} further attempts, at most {allowed:.1} allowed"),
                     );
                     break;
                 }
@@ -325,30 +445,46 @@
         }
     }
 
-    fn rude(&mut self) {
-        for (begun, turned_away) in self.seen.rude.clone() {
-            if begun + RUDE + GRAIN < LENGTH && turned_away.is_none_or(|at| at > begun + RUDE + GRAIN) {
-                let text =
-                    format!("rude: a client that connected at {begun:?} was turned away at {turned_away:?}");
-                self.broken_in_time(begun + RUDE, usize::MAX, text);
+    /// Viewers that send invalid bytes must be answered or disconnected in time.
+    fn check_invalid_viewers(&mut self) {
+        for (connected_at, reacted_at) in self.observations.invalid_viewers.clone() {
+            if connected_at + INVALID_VIEWER_TIMEOUT + TIMING_TOLERANCE < TRIAL_DURATION
+                && reacted_at.is_none_or(|at| at > connected_at + INVALID_VIEWER_TIMEOUT + TIMING_TOLERANCE)
+            {
+                let text = format!(
+                    "rude: a viewer that connected at {connected_at:?} was answered or disconnected at {reacted_at:?}"
+                );
+                self.add_timing_violation(connected_at + INVALID_VIEWER_TIMEOUT, usize::MAX, text);
             }
         }
     }
 
-    fn lives(&mut self) {
-        for (manager, lives) in self.seen.lives.iter().enumerate() {
-            for life in lives {
-                let crashed = life.ended.is_some_and(|(_, well)| !well || life.terminated.is_none());
+    /// Managers must not crash, and must become ready in time.
+    fn check_incarnations(&mut self) {
+        for (manager, incarnations) in self.observations.incarnations.iter().enumerate() {
+            for run in incarnations {
+                let crashed =
+                    run.exit.is_some_and(|(_, succeeded)| !succeeded || run.terminated_at.is_none());
                 if crashed {
-                    let (at, text) = (life.ended.unwrap_or_default().0, format!("crash: manager {manager}"));
-                    self.breaches.push(Breach { at, text, void: false });
+                    let (at, text) = (
+                        run.exit.unwrap_or_default().0,
+                        format!("crash: manager {manager} exited without a request to end, or with an error"),
+                    );
+                    self.violations.push(Violation { at, text, is_void: false });
                 }
-                let ready = life.ready.is_some_and(|ready| ready <= life.started + READY);
-                let time = life.killed.is_none() && life.started + READY < LENGTH;
-                if !ready && time {
-                    let text =
-                        format!("ready: manager {manager}, started at {:?}: {:?}", life.started, life.ready);
-                    self.breaches.push(Breach { at: life.started + READY, text, void: false });
+                let ready_in_time =
+                    run.ready_at.is_some_and(|ready_at| ready_at <= run.started_at + READY_TIMEOUT);
+                let had_time = run.killed_at.is_none() && run.started_at + READY_TIMEOUT < TRIAL_DURATION;
+                if !ready_in_time && had_time {
+                    let text = format!(
+                        "ready: manager {manager}, started at {:?}: ready at {:?}",
+                        run.started_at, run.ready_at
+                    );
+                    self.violations.push(Violation {
+                        at: run.started_at + READY_TIMEOUT,
+                        text,
+                        is_void: false,
+                    });
                 }
             }
         }
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,7 +1,10 @@
-//! Discovery as one manager sees it: numbered events over an address of its own, counted from each start of the manager;
-//! it goes down, mute or silent, breaks off, moves. For each change it is kept when that counts as told.
+//! Stand-in for the discovery service, one for each manager.
+//!
+//! It serves numbered events at an address of its own; the numbers restart with each start of the manager. It
+//! can refuse connections, stop answering, silence or break open watches, and move to another address. For
+//! each phase change it records from when the manager counts as notified.
 
-use super::observations::Shared;
+use super::observations::SharedContext;
 use ivyward_standin::platform::{listen, own_address};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -14,250 +17,283 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A comment comes so often.
-const COMMENTS: Duration = Duration::from_secs(1);
-/// Connections that may wait to be accepted.
-const QUEUE: u32 = 64;
-/// What is told counts as told so long after a silence began, after a break, after SIGHUP, and after a call that failed or
-/// was abandoned once discovery is reachable again.
-const AFTER_SILENCE: Duration = Duration::from_secs(4);
-const AFTER_BREAK: Duration = Duration::from_secs(2);
-const AFTER_HANGUP: Duration = Duration::from_secs(4);
-const AFTER_FAILURE: Duration = Duration::from_secs(6);
-/// The old address closes open connections so long after a move.
-const MOVED: Duration = Duration::from_millis(1500);
+/// Interval between comments on an open watch.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of connections that may wait to be accepted.
+const ACCEPT_BACKLOG_COUNT: u32 = 64;
+/// An event counts as received this long after its watch fell silent.
+const SILENCE_NOTICE_DELAY: Duration = Duration::from_secs(4);
+/// An event counts as received this long after a watch broke off.
+const BREAK_NOTICE_DELAY: Duration = Duration::from_secs(2);
+/// An event counts as received this long after the SIGHUP that announced a move.
+const HANGUP_NOTICE_DELAY: Duration = Duration::from_secs(4);
+/// An event counts as received this long after discovery is reachable again following a call that failed or
+/// was abandoned.
+const FAILURE_NOTICE_DELAY: Duration = Duration::from_secs(6);
+/// The old address closes its open connections this long after a move.
+const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// What becomes of a call.
+/// How discovery handles connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Serves {
-    All,
-    Refuses,
-    /// Connections come up, and nothing is answered.
-    Mute,
+pub enum Availability {
+    /// Connections are accepted and answered.
+    Available,
+    /// Connections are refused.
+    Refusing,
+    /// Connections are accepted and never answered.
+    Unresponsive,
 }
 
-struct Reader {
-    out: mpsc::UnboundedSender<Vec<u8>>,
-    /// Since when it says nothing more.
-    silent: Option<Duration>,
+/// An open watch.
+struct Watch {
+    /// Bytes to write; an empty message closes the watch.
+    output: mpsc::UnboundedSender<Vec<u8>>,
+    /// From when nothing more is sent on it.
+    silent_since: Option<Duration>,
 }
 
-/// An event: its number, its text, and the changes that it tells of.
+/// A published event.
 struct Event {
     number: u64,
     text: String,
+    /// Indexes of the phase changes that it carries.
     changes: Vec<usize>,
 }
 
+/// The discovery service of one manager.
 pub struct Discovery {
     manager: usize,
-    world: Shared,
+    context: SharedContext,
     pub address: Cell<SocketAddr>,
-    serves: watch::Sender<Serves>,
+    availability: watch::Sender<Availability>,
     events: RefCell<Vec<Event>>,
-    readers: RefCell<Vec<Reader>>,
-    /// The last break of an open watch, and the last move.
-    broke: Cell<Option<Duration>>,
-    moved: Cell<Option<Duration>>,
-    /// Counts addresses that it had: an old one takes nothing new.
-    turn: watch::Sender<u32>,
+    watches: RefCell<Vec<Watch>>,
+    /// When an open watch last broke off; `None` again after an outage.
+    broken_at: Cell<Option<Duration>>,
+    /// When the manager was last notified of a move.
+    moved_at: Cell<Option<Duration>>,
+    /// Counts moves; listeners of earlier addresses accept nothing new.
+    address_generation: watch::Sender<u32>,
 }
 
 impl Discovery {
+    /// Starts discovery for a manager at an address of its own.
+    ///
     /// # Errors
-    /// No socket is to be had.
-    pub async fn start(world: &Shared, manager: usize) -> std::io::Result<Rc<Discovery>> {
+    /// No socket is available.
+    pub async fn start(context: &SharedContext, manager: usize) -> std::io::Result<Rc<Discovery>> {
         let listener = TcpListener::bind(own_address()).await?;
         let discovery = Rc::new(Discovery {
             manager,
-            world: world.clone(),
+            context: context.clone(),
             address: Cell::new(listener.local_addr()?),
-            serves: watch::Sender::new(Serves::All),
+            availability: watch::Sender::new(Availability::Available),
             events: RefCell::default(),
-            readers: RefCell::default(),
-            broke: Cell::default(),
-            moved: Cell::default(),
-            turn: watch::Sender::new(0),
+            watches: RefCell::default(),
+            broken_at: Cell::default(),
+            moved_at: Cell::default(),
+            address_generation: watch::Sender::new(0),
         });
-        spawn_local(discovery.clone().listens(listener, 0));
-        spawn_local(discovery.clone().comments());
+        spawn_local(discovery.clone().accept_connections(listener, 0));
+        spawn_local(discovery.clone().send_comments());
         Ok(discovery)
     }
 
-    async fn listens(self: Rc<Self>, mut listener: TcpListener, turn: u32) {
-        let (mut serves, mut turned) = (self.serves.subscribe(), self.turn.subscribe());
+    /// Accepts connections at one address until discovery moves to another.
+    async fn accept_connections(self: Rc<Self>, mut listener: TcpListener, address_generation: u32) {
+        let (mut availability, mut generation_changes) =
+            (self.availability.subscribe(), self.address_generation.subscribe());
         let address = self.address.get();
         loop {
-            let how = *serves.borrow_and_update();
-            if how == Serves::Refuses {
+            let state = *availability.borrow_and_update();
+            if state == Availability::Refusing {
                 drop(listener);
-                if serves.changed().await.is_err() {
+                if availability.changed().await.is_err() {
                     return;
                 }
-                listener = listen(address, QUEUE).await;
+                listener = listen(address, ACCEPT_BACKLOG_COUNT).await;
                 continue;
             }
             tokio::select! {
-                changed = serves.changed() => if changed.is_err() { return },
-                _ = turned.wait_for(|now| *now != turn) => return,
+                changed = availability.changed() => if changed.is_err() { return },
+                _ = generation_changes.wait_for(|now| *now != address_generation) => return,
                 Ok((stream, _)) = listener.accept() => {
-                    spawn_local(self.clone().serve(stream, turn));
+                    spawn_local(self.clone().serve_watch(stream, address_generation));
                 }
             }
         }
     }
 
-    async fn serve(self: Rc<Self>, mut stream: TcpStream, turn: u32) {
-        let (mut head, mut piece) = (vec![], [0; 1024]);
+    /// Serves one watch, from the event after the one that the manager names as its last.
+    async fn serve_watch(self: Rc<Self>, mut stream: TcpStream, address_generation: u32) {
+        let (mut head, mut buffer) = (vec![], [0; 1024]);
         while !head.ends_with(b"\r\n\r\n") {
-            let Ok(read @ 1..) = stream.read(&mut piece).await else { return };
-            head.extend(&piece[..read]);
+            let Ok(read @ 1..) = stream.read(&mut buffer).await else { return };
+            head.extend(&buffer[..read]);
         }
-        let head = String::from_utf8_lossy(&head).to_lowercase();
-        let last =
-            head.lines().find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse::<u64>().ok());
-        if *self.serves.borrow() == Serves::Mute {
-            // Held until whoever called gives it up.
-            while let Ok(1..) = stream.read(&mut piece).await {}
+        let lowercase_head = String::from_utf8_lossy(&head).to_lowercase();
+        let last_event_number = lowercase_head
+            .lines()
+            .find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse::<u64>().ok());
+        if *self.availability.borrow() == Availability::Unresponsive {
+            // Holds the connection until the manager closes it.
+            while let Ok(1..) = stream.read(&mut buffer).await {}
             return;
         }
         let mut text = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_vec();
-        let (now, mut told) = (self.world.now(), vec![]);
-        for event in self.events.borrow().iter().filter(|event| event.number > last.unwrap_or_default()) {
+        let (now, mut sent_changes) = (self.context.now(), vec![]);
+        for event in
+            self.events.borrow().iter().filter(|event| event.number > last_event_number.unwrap_or_default())
+        {
             text.extend(event.text.as_bytes());
-            told.extend(&event.changes);
+            sent_changes.extend(&event.changes);
         }
-        told.iter().for_each(|change| self.counts_as_told(*change, now));
-        let (out, mut written) = mpsc::unbounded_channel();
-        out.send(text).ok();
-        self.readers.borrow_mut().push(Reader { out, silent: None });
-        let mut turned = self.turn.subscribe();
-        let old = async {
-            let ended = turned.wait_for(|now| *now != turn).await.is_err();
-            if !ended {
-                sleep(MOVED).await;
+        sent_changes.iter().for_each(|change| self.record_notification(*change, now));
+        let (output, mut to_write) = mpsc::unbounded_channel();
+        output.send(text).ok();
+        self.watches.borrow_mut().push(Watch { output, silent_since: None });
+        let mut generation_changes = self.address_generation.subscribe();
+        let close_after_move = async {
+            let dropped = generation_changes.wait_for(|now| *now != address_generation).await.is_err();
+            if !dropped {
+                sleep(OLD_ADDRESS_CLOSE_DELAY).await;
             }
         };
-        let writes = async {
-            while let Some(bytes) = written.recv().await {
+        let write_output = async {
+            while let Some(bytes) = to_write.recv().await {
                 if bytes.is_empty() || stream.write_all(&bytes).await.is_err() {
                     return;
                 }
             }
         };
-        tokio::select! { () = old => {}, () = writes => {} }
+        tokio::select! { () = close_after_move => {}, () = write_output => {} }
     }
 
-    async fn comments(self: Rc<Self>) {
+    /// Sends comments on all open watches.
+    async fn send_comments(self: Rc<Self>) {
         loop {
-            sleep(COMMENTS).await;
-            let readers = self.readers.borrow();
-            let speak = readers.iter().filter(|reader| reader.silent.is_none());
-            speak.for_each(|reader| drop(reader.out.send(b": here\n\n".to_vec())));
+            sleep(COMMENT_INTERVAL).await;
+            let watches = self.watches.borrow();
+            let open_watches = watches.iter().filter(|open_watch| open_watch.silent_since.is_none());
+            open_watches.for_each(|open_watch| drop(open_watch.output.send(b": here\n\n".to_vec())));
         }
     }
 
-    fn counts_as_told(&self, change: usize, at: Duration) {
-        let process = self.world.process(self.manager);
-        let mut seen = self.world.seen.borrow_mut();
-        let told = seen.changes[change].told.entry((self.manager, process)).or_insert(at);
-        *told = (*told).min(at);
+    /// Records that the manager counts as notified of a phase change from `at` on, or earlier if already
+    /// recorded.
+    fn record_notification(&self, change: usize, at: Duration) {
+        let incarnation = self.context.current_incarnation(self.manager);
+        let mut observations = self.context.observations.borrow_mut();
+        let notified_at =
+            observations.phase_changes[change].notified_at.entry((self.manager, incarnation)).or_insert(at);
+        *notified_at = (*notified_at).min(at);
     }
 
-    /// Events are counted from a start of the manager: what it was handed then has the number 1.
-    pub fn begins(&self) {
+    /// Drops all events as the manager starts: numbers restart, and the list in its configuration is event 1.
+    pub fn restart_events(&self) {
         self.events.borrow_mut().clear();
-        self.readers.borrow_mut().clear();
+        self.watches.borrow_mut().clear();
     }
 
-    /// Holds an event from now on, and tells it to whoever watches.
-    pub fn tell(&self, members: &[Value], changes: &[usize]) {
-        self.tell_event(members, changes, false);
+    /// Publishes changed members: stores the event and sends it on open watches.
+    pub fn publish(&self, members: &[Value], changes: &[usize]) {
+        self.publish_event(members, changes, false);
     }
 
-    /// The same of the whole list: what it doesn't name is gone.
-    pub fn tell_whole(&self, members: &[Value]) {
-        self.tell_event(members, &[], true);
+    /// Publishes the whole server list; servers missing from it are gone.
+    pub fn publish_full_list(&self, members: &[Value]) {
+        self.publish_event(members, &[], true);
     }
 
-    fn tell_event(&self, members: &[Value], changes: &[usize], complete: bool) {
-        let now = self.world.now();
+    /// Stores an event, sends it on open watches, and records from when it counts as received.
+    fn publish_event(&self, members: &[Value], changes: &[usize], complete: bool) {
+        let now = self.context.now();
         let number = self.events.borrow().last().map_or(2, |event| event.number + 1);
-        let event = super::event(number, complete, members);
+        let event = super::discovery_event(number, complete, members);
         let text = format!("id: {number}\ndata: {event}\n\n");
         self.events.borrow_mut().push(Event { number, text: text.clone(), changes: changes.to_vec() });
-        let mut at = now + AFTER_FAILURE;
-        let mut readers = self.readers.borrow_mut();
-        readers.retain(|reader| !reader.out.is_closed());
-        for reader in readers.iter() {
-            let told = match reader.silent {
-                Some(since) => now.max(since + AFTER_SILENCE),
-                None if reader.out.send(text.clone().into_bytes()).is_ok() => now,
+        let mut at = now + FAILURE_NOTICE_DELAY;
+        let mut watches = self.watches.borrow_mut();
+        watches.retain(|open_watch| !open_watch.output.is_closed());
+        for open_watch in watches.iter() {
+            let received_at = match open_watch.silent_since {
+                Some(since) => now.max(since + SILENCE_NOTICE_DELAY),
+                None if open_watch.output.send(text.clone().into_bytes()).is_ok() => now,
                 None => continue,
             };
-            at = at.min(told);
+            at = at.min(received_at);
         }
-        let after = |from: Option<Duration>, span| from.map(|from| now.max(from + span));
-        let reachable = *self.serves.borrow() == Serves::All;
+        let after = |event_at: Option<Duration>, delay| event_at.map(|event_at| now.max(event_at + delay));
+        let reachable = *self.availability.borrow() == Availability::Available;
         if reachable {
-            let moved = after(self.moved.get(), AFTER_HANGUP);
-            at = after(self.broke.get(), AFTER_BREAK).into_iter().chain(moved).fold(at, Duration::min);
+            let after_move = after(self.moved_at.get(), HANGUP_NOTICE_DELAY);
+            at = after(self.broken_at.get(), BREAK_NOTICE_DELAY)
+                .into_iter()
+                .chain(after_move)
+                .fold(at, Duration::min);
         }
-        if reachable || at < now + AFTER_FAILURE {
-            changes.iter().for_each(|change| self.counts_as_told(*change, at));
+        if reachable || at < now + FAILURE_NOTICE_DELAY {
+            changes.iter().for_each(|change| self.record_notification(*change, at));
         }
     }
 
-    /// Refuses or answers nothing; what stood breaks off.
-    pub fn down(&self, mute: bool) {
-        self.serves.send_replace(if mute { Serves::Mute } else { Serves::Refuses });
-        self.ends_watches();
+    /// Begins an outage: refuses connections, or leaves them unanswered if `mute`, and closes open watches.
+    pub fn take_down(&self, mute: bool) {
+        self.availability.send_replace(if mute {
+            Availability::Unresponsive
+        } else {
+            Availability::Refusing
+        });
+        self.close_watches();
     }
 
-    /// Reachable again: all that it holds counts as told some seconds later.
-    pub fn up(&self) {
-        self.serves.send_replace(Serves::All);
-        self.broke.set(None);
+    /// Ends an outage: the manager counts as notified of all stored events after the failure timeout.
+    pub fn bring_up(&self) {
+        self.availability.send_replace(Availability::Available);
+        self.broken_at.set(None);
         let all: Vec<_> = self.events.borrow().iter().flat_map(|event| event.changes.clone()).collect();
-        let at = self.world.now() + AFTER_FAILURE;
-        all.into_iter().for_each(|change| self.counts_as_told(change, at));
+        let at = self.context.now() + FAILURE_NOTICE_DELAY;
+        all.into_iter().for_each(|change| self.record_notification(change, at));
     }
 
-    fn ends_watches(&self) {
-        self.readers.borrow_mut().drain(..).for_each(|reader| drop(reader.out.send(vec![])));
+    /// Closes all open watches.
+    fn close_watches(&self) {
+        self.watches.borrow_mut().drain(..).for_each(|open_watch| drop(open_watch.output.send(vec![])));
     }
 
-    pub fn falls_silent(&self) {
-        let now = self.world.now();
-        for reader in self.readers.borrow_mut().iter_mut() {
-            reader.silent.get_or_insert(now);
+    /// Stops sending on all open watches, which stay open.
+    pub fn silence_watches(&self) {
+        let now = self.context.now();
+        for open_watch in self.watches.borrow_mut().iter_mut() {
+            open_watch.silent_since.get_or_insert(now);
         }
     }
 
-    pub fn breaks_off(&self) {
-        let half = b"id: 9\ndata: {\"offset\":9,".to_vec();
-        self.readers.borrow().iter().for_each(|reader| drop(reader.out.send(half.clone())));
-        if *self.serves.borrow() == Serves::All {
-            self.broke.set(Some(self.world.now()));
+    /// Closes all open watches in the middle of an event.
+    pub fn break_watches(&self) {
+        let half_event = b"id: 9\ndata: {\"offset\":9,".to_vec();
+        self.watches.borrow().iter().for_each(|open_watch| drop(open_watch.output.send(half_event.clone())));
+        if *self.availability.borrow() == Availability::Available {
+            self.broken_at.set(Some(self.context.now()));
         }
-        self.ends_watches();
+        self.close_watches();
     }
 
-    /// Listens at another address; the old one tells nothing more. The new address.
+    /// Moves to another address and returns it; the old address sends nothing more.
     ///
     /// # Errors
-    /// No socket is to be had.
-    pub async fn moves(self: &Rc<Self>) -> std::io::Result<SocketAddr> {
+    /// No socket is available.
+    pub async fn move_address(self: &Rc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(own_address()).await?;
         self.address.set(listener.local_addr()?);
-        self.falls_silent();
-        self.turn.send_modify(|turn| *turn += 1);
-        spawn_local(self.clone().listens(listener, *self.turn.borrow()));
+        self.silence_watches();
+        self.address_generation.send_modify(|generation| *generation += 1);
+        spawn_local(self.clone().accept_connections(listener, *self.address_generation.borrow()));
         Ok(self.address.get())
     }
 
-    /// The manager was told of the move by now.
-    pub fn move_told(&self) {
-        self.moved.set(Some(self.world.now()));
+    /// Records that the manager has been notified of the move.
+    pub fn record_move_notice(&self) {
+        self.moved_at.set(Some(self.context.now()));
     }
 }
--- a/crates/lab/src/soak/observations.rs
+++ b/crates/lab/src/soak/observations.rs
@@ -1,4 +1,7 @@
-//! What stand-ins and clients of a trial saw, for the judge. Times are spans since the trial began.
+//! What the stand-ins and simulated viewers of a trial record for the checker.
+//!
+//! Managers, servers and connections are identified by index. All times are measured from the start of the
+//! trial.
 
 use super::plan::Plan;
 use ivyward_signal::Ref;
@@ -8,133 +11,146 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a client got as its final answer.
+/// The final answer that a viewer received.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
+    /// The description that the answer carried.
     Served(Vec<u8>),
     /// A release, with its cause.
     Down(u8),
 }
 
-/// A request of a client.
+/// One request of a viewer and the session that comes of it, as the viewer observes it.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct Viewing {
     pub manager: usize,
-    /// The manager's process that it was sent to, counted from 0.
-    pub process: usize,
+    /// The incarnation of the manager that received the request, counted from 0.
+    pub incarnation: usize,
     pub class: usize,
     pub patience: Duration,
-    /// When its last byte was written to a connection that stood.
-    pub sent: Duration,
-    /// When its client gave it up, or left.
-    pub left: Option<Duration>,
-    pub answers: Vec<(Duration, Final)>,
-    /// When its connection ended under it, with no answer.
-    pub cut: Option<Duration>,
-    /// When it was released after its answer, or moved.
-    pub released: Option<Duration>,
-    /// When its client ended what stood.
-    pub ended_by_client: Option<Duration>,
+    /// When the last byte of the request was written to an open connection.
+    pub sent_at: Duration,
+    /// When the viewer gave the request up or disconnected.
+    pub abandoned_at: Option<Duration>,
+    pub answers: Vec<(Duration, FinalAnswer)>,
+    /// When the connection ended while the request was unanswered.
+    pub connection_lost_at: Option<Duration>,
+    /// When the session was released or moved after its answer.
+    pub released_at: Option<Duration>,
+    /// When the viewer ended the session.
+    pub ended_by_viewer_at: Option<Duration>,
 }
 
 /// How an attempt ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Turned away, and told that it never ran.
+    /// The server refused it and reported that it never ran.
     NeverRan,
-    /// The same as one that never left.
-    Moot,
+    /// The server reported that it counts as never sent.
+    CountsAsUnsent,
+    /// The server released it with another cause.
     Errored,
-    /// The manager released it, or closed its connection, before its answer was written.
-    GivenUp,
-    /// What ran came to its end.
-    Over,
+    /// The manager released it, or closed its connection, before the answer was written.
+    Withdrawn,
+    /// The session ran to its end.
+    Finished,
 }
 
-/// A set-up that reached the near end of a server's path whole.
+/// A set-up that arrived whole at the manager's end of the path to a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub of: Ref,
+    pub viewing_id: Ref,
     pub manager: usize,
-    pub process: usize,
+    pub incarnation: usize,
     pub server: usize,
     pub connection: usize,
-    pub first_byte: Duration,
-    pub last_byte: Duration,
-    /// When its manager wrote its release, or closed its connection, as the near end saw it.
-    pub withdrawn: Option<Duration>,
-    /// When its server took it.
-    pub taken: Option<Duration>,
-    /// When its answer was written whole towards the manager, and the answer's text.
-    pub answered: Option<Duration>,
-    pub text: Vec<u8>,
+    pub first_byte_at: Duration,
+    pub last_byte_at: Duration,
+    /// When the manager's release, or the close of its connection, arrived at the manager's end of the path.
+    pub withdrawn_at: Option<Duration>,
+    /// When the server received the set-up.
+    pub received_at: Option<Duration>,
+    /// When the whole answer was written towards the manager.
+    pub answered_at: Option<Duration>,
+    /// The description in the answer.
+    pub description: Vec<u8>,
     pub end: Option<(Duration, AttemptEnd)>,
-    /// When the end of what stood was first written towards the manager.
-    pub end_written: Option<Duration>,
+    /// When the end of the session was first written towards the manager.
+    pub end_written_at: Option<Duration>,
 }
 
-/// A change of a server's standing that discovery held.
+/// A change of a server's phase that discovery published.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct PhaseChange {
     pub at: Duration,
     pub server: usize,
-    /// Ready: nothing is to be kept from it any more.
+    /// The server became ready, so managers may send it new set-ups again.
     pub ready: bool,
-    /// By manager and process, when it counts as told.
-    pub told: BTreeMap<(usize, usize), Duration>,
+    /// When a manager counts as notified, by manager and incarnation.
+    pub notified_at: BTreeMap<(usize, usize), Duration>,
 }
 
-/// A process of a manager.
+/// One run of a manager's process.
 #[derive(Clone, Debug, Default)]
-pub struct Life {
-    pub started: Duration,
-    pub ready: Option<Duration>,
-    pub terminated: Option<Duration>,
-    pub killed: Option<Duration>,
-    pub ended: Option<(Duration, bool)>,
+pub struct Incarnation {
+    pub started_at: Duration,
+    /// When it first passed the readiness check.
+    pub ready_at: Option<Duration>,
+    /// When it received SIGTERM.
+    pub terminated_at: Option<Duration>,
+    /// When it received SIGKILL.
+    pub killed_at: Option<Duration>,
+    /// When it exited by itself, and whether with success.
+    pub exit: Option<(Duration, bool)>,
 }
 
-/// All that was seen.
+/// Everything that was recorded in a trial.
 #[derive(Default)]
-pub struct Seen {
-    pub requests: BTreeMap<Ref, Request>,
+pub struct Observations {
+    pub viewings: BTreeMap<Ref, Viewing>,
     pub attempts: Vec<Attempt>,
-    pub changes: Vec<Change>,
-    pub lives: Vec<Vec<Life>>,
-    /// When a server's process started, after the trial's beginning.
-    pub births: Vec<(usize, Duration)>,
-    /// Breaches that were seen as they happened.
-    pub breaches: Vec<(Duration, String)>,
-    /// Spans in which paths of a manager and a server carried nothing in a direction, or a server's were reset.
-    pub troubled: Vec<(usize, usize, Duration, Duration)>,
-    /// Spans in which a server's sockets were not read: when bytes were written can't be told.
-    pub stalled: Vec<(usize, Duration, Duration)>,
-    /// Connections of viewers that stood: manager, process, from and to.
+    pub phase_changes: Vec<PhaseChange>,
+    /// By manager, in the order of starts.
+    pub incarnations: Vec<Vec<Incarnation>>,
+    /// When a server's process started, after the start of the trial: server and time.
+    pub server_starts: Vec<(usize, Duration)>,
+    /// Violations that were detected while the trial ran.
+    pub violations: Vec<(Duration, String)>,
+    /// Periods in which a path carried nothing in one direction, or connections on it were reset: manager,
+    /// server, from and to.
+    pub disrupted_paths: Vec<(usize, usize, Duration, Duration)>,
+    /// Periods in which a server's sockets were not read, so the times of writes are unknown: server, from
+    /// and to.
+    pub unread_periods: Vec<(usize, Duration, Duration)>,
+    /// Connections of viewers: manager, incarnation, from and to.
     pub viewer_connections: Vec<(usize, usize, Duration, Option<Duration>)>,
-    /// Bad clients: when each connected, and when it was turned away or closed.
-    pub rude: Vec<(Duration, Option<Duration>)>,
-    /// When this rig ran late, and by how much.
-    pub late: Vec<(Duration, Duration)>,
-    /// When a manager's process waited for a processor, and for how long within a tick.
-    pub starved: Vec<(Duration, usize, Duration)>,
+    /// Viewers that sent invalid bytes: when each connected, and when it was answered or disconnected.
+    pub invalid_viewers: Vec<(Duration, Option<Duration>)>,
+    /// When the test harness ran late, and by how much.
+    pub harness_delays: Vec<(Duration, Duration)>,
+    /// How long a manager's process waited for a processor within a sampling interval: time of the sample,
+    /// manager and wait.
+    pub cpu_waits: Vec<(Duration, usize, Duration)>,
 }
 
-/// A trial as its parts share it.
-pub struct World {
+/// The state that all parts of a trial share.
+pub struct TrialContext {
     pub plan: Plan,
-    pub begun: Instant,
-    pub seen: RefCell<Seen>,
+    pub trial_started_at: Instant,
+    pub observations: RefCell<Observations>,
 }
 
-pub type Shared = Rc<World>;
+/// Shared ownership of the context; a trial runs on one thread.
+pub type SharedContext = Rc<TrialContext>;
 
-impl World {
+impl TrialContext {
+    /// Time since the start of the trial.
     pub fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.trial_started_at.elapsed()
     }
 
-    /// The number of a manager's process that runs, or ran last.
-    pub fn process(&self, manager: usize) -> usize {
-        self.seen.borrow().lives[manager].len().saturating_sub(1)
+    /// The index of the manager's running incarnation, or of its last one.
+    pub fn current_incarnation(&self, manager: usize) -> usize {
+        self.observations.borrow().incarnations[manager].len().saturating_sub(1)
     }
 }
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -1,7 +1,7 @@
-//! Managers' processes: started on a configuration of their own, told to end, killed, started anew.
+//! Manager processes of a trial: starts, reconfiguration, shutdown, kill and restart.
 
 use super::discovery::Discovery;
-use super::observations::{Life, Shared};
+use super::observations::{Incarnation, SharedContext};
 use ivyward_signal::{Kind, Ref};
 use ivyward_standin::platform::{Viewer, own_address};
 use serde_json::{Value, json};
@@ -16,203 +16,217 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// It is started anew so long after its end.
-const DOWN: Duration = Duration::from_millis(300);
-/// It is looked whether it is ready, or has ended, so often.
-const LOOKS: Duration = Duration::from_millis(5);
-/// A start takes no longer.
-const READY: Duration = Duration::from_secs(10);
+/// Delay from the end of a process to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Interval between readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest time that a start may take.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// A manager, whose process may be started several times.
 pub struct Process {
     pub manager: usize,
     pub address: SocketAddr,
     pub discovery: Rc<Discovery>,
-    world: Shared,
+    context: SharedContext,
     program: PathBuf,
-    file: PathBuf,
-    log: Option<PathBuf>,
+    config_path: PathBuf,
+    /// `None` if the log is discarded.
+    log_path: Option<PathBuf>,
     child: RefCell<Option<Child>>,
-    /// The number of its process, as long as that runs.
-    id: Cell<Option<u32>>,
-    /// A shutdown or a kill is under way.
+    /// The process id while the process runs.
+    pid: Cell<Option<u32>>,
+    /// Whether a shutdown or a kill is in progress.
     ending: RefCell<bool>,
 }
 
 impl Process {
+    /// Prepares a manager without starting it. Its files go to `folder`; the log is kept there if `keep`.
+    ///
     /// # Errors
-    /// No socket is to be had.
+    /// No socket is available.
     pub async fn new(
-        world: &Shared, manager: usize, program: &Path, (folder, keep): (&Path, bool),
+        context: &SharedContext, manager: usize, program: &Path, (folder, keep): (&Path, bool),
     ) -> std::io::Result<Rc<Process>> {
         let address = TcpListener::bind(own_address()).await?.local_addr()?;
-        let name = format!("{}-m{manager}", world.plan.seed);
+        let name = format!("{}-m{manager}", context.plan.seed);
         Ok(Rc::new(Process {
             manager,
             address,
-            discovery: Discovery::start(world, manager).await?,
-            world: world.clone(),
+            discovery: Discovery::start(context, manager).await?,
+            context: context.clone(),
             program: program.into(),
-            file: folder.join(format!("{name}.json")),
-            log: keep.then(|| folder.join(format!("{name}.log"))),
+            config_path: folder.join(format!("{name}.json")),
+            log_path: keep.then(|| folder.join(format!("{name}.log"))),
             child: RefCell::default(),
-            id: Cell::default(),
+            pid: Cell::default(),
             ending: RefCell::new(false),
         }))
     }
 
+    /// Builds the configuration for the next start.
     fn config(&self, members: &[Value]) -> Value {
-        let process = self.world.seen.borrow().lives[self.manager].len();
+        let incarnation = self.context.observations.borrow().incarnations[self.manager].len();
         json!({
             "name": format!("n{}", self.manager), "listen": self.address.to_string(),
-            "seed": format!("{:016x}", self.world.plan.seed * 100 + (self.manager * 10 + process) as u64),
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.world.plan.descriptors},
+            "seed": format!("{:016x}", self.context.plan.seed * 100 + (self.manager * 10 + incarnation) as u64),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.context.plan.descriptors},
             "bus": self.discovery.address.get().to_string(),
-            "known": {"offset": 1, "batch": [super::event(1, true, members)]},
-            "settings": self.world.plan.settings(),
+            "known": {"offset": 1, "batch": [super::discovery_event(1, true, members)]},
+            "settings": self.context.plan.settings(),
         })
     }
 
-    /// Starts it on the list as it is now, and waits until it passes a test.
+    /// Starts the process on the current server list, and waits until it is ready.
     ///
     /// # Errors
-    /// It can't be started.
-    pub async fn starts(&self, members: &[Value]) -> std::io::Result<()> {
-        self.discovery.begins();
-        fs::write(&self.file, self.config(members).to_string())?;
-        let errors = match &self.log {
-            Some(log) => Stdio::from(File::options().create(true).append(true).open(log)?),
+    /// The configuration or the log can't be written, or the process can't be started.
+    pub async fn launch(&self, members: &[Value]) -> std::io::Result<()> {
+        self.discovery.restart_events();
+        fs::write(&self.config_path, self.config(members).to_string())?;
+        let stderr_target = match &self.log_path {
+            Some(path) => Stdio::from(File::options().create(true).append(true).open(path)?),
             None => Stdio::null(),
         };
-        let level = if self.log.is_some() { "info,ivyward_node=debug" } else { "error" };
+        let level = if self.log_path.is_some() { "info,ivyward_node=debug" } else { "error" };
         let child = Command::new("sh")
             .args(["-c", "ulimit -n $1; exec \"$0\" node \"$2\""])
             .arg(&self.program)
-            .arg(self.world.plan.descriptors.to_string())
-            .arg(&self.file)
+            .arg(self.context.plan.descriptors.to_string())
+            .arg(&self.config_path)
             .env("IVYWARD_LOG", level)
             .env("RUST_LOG", level)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(errors)
+            .stderr(stderr_target)
             .kill_on_drop(true)
             .spawn()?;
-        self.id.set(child.id());
+        self.pid.set(child.id());
         *self.child.borrow_mut() = Some(child);
         *self.ending.borrow_mut() = false;
-        let started = self.world.now();
-        self.world.seen.borrow_mut().lives[self.manager].push(Life { started, ..Life::default() });
-        if self.passes_test().await {
-            let now = self.world.now();
-            if let Some(life) = self.world.seen.borrow_mut().lives[self.manager].last_mut() {
-                life.ready = Some(now);
+        let started_at = self.context.now();
+        self.context.observations.borrow_mut().incarnations[self.manager]
+            .push(Incarnation { started_at, ..Incarnation::default() });
+        if self.wait_until_ready().await {
+            let now = self.context.now();
+            if let Some(run) = self.context.observations.borrow_mut().incarnations[self.manager].last_mut() {
+                run.ready_at = Some(now);
             }
         }
         Ok(())
     }
 
-    async fn passes_test(&self) -> bool {
-        let until = Instant::now() + READY;
-        while Instant::now() < until {
+    /// Waits until the process answers a test message. Returns whether it did so in time.
+    async fn wait_until_ready(&self) -> bool {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < deadline {
             if let Ok(mut viewer) = Viewer::connect(self.address).await
                 && viewer.says(Kind::Test, Ref(1), Some(0)).await
-                && viewer.hears(READY).await.is_some_and(|tested| tested.cause == Some(1))
+                && viewer.hears(READY_TIMEOUT).await.is_some_and(|reply| reply.cause == Some(1))
             {
                 return true;
             }
-            sleep(LOOKS).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         false
     }
 
-    pub fn id(&self) -> Option<u32> {
-        self.id.get()
+    /// The process id, if the process runs.
+    pub fn pid(&self) -> Option<u32> {
+        self.pid.get()
     }
 
-    /// Whether it runs and no end of it is under way; takes the right to end it.
-    pub fn may_end(&self) -> bool {
-        let ready =
-            self.world.seen.borrow().lives[self.manager].last().is_some_and(|life| life.ready.is_some());
-        ready && self.id().is_some() && !std::mem::replace(&mut *self.ending.borrow_mut(), true)
+    /// Reserves the end of the process for the caller. Returns whether it is ready and no end is in progress.
+    pub fn begin_ending(&self) -> bool {
+        let ready = self.context.observations.borrow().incarnations[self.manager]
+            .last()
+            .is_some_and(|run| run.ready_at.is_some());
+        ready && self.pid().is_some() && !std::mem::replace(&mut *self.ending.borrow_mut(), true)
     }
 
-    pub async fn signals(&self, name: &str) -> bool {
-        match self.id() {
-            Some(id) => crate::managers::signal(id, name).await,
+    /// Sends a signal to the process, if it runs.
+    pub async fn send_signal(&self, name: &str) -> bool {
+        match self.pid() {
+            Some(pid) => crate::managers::signal(pid, name).await,
             None => false,
         }
     }
 
-    fn life(&self, change: impl FnOnce(&mut Life)) {
-        if let Some(life) = self.world.seen.borrow_mut().lives[self.manager].last_mut() {
-            change(life);
+    /// Changes the record of the last incarnation.
+    fn update_incarnation(&self, change: impl FnOnce(&mut Incarnation)) {
+        if let Some(run) = self.context.observations.borrow_mut().incarnations[self.manager].last_mut() {
+            change(run);
         }
     }
 
-    /// SIGTERM, and SIGKILL at its earliest where it has not ended; `hangup`: SIGHUP before and behind SIGTERM.
-    pub async fn shuts_down(&self, hangup: bool) {
+    /// Sends SIGTERM, and SIGKILL if the process still runs at the earliest time that a shutdown may end with
+    /// it. With `hangup`, SIGHUP precedes and follows SIGTERM.
+    pub async fn shut_down(&self, hangup: bool) {
         if hangup {
-            self.signals("HUP").await;
+            self.send_signal("HUP").await;
         }
-        self.signals("TERM").await;
-        let told = Instant::now();
-        let now = self.world.now();
-        self.life(|life| life.terminated = Some(now));
+        self.send_signal("TERM").await;
+        let signalled_at = Instant::now();
+        let now = self.context.now();
+        self.update_incarnation(|run| run.terminated_at = Some(now));
         if hangup {
-            self.signals("HUP").await;
+            self.send_signal("HUP").await;
         }
         let mut child = self.child.borrow_mut().take();
         let Some(process) = child.as_mut() else { return };
-        let left = self.world.plan.shutdown().saturating_sub(told.elapsed());
-        match timeout(left, process.wait()).await {
-            Ok(ended) => {
-                let (now, well) = (self.world.now(), ended.is_ok_and(|status| status.success()));
-                self.id.set(None);
-                self.life(|life| life.ended = Some((now, well)));
+        let time_left = self.context.plan.shutdown_timeout().saturating_sub(signalled_at.elapsed());
+        match timeout(time_left, process.wait()).await {
+            Ok(exit) => {
+                let (now, succeeded) = (self.context.now(), exit.is_ok_and(|status| status.success()));
+                self.pid.set(None);
+                self.update_incarnation(|run| run.exit = Some((now, succeeded)));
             }
-            Err(_) => self.killed(process).await,
+            Err(_) => self.kill_child(process).await,
         }
-        sleep(DOWN).await;
+        sleep(RESTART_DELAY).await;
     }
 
-    pub async fn is_killed(&self) {
+    /// Kills the process and waits before its restart.
+    pub async fn kill_process(&self) {
         let mut child = self.child.borrow_mut().take();
         if let Some(process) = child.as_mut() {
-            self.killed(process).await;
+            self.kill_child(process).await;
         }
-        sleep(DOWN).await;
+        sleep(RESTART_DELAY).await;
     }
 
-    async fn killed(&self, process: &mut Child) {
-        let now = self.world.now();
-        self.life(|life| life.killed = Some(now));
-        self.id.set(None);
+    /// Records the kill and sends SIGKILL.
+    async fn kill_child(&self, process: &mut Child) {
+        let now = self.context.now();
+        self.update_incarnation(|run| run.killed_at = Some(now));
+        self.pid.set(None);
         process.kill().await.ok();
     }
 
-    /// Whether it has ended unasked.
+    /// Whether the process exited without a request to end.
     pub fn has_crashed(&self) -> bool {
         let mut child = self.child.borrow_mut();
         child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// Discovery moves, and the process is told twice: of a file half written, then of a whole one.
-    pub async fn is_reconfigured(&self) {
-        let Ok(text) = fs::read_to_string(&self.file) else { return };
+    /// Moves discovery and notifies the process twice: with the configuration half written, then whole.
+    pub async fn reconfigure(&self) {
+        let Ok(text) = fs::read_to_string(&self.config_path) else { return };
         let Ok(mut config) = serde_json::from_str::<Value>(&text) else { return };
-        let Ok(address) = self.discovery.moves().await else { return };
+        let Ok(address) = self.discovery.move_address().await else { return };
         config["bus"] = address.to_string().into();
         let text = config.to_string();
-        fs::write(&self.file, &text[..text.len() / 2]).ok();
-        self.signals("HUP").await;
+        fs::write(&self.config_path, &text[..text.len() / 2]).ok();
+        self.send_signal("HUP").await;
         sleep(Duration::from_millis(20)).await;
-        fs::write(&self.file, text).ok();
-        self.signals("HUP").await;
-        self.discovery.move_told();
+        fs::write(&self.config_path, text).ok();
+        self.send_signal("HUP").await;
+        self.discovery.record_move_notice();
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        fs::remove_file(&self.file).ok();
+        fs::remove_file(&self.config_path).ok();
     }
 }
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -1,8 +1,11 @@
-//! A stand-in for a video server with sessions: what it takes runs, stands, ends, and is told on the connections that the
-//! protocol page names. Each manager has an address of its own, so that paths can be cut one by one. The near end of a path
-//! records what a manager wrote and when; behind it messages wait as long as the path, or the server, holds them.
-
-use super::observations::{Attempt, AttemptEnd, Shared};
+//! Stand-in for a video server with sessions.
+//!
+//! It answers set-ups, runs sessions, and reports their ends on the connections that the protocol prescribes.
+//! Each manager has its own address of the server, so that each path can be cut separately. The near end of a
+//! path (the manager's end) reads at once and records what the manager wrote and when. Messages then wait for
+//! as long as the path is cut or the server hangs.
+
+use super::observations::{Attempt, AttemptEnd, SharedContext};
 use super::plan::{Outcome, Plan};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Field, Kind, Ref, Signal};
@@ -20,269 +23,284 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections that may wait to be accepted.
-const QUEUE: u32 = 256;
-/// What a full queue of connections is filled with waits for so long.
-const FILLS: Duration = Duration::from_millis(20);
-/// Sessions that stand are told of so often.
-const NOTES: Duration = Duration::from_millis(800);
-/// The longest time that a connection lags behind others, in milliseconds.
-const LAG_MS: u64 = 5;
+/// Number of connections that may wait to be accepted.
+const ACCEPT_BACKLOG_COUNT: u32 = 256;
+/// Timeout of the connections that fill the accept backlog; the backlog is full once one times out.
+const BACKLOG_FILL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Interval between notes on active sessions.
+const NOTE_INTERVAL: Duration = Duration::from_millis(800);
+/// Largest delay of the messages of a connection, in milliseconds; each connection draws its own.
+const MAX_LAG_MS: u64 = 5;
 
-/// What becomes of new connections.
+/// How a server handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listening {
-    All,
-    Refuses,
-    /// They never come up.
-    Silent,
-    /// They are closed, or reset, as soon as they come up.
-    Closes {
-        resets: bool,
-    },
+    /// They are accepted.
+    Accepting,
+    /// They are refused.
+    Refusing,
+    /// They are never established, as the accept backlog is full.
+    Unresponsive,
+    /// They are closed, or reset, as soon as they are established.
+    Closing { with_reset: bool },
 }
 
-/// What a path carries: towards the server, and back.
+/// The directions in which a path between a manager and a server carries messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Carries {
-    pub forth: bool,
-    pub back: bool,
+pub struct PathState {
+    pub to_server: bool,
+    pub to_manager: bool,
 }
 
-/// What is to be written on a connection.
-enum Out {
-    /// `answer_of`, `end_of`: the attempt whose answer, or whose end, this is.
-    Bytes {
-        bytes: Vec<u8>,
-        answer_of: Option<usize>,
-        end_of: Option<usize>,
-    },
+/// An action on a connection, queued for its writer.
+enum Output {
+    /// Bytes to write. `answered_attempt` or `ended_attempt` is the attempt whose answer or end they contain.
+    Bytes { bytes: Vec<u8>, answered_attempt: Option<usize>, ended_attempt: Option<usize> },
+    /// Reset the connection.
     Reset,
-    /// Closed as idle.
+    /// Close the connection.
     Close,
 }
 
-/// What came on a connection, behind the near end of its path.
-enum In {
+/// Input that a connection received at the near end of its path.
+enum Input {
     Message { bytes: Vec<u8>, attempt: Option<usize> },
     Closed,
 }
 
+/// A connection from a manager.
 struct Connection {
     manager: usize,
-    out: mpsc::UnboundedSender<Out>,
+    output: mpsc::UnboundedSender<Output>,
     alive: bool,
-    /// Nothing more comes of it: its answer was spoilt, or stopped short.
-    useless: bool,
+    /// An answer on it was malformed or truncated. The server ignores further set-ups on it and sends neither
+    /// notes nor ends on it.
+    unusable: bool,
 }
 
-/// What a server's process holds.
+/// The state of a server's process.
 #[derive(Default)]
 struct State {
+    /// Counts the process's starts; tasks of earlier generations stop.
     generation: u32,
     connections: Vec<Connection>,
-    /// Set-ups without an outcome, by the connection that they came on.
-    open: BTreeMap<(usize, Ref), usize>,
-    /// The last attempt of each session that came here and is not over.
-    latest: BTreeMap<Ref, usize>,
-    standing: BTreeSet<usize>,
-    /// Ends to be told again on a manager's next connection.
-    again: BTreeMap<usize, Vec<(Ref, usize)>>,
+    /// Attempts without an outcome, by connection and viewing.
+    pending_attempts: BTreeMap<(usize, Ref), usize>,
+    /// The last attempt of each viewing that was received and has not ended.
+    latest_attempts: BTreeMap<Ref, usize>,
+    /// Attempts whose session is active.
+    active_attempts: BTreeSet<usize>,
+    /// Ends of sessions to repeat on a manager's next connection.
+    ends_to_repeat: BTreeMap<usize, Vec<(Ref, usize)>>,
 }
 
+/// A server of the trial.
 pub struct Server {
     pub index: usize,
-    pub word: RefCell<String>,
+    /// The server's id in the server list.
+    pub id: RefCell<String>,
+    /// By manager.
     pub addresses: Vec<SocketAddr>,
-    /// Milliseconds of the Unix clock at which its process started late, or 0.
-    pub up_since: Cell<u64>,
-    world: Shared,
-    chance: RefCell<Pcg64Mcg>,
+    /// The Unix time in milliseconds of the last start during the trial, or 0.
+    pub started_unix_ms: Cell<u64>,
+    context: SharedContext,
+    rng: RefCell<Pcg64Mcg>,
     state: RefCell<State>,
     listening: watch::Sender<Listening>,
-    hangs: watch::Sender<bool>,
-    stalls: watch::Sender<bool>,
-    paths: Vec<watch::Sender<Carries>>,
+    /// Whether the process handles nothing.
+    hung: watch::Sender<bool>,
+    /// Whether the sockets are not read.
+    stalled: watch::Sender<bool>,
+    /// By manager.
+    paths: Vec<watch::Sender<PathState>>,
 }
 
 impl Server {
+    /// Starts a server with an address for each manager.
+    ///
     /// # Errors
-    /// No socket is to be had.
-    pub async fn start(world: &Shared, index: usize, chance: Pcg64Mcg) -> std::io::Result<Rc<Server>> {
+    /// No socket is available.
+    pub async fn start(context: &SharedContext, index: usize, rng: Pcg64Mcg) -> std::io::Result<Rc<Server>> {
         let mut listeners = vec![];
-        for _ in 0..world.plan.managers {
+        for _ in 0..context.plan.managers {
             listeners.push(TcpListener::bind(own_address()).await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let open = Carries { forth: true, back: true };
+        let open_path = PathState { to_server: true, to_manager: true };
         let server = Rc::new(Server {
             index,
-            word: RefCell::new(format!("s-{index:08x}")),
+            id: RefCell::new(format!("s-{index:08x}")),
             addresses,
-            up_since: Cell::new(0),
-            world: world.clone(),
-            chance: RefCell::new(chance),
+            started_unix_ms: Cell::new(0),
+            context: context.clone(),
+            rng: RefCell::new(rng),
             state: RefCell::default(),
-            listening: watch::Sender::new(Listening::All),
-            hangs: watch::Sender::new(false),
-            stalls: watch::Sender::new(false),
-            paths: (0..world.plan.managers).map(|_| watch::Sender::new(open)).collect(),
+            listening: watch::Sender::new(Listening::Accepting),
+            hung: watch::Sender::new(false),
+            stalled: watch::Sender::new(false),
+            paths: (0..context.plan.managers).map(|_| watch::Sender::new(open_path)).collect(),
         });
         for (manager, listener) in listeners.into_iter().enumerate() {
-            spawn_local(server.clone().listens(manager, listener));
+            spawn_local(server.clone().accept_connections(manager, listener));
         }
-        spawn_local(server.clone().tells());
+        spawn_local(server.clone().send_notes());
         Ok(server)
     }
 
-    async fn listens(self: Rc<Self>, manager: usize, mut listener: TcpListener) {
-        let mut turned = self.listening.subscribe();
+    /// Accepts, refuses, ignores or closes the connections of one manager.
+    async fn accept_connections(self: Rc<Self>, manager: usize, mut listener: TcpListener) {
+        let mut mode_changes = self.listening.subscribe();
         loop {
-            let how = *turned.borrow_and_update();
-            match how {
-                Listening::All | Listening::Closes { .. } => loop {
+            let mode = *mode_changes.borrow_and_update();
+            match mode {
+                Listening::Accepting | Listening::Closing { .. } => loop {
                     tokio::select! {
-                        changed = turned.changed() => if changed.is_ok() { break } else { return },
-                        Ok((stream, _)) = listener.accept() => match how {
-                            Listening::Closes { resets: true } => drop(stream.set_zero_linger()),
-                            Listening::Closes { resets: false } => drop(stream),
-                            _ => self.accepted(manager, stream),
+                        changed = mode_changes.changed() => if changed.is_ok() { break } else { return },
+                        Ok((stream, _)) = listener.accept() => match mode {
+                            Listening::Closing { with_reset: true } => drop(stream.set_zero_linger()),
+                            Listening::Closing { with_reset: false } => drop(stream),
+                            _ => self.add_connection(manager, stream),
                         },
                     }
                 },
-                Listening::Refuses => {
+                Listening::Refusing => {
                     drop(listener);
-                    if turned.changed().await.is_err() {
+                    if mode_changes.changed().await.is_err() {
                         return;
                     }
-                    listener = listen(self.addresses[manager], QUEUE).await;
+                    listener = listen(self.addresses[manager], ACCEPT_BACKLOG_COUNT).await;
                 }
-                Listening::Silent => {
+                Listening::Unresponsive => {
                     drop(listener);
-                    let full = listen(self.addresses[manager], 1).await;
+                    let full_listener = listen(self.addresses[manager], 1).await;
                     let mut queued = vec![];
                     while let Ok(Ok(stream)) =
-                        timeout(FILLS, TcpStream::connect(self.addresses[manager])).await
+                        timeout(BACKLOG_FILL_TIMEOUT, TcpStream::connect(self.addresses[manager])).await
                     {
                         queued.push(stream);
                     }
-                    if turned.changed().await.is_err() {
+                    if mode_changes.changed().await.is_err() {
                         return;
                     }
-                    drop((full, queued));
-                    listener = listen(self.addresses[manager], QUEUE).await;
+                    drop((full_listener, queued));
+                    listener = listen(self.addresses[manager], ACCEPT_BACKLOG_COUNT).await;
                 }
             }
         }
     }
 
-    fn accepted(self: &Rc<Self>, manager: usize, stream: TcpStream) {
+    /// Adds an accepted connection and repeats ended sessions on it.
+    fn add_connection(self: &Rc<Self>, manager: usize, stream: TcpStream) {
         stream.set_nodelay(true).ok();
-        let (out, written) = mpsc::unbounded_channel();
+        let (output, to_write) = mpsc::unbounded_channel();
         let mut state = self.state.borrow_mut();
-        let (number, generation) = (state.connections.len(), state.generation);
-        state.connections.push(Connection { manager, out, alive: true, useless: false });
-        let again = state.again.remove(&manager).unwrap_or_default();
+        let (connection_index, generation) = (state.connections.len(), state.generation);
+        state.connections.push(Connection { manager, output, alive: true, unusable: false });
+        let ends = state.ends_to_repeat.remove(&manager).unwrap_or_default();
         drop(state);
-        for (of, attempt) in again {
-            self.write_end(number, of, attempt);
+        for (viewing_id, attempt) in ends {
+            self.send_end(connection_index, viewing_id, attempt);
         }
         let server = self.clone();
         spawn_local(async move {
-            server.serve(stream, (number, manager, generation), written).await;
-            server.state.borrow_mut().connections[number].alive = false;
+            server.serve_connection(stream, (connection_index, manager, generation), to_write).await;
+            server.state.borrow_mut().connections[connection_index].alive = false;
         });
     }
 
-    async fn serve(
-        self: &Rc<Self>, stream: TcpStream, (number, manager, generation): (usize, usize, u32),
-        written: mpsc::UnboundedReceiver<Out>,
+    /// Serves a connection until it ends.
+    async fn serve_connection(
+        self: &Rc<Self>, stream: TcpStream, (connection_index, manager, generation): (usize, usize, u32),
+        to_write: mpsc::UnboundedReceiver<Output>,
     ) {
-        let (send, came) = mpsc::unbounded_channel();
-        let lag = Duration::from_millis(self.chance.borrow_mut().random_range(0..=LAG_MS));
+        let (input_sender, input) = mpsc::unbounded_channel();
+        let lag = Duration::from_millis(self.rng.borrow_mut().random_range(0..=MAX_LAG_MS));
         tokio::select! {
-            () = self.near_end(&stream, (number, manager), &send) => {}
-            () = self.takes(came, (number, manager, generation), lag) => {}
-            () = self.writes(&stream, (manager, generation), written, lag) => {}
+            () = self.read_input(&stream, (connection_index, manager), &input_sender) => {}
+            () = self.process_input(input, (connection_index, manager, generation), lag) => {}
+            () = self.write_output(&stream, (manager, generation), to_write, lag) => {}
         }
-        self.withdrawn_by_close(number);
+        self.record_withdrawals(connection_index);
     }
 
-    /// Reads at once whatever the manager writes, and records when it did.
-    async fn near_end(
-        &self, stream: &TcpStream, (number, manager): (usize, usize), send: &mpsc::UnboundedSender<In>,
+    /// Reads at once whatever the manager writes, and records when it arrived.
+    async fn read_input(
+        &self, stream: &TcpStream, (connection_index, manager): (usize, usize),
+        input_sender: &mpsc::UnboundedSender<Input>,
     ) {
-        let (mut messages, mut piece, mut begun) = (Messages::default(), [0; 4096], None);
-        let mut stalls = self.stalls.subscribe();
+        let (mut messages, mut buffer, mut message_started_at) = (Messages::default(), [0; 4096], None);
+        let mut stalled = self.stalled.subscribe();
         loop {
-            if stream.readable().await.is_err() || stalls.wait_for(|stalls| !stalls).await.is_err() {
+            if stream.readable().await.is_err() || stalled.wait_for(|is_stalled| !is_stalled).await.is_err() {
                 break;
             }
-            let read = match stream.try_read(&mut piece) {
+            let read = match stream.try_read(&mut buffer) {
                 Ok(0) => break,
                 Ok(read) => read,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
                 Err(_) => break,
             };
-            let now = self.world.now();
-            messages.push(&piece[..read]);
+            let now = self.context.now();
+            messages.push(&buffer[..read]);
             while let Ok(Some(message)) = messages.cut() {
-                let first_byte = begun.take().unwrap_or(now);
+                let first_byte_at = message_started_at.take().unwrap_or(now);
                 let bytes = message.to_vec();
-                let attempt = self.passes_near_end(&bytes, (number, manager), (first_byte, now));
-                send.send(In::Message { bytes, attempt }).ok();
+                let attempt = self.record_message(&bytes, (connection_index, manager), (first_byte_at, now));
+                input_sender.send(Input::Message { bytes, attempt }).ok();
             }
             if messages.begun() {
-                begun.get_or_insert(now);
-                if self.resets_under_request() {
-                    self.send(number, Out::Reset);
+                message_started_at.get_or_insert(now);
+                if self.draw_reset_within_message() {
+                    self.send(connection_index, Output::Reset);
                 }
             }
         }
-        self.withdrawn_by_close(number);
-        send.send(In::Closed).ok();
+        self.record_withdrawals(connection_index);
+        input_sender.send(Input::Closed).ok();
         std::future::pending::<()>().await;
     }
 
-    /// Whether a connection is reset while only a part of a message has come.
-    fn resets_under_request(&self) -> bool {
-        let badness = self.world.plan.badness[self.index];
-        self.chance.borrow_mut().random_bool(badness / 4.0)
+    /// Draws whether to reset a connection when only a part of a message has arrived.
+    fn draw_reset_within_message(&self) -> bool {
+        let badness = self.context.plan.badness[self.index];
+        self.rng.borrow_mut().random_bool(badness / 4.0)
     }
 
-    fn passes_near_end(
+    /// Records a message at the near end. Returns the attempt that it begins, if any.
+    fn record_message(
         &self, bytes: &[u8], (connection, manager): (usize, usize),
-        (first_byte, last_byte): (Duration, Duration),
+        (first_byte_at, last_byte_at): (Duration, Duration),
     ) -> Option<usize> {
         let signal = binary::read(bytes).ok()?;
-        let process = self.world.process(manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let incarnation = self.context.current_incarnation(manager);
+        let mut observations = self.context.observations.borrow_mut();
         match signal.kind {
             Kind::SetUp => {
-                seen.attempts.push(Attempt {
-                    of: signal.of,
+                observations.attempts.push(Attempt {
+                    viewing_id: signal.of,
                     manager,
-                    process,
+                    incarnation,
                     server: self.index,
                     connection,
-                    first_byte,
-                    last_byte,
-                    withdrawn: None,
-                    taken: None,
-                    answered: None,
-                    text: vec![],
+                    first_byte_at,
+                    last_byte_at,
+                    withdrawn_at: None,
+                    received_at: None,
+                    answered_at: None,
+                    description: vec![],
                     end: None,
-                    end_written: None,
+                    end_written_at: None,
                 });
-                Some(seen.attempts.len() - 1)
+                Some(observations.attempts.len() - 1)
             }
             Kind::Release => {
-                let here = |attempt: &&mut Attempt| {
-                    (attempt.of, attempt.server) == (signal.of, self.index) && attempt.manager == manager
+                let matches_release = |attempt: &&mut Attempt| {
+                    (attempt.viewing_id, attempt.server) == (signal.of, self.index)
+                        && attempt.manager == manager
                 };
-                let of = seen.attempts.iter_mut().filter(here);
-                for attempt in of {
-                    attempt.withdrawn.get_or_insert(last_byte);
+                let released_attempts = observations.attempts.iter_mut().filter(matches_release);
+                for attempt in released_attempts {
+                    attempt.withdrawn_at.get_or_insert(last_byte_at);
                 }
                 None
             }
@@ -290,31 +308,34 @@
         }
     }
 
-    fn withdrawn_by_close(&self, connection: usize) {
-        let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
-        let of = |attempt: &&mut Attempt| (attempt.server, attempt.connection) == (self.index, connection);
-        for attempt in seen.attempts.iter_mut().filter(of) {
-            attempt.withdrawn.get_or_insert(now);
+    /// Records that the end of a connection withdraws all attempts on it.
+    fn record_withdrawals(&self, connection: usize) {
+        let (now, mut observations) = (self.context.now(), self.context.observations.borrow_mut());
+        let is_on_connection =
+            |attempt: &&mut Attempt| (attempt.server, attempt.connection) == (self.index, connection);
+        for attempt in observations.attempts.iter_mut().filter(is_on_connection) {
+            attempt.withdrawn_at.get_or_insert(now);
         }
     }
 
-    async fn takes(
-        self: &Rc<Self>, mut came: mpsc::UnboundedReceiver<In>,
-        (number, manager, generation): (usize, usize, u32), lag: Duration,
+    /// Handles input in order, after the connection's lag and once the path and the process let it pass.
+    async fn process_input(
+        self: &Rc<Self>, mut input: mpsc::UnboundedReceiver<Input>,
+        (connection_index, manager, generation): (usize, usize, u32), lag: Duration,
     ) {
-        let (mut hangs, mut path) = (self.hangs.subscribe(), self.paths[manager].subscribe());
-        let idle = self.world.plan.keep_alive;
+        let (mut hung, mut path) = (self.hung.subscribe(), self.paths[manager].subscribe());
+        let idle_timeout = self.context.plan.keep_alive;
         loop {
-            let Ok(message) = timeout(idle, came.recv()).await else {
-                if self.is_unused(number) {
-                    self.send(number, Out::Close);
+            let Ok(message) = timeout(idle_timeout, input.recv()).await else {
+                if self.is_idle(connection_index) {
+                    self.send(connection_index, Output::Close);
                 }
                 continue;
             };
             let Some(message) = message else { return };
             sleep(lag).await;
-            if path.wait_for(|path| path.forth).await.is_err()
-                || hangs.wait_for(|hangs| !hangs).await.is_err()
+            if path.wait_for(|path| path.to_server).await.is_err()
+                || hung.wait_for(|is_hung| !is_hung).await.is_err()
             {
                 return;
             }
@@ -322,329 +343,373 @@
                 return std::future::pending().await;
             }
             match message {
-                In::Closed => {
-                    self.closed(number);
-                    // What was written before goes out first.
-                    self.send(number, Out::Close);
-                    self.state.borrow_mut().connections[number].alive = false;
+                Input::Closed => {
+                    self.handle_close(connection_index);
+                    // Output that is already queued is written first.
+                    self.send(connection_index, Output::Close);
+                    self.state.borrow_mut().connections[connection_index].alive = false;
                     return std::future::pending().await;
                 }
-                In::Message { bytes, attempt } => {
+                Input::Message { bytes, attempt } => {
                     let Ok(signal) = binary::read(&bytes) else { return };
-                    self.took(number, &signal, attempt);
+                    self.handle_signal(connection_index, &signal, attempt);
                 }
             }
         }
     }
 
-    fn is_unused(&self, connection: usize) -> bool {
-        !self.state.borrow().open.keys().any(|(of, _)| *of == connection)
+    /// Whether no set-up is pending on a connection.
+    fn is_idle(&self, connection: usize) -> bool {
+        !self.state.borrow().pending_attempts.keys().any(|(pending_on, _)| *pending_on == connection)
     }
 
-    async fn writes(
+    /// Writes queued output, some of it in small pieces, and records answers and ends as written.
+    async fn write_output(
         &self, stream: &TcpStream, (manager, generation): (usize, u32),
-        mut written: mpsc::UnboundedReceiver<Out>, lag: Duration,
+        mut to_write: mpsc::UnboundedReceiver<Output>, lag: Duration,
     ) {
-        let (mut hangs, mut path) = (self.hangs.subscribe(), self.paths[manager].subscribe());
-        while let Some(out) = written.recv().await {
-            let Out::Bytes { bytes, answer_of, end_of } = out else {
-                if matches!(out, Out::Reset) {
+        let (mut hung, mut path) = (self.hung.subscribe(), self.paths[manager].subscribe());
+        while let Some(output) = to_write.recv().await {
+            let Output::Bytes { bytes, answered_attempt, ended_attempt } = output else {
+                if matches!(output, Output::Reset) {
                     stream.set_zero_linger().ok();
                 }
                 return;
             };
             sleep(lag).await;
-            if path.wait_for(|path| path.back).await.is_err() || hangs.wait_for(|hangs| !hangs).await.is_err()
+            if path.wait_for(|path| path.to_manager).await.is_err()
+                || hung.wait_for(|is_hung| !is_hung).await.is_err()
             {
                 return;
             }
             if self.state.borrow().generation != generation {
                 continue;
             }
-            let pieces = self.chance.borrow_mut().random_bool(0.15);
-            let size = if pieces { self.chance.borrow_mut().random_range(1..20) } else { bytes.len().max(1) };
+            let in_pieces = self.rng.borrow_mut().random_bool(0.15);
+            let size = if in_pieces { self.rng.borrow_mut().random_range(1..20) } else { bytes.len().max(1) };
             for piece in bytes.chunks(size) {
                 if !write_all(stream, piece).await {
                     return;
                 }
-                if pieces {
+                if in_pieces {
                     sleep(Duration::from_micros(300)).await;
                 }
             }
-            let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
-            answer_of.into_iter().for_each(|of| seen.attempts[of].answered = Some(now));
-            if let Some(of) = end_of {
-                seen.attempts[of].end_written.get_or_insert(now);
+            let (now, mut observations) = (self.context.now(), self.context.observations.borrow_mut());
+            answered_attempt
+                .into_iter()
+                .for_each(|answered| observations.attempts[answered].answered_at = Some(now));
+            if let Some(ended) = ended_attempt {
+                observations.attempts[ended].end_written_at.get_or_insert(now);
             }
         }
     }
 
-    fn send(&self, connection: usize, out: Out) -> bool {
+    /// Queues output on a connection. Returns whether the connection still accepts it.
+    fn send(&self, connection: usize, output: Output) -> bool {
         let state = self.state.borrow();
-        state.connections.get(connection).is_some_and(|of| of.alive && of.out.send(out).is_ok())
+        state.connections.get(connection).is_some_and(|peer| peer.alive && peer.output.send(output).is_ok())
     }
 
-    fn say(&self, connection: usize, bytes: Vec<u8>) {
-        self.send(connection, Out::Bytes { bytes, answer_of: None, end_of: None });
+    /// Queues bytes that are neither a recorded answer nor an end.
+    fn send_bytes(&self, connection: usize, bytes: Vec<u8>) {
+        self.send(connection, Output::Bytes { bytes, answered_attempt: None, ended_attempt: None });
     }
 
-    fn took(self: &Rc<Self>, connection: usize, signal: &Signal, attempt: Option<usize>) {
+    /// Handles a message from a manager.
+    fn handle_signal(self: &Rc<Self>, connection: usize, signal: &Signal, attempt: Option<usize>) {
         match (signal.kind, attempt) {
             (Kind::Test, _) => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
-                self.say(
+                self.send_bytes(
                     connection,
                     binary::write(Kind::Tested, signal.of, &report, Some(1), None).unwrap_or_default(),
                 );
             }
-            (Kind::SetUp, Some(attempt)) => self.took_set_up(connection, signal.of, attempt),
-            (Kind::Release, _) => self.took_release(connection, signal.of),
+            (Kind::SetUp, Some(attempt)) => self.handle_set_up(connection, signal.of, attempt),
+            (Kind::Release, _) => self.handle_release(connection, signal.of),
             _ => {}
         }
     }
 
-    fn took_set_up(self: &Rc<Self>, connection: usize, of: Ref, attempt: usize) {
-        let now = self.world.now();
+    /// Accepts a set-up and schedules its outcome.
+    fn handle_set_up(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize) {
+        let now = self.context.now();
         let mut state = self.state.borrow_mut();
-        if state.connections[connection].useless {
+        if state.connections[connection].unusable {
             return;
         }
-        if let Some(before) = state.latest.insert(of, attempt) {
-            let line =
-                format!("duplicate: {:016x} reached server {} beside attempt {before}", of.0, self.index);
-            self.world.seen.borrow_mut().breaches.push((now, line));
+        if let Some(previous) = state.latest_attempts.insert(viewing_id, attempt) {
+            let violation = format!(
+                "duplicate: {:016x} reached server {} while attempt {previous} was active",
+                viewing_id.0, self.index
+            );
+            self.context.observations.borrow_mut().violations.push((now, violation));
         }
-        state.open.insert((connection, of), attempt);
+        state.pending_attempts.insert((connection, viewing_id), attempt);
         drop(state);
-        self.world.seen.borrow_mut().attempts[attempt].taken = Some(now);
-        let (outcome, took) = {
-            let mut chance = self.chance.borrow_mut();
-            let outcome = Plan::outcome(&mut chance, self.world.plan.badness[self.index]);
-            let took = Duration::from_millis(chance.random_range(2..25));
-            let late =
-                if let Outcome::Late(late) = outcome { Duration::from_millis(late) } else { Duration::ZERO };
-            (outcome, took + late)
+        self.context.observations.borrow_mut().attempts[attempt].received_at = Some(now);
+        let (outcome, delay) = {
+            let mut rng = self.rng.borrow_mut();
+            let outcome = Plan::draw_outcome(&mut rng, self.context.plan.badness[self.index]);
+            let base_delay = Duration::from_millis(rng.random_range(2..25));
+            let extra_delay = if let Outcome::AnsweredLate(delay_ms) = outcome {
+                Duration::from_millis(delay_ms)
+            } else {
+                Duration::ZERO
+            };
+            (outcome, base_delay + extra_delay)
         };
         let (server, generation) = (self.clone(), self.state.borrow().generation);
         spawn_local(async move {
-            sleep(took).await;
-            let mut hangs = server.hangs.subscribe();
-            if hangs.wait_for(|hangs| !hangs).await.is_err() || server.state.borrow().generation != generation
+            sleep(delay).await;
+            let mut hung = server.hung.subscribe();
+            if hung.wait_for(|is_hung| !is_hung).await.is_err()
+                || server.state.borrow().generation != generation
             {
                 return;
             }
-            server.comes_out(connection, of, attempt, outcome);
+            server.apply_outcome(connection, viewing_id, attempt, outcome);
         });
     }
 
-    fn comes_out(self: &Rc<Self>, connection: usize, of: Ref, attempt: usize, outcome: Outcome) {
-        if self.state.borrow_mut().open.remove(&(connection, of)) != Some(attempt) {
+    /// Applies the drawn outcome, unless the attempt is no longer pending.
+    fn apply_outcome(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize, outcome: Outcome) {
+        if self.state.borrow_mut().pending_attempts.remove(&(connection, viewing_id)) != Some(attempt) {
             return;
         }
         match outcome {
-            Outcome::Plays | Outcome::Late(_) | Outcome::Ahead | Outcome::Twice(_) => {
-                self.plays(connection, of, attempt, outcome);
+            Outcome::Accepted
+            | Outcome::AnsweredLate(_)
+            | Outcome::PrecededByForeignAnswer
+            | Outcome::RepeatedAnswer(_) => {
+                self.answer_set_up(connection, viewing_id, attempt, outcome);
             }
-            Outcome::AnswerLost => self.stands(connection, of, attempt),
-            Outcome::Release(cause) => {
+            Outcome::AnswerLost => self.start_session(connection, viewing_id, attempt),
+            Outcome::Released(cause) => {
                 let end = match cause {
                     34 => AttemptEnd::NeverRan,
-                    102 => AttemptEnd::Moot,
+                    102 => AttemptEnd::CountsAsUnsent,
                     _ => AttemptEnd::Errored,
                 };
-                self.over(of, attempt, end);
-                let bytes = binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default();
-                self.send(connection, Out::Bytes { bytes, answer_of: None, end_of: Some(attempt) });
+                self.finish_attempt(viewing_id, attempt, end);
+                let bytes =
+                    binary::write(Kind::Release, viewing_id, &[], Some(cause), None).unwrap_or_default();
+                self.send(
+                    connection,
+                    Output::Bytes { bytes, answered_attempt: None, ended_attempt: Some(attempt) },
+                );
             }
-            Outcome::Reset(ran) => {
+            Outcome::ConnectionReset(ran) => {
                 if ran {
-                    self.stands(connection, of, attempt);
+                    self.start_session(connection, viewing_id, attempt);
                 } else {
-                    self.over(of, attempt, AttemptEnd::GivenUp);
+                    self.finish_attempt(viewing_id, attempt, AttemptEnd::Withdrawn);
                 }
-                self.send(connection, Out::Reset);
+                self.send(connection, Output::Reset);
             }
-            Outcome::Spoilt => {
-                self.stands(connection, of, attempt);
-                self.say(connection, vec![0xff; 40]);
-                self.state.borrow_mut().connections[connection].useless = true;
+            Outcome::MalformedAnswer => {
+                self.start_session(connection, viewing_id, attempt);
+                self.send_bytes(connection, vec![0xff; 40]);
+                self.state.borrow_mut().connections[connection].unusable = true;
             }
-            Outcome::StopsShort => {
-                self.stands(connection, of, attempt);
-                let bytes =
-                    binary::write(Kind::Answer, of, &[], None, Some(b"a part of it")).unwrap_or_default();
-                self.say(connection, bytes[..bytes.len() / 2].to_vec());
-                self.state.borrow_mut().connections[connection].useless = true;
+            Outcome::TruncatedAnswer => {
+                self.start_session(connection, viewing_id, attempt);
+                let bytes = binary::write(Kind::Answer, viewing_id, &[], None, Some(b"a part of it"))
+                    .unwrap_or_default();
+                self.send_bytes(connection, bytes[..bytes.len() / 2].to_vec());
+                self.state.borrow_mut().connections[connection].unusable = true;
             }
         }
     }
 
-    fn plays(self: &Rc<Self>, connection: usize, of: Ref, attempt: usize, outcome: Outcome) {
-        let text = format!("v=0 {} {attempt}", self.word.borrow()).into_bytes();
-        let answer = |of| {
+    /// Answers a set-up and starts its session.
+    fn answer_set_up(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize, outcome: Outcome) {
+        let description = format!("v=0 {} {attempt}", self.id.borrow()).into_bytes();
+        let answer = |answered_id| {
             let report = [(Field::Report, "x0:0.4;x1:0.3")];
-            binary::write(Kind::Answer, of, &report, None, Some(&text)).unwrap_or_default()
+            binary::write(Kind::Answer, answered_id, &report, None, Some(&description)).unwrap_or_default()
         };
-        if outcome == Outcome::Ahead {
-            self.say(connection, answer(Ref(!of.0)));
+        if outcome == Outcome::PrecededByForeignAnswer {
+            self.send_bytes(connection, answer(Ref(!viewing_id.0)));
         }
-        self.world.seen.borrow_mut().attempts[attempt].text = text.clone();
-        self.send(connection, Out::Bytes { bytes: answer(of), answer_of: Some(attempt), end_of: None });
-        if let Outcome::Twice(after) = outcome {
-            let (server, again) = (self.clone(), answer(of));
+        self.context.observations.borrow_mut().attempts[attempt].description = description.clone();
+        self.send(
+            connection,
+            Output::Bytes { bytes: answer(viewing_id), answered_attempt: Some(attempt), ended_attempt: None },
+        );
+        if let Outcome::RepeatedAnswer(repeat_after_ms) = outcome {
+            let (server, repeated_answer) = (self.clone(), answer(viewing_id));
             spawn_local(async move {
-                sleep(Duration::from_millis(after)).await;
-                server.say(connection, again);
+                sleep(Duration::from_millis(repeat_after_ms)).await;
+                server.send_bytes(connection, repeated_answer);
             });
         }
-        self.stands(connection, of, attempt);
+        self.start_session(connection, viewing_id, attempt);
     }
 
-    /// It runs until its end, which is told on its connection or any other, and on the next one again.
-    fn stands(self: &Rc<Self>, connection: usize, of: Ref, attempt: usize) {
+    /// Runs a session until its end. The end is reported on the session's connection or on another one of the
+    /// manager, and repeated on the manager's next connection.
+    fn start_session(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize) {
         let generation = {
             let mut state = self.state.borrow_mut();
-            state.standing.insert(attempt);
+            state.active_attempts.insert(attempt);
             state.generation
         };
-        let life = Duration::from_millis(self.chance.borrow_mut().random_range(300..5000));
+        let session_duration = Duration::from_millis(self.rng.borrow_mut().random_range(300..5000));
         let server = self.clone();
         spawn_local(async move {
-            sleep(life).await;
-            let mut hangs = server.hangs.subscribe();
-            if hangs.wait_for(|hangs| !hangs).await.is_err() || server.state.borrow().generation != generation
+            sleep(session_duration).await;
+            let mut hung = server.hung.subscribe();
+            if hung.wait_for(|is_hung| !is_hung).await.is_err()
+                || server.state.borrow().generation != generation
             {
                 return;
             }
-            if server.over(of, attempt, AttemptEnd::Over) {
-                server.tells_end(connection, of, attempt);
+            if server.finish_attempt(viewing_id, attempt, AttemptEnd::Finished) {
+                server.report_end(connection, viewing_id, attempt);
             }
         });
     }
 
-    fn tells_end(&self, connection: usize, of: Ref, attempt: usize) {
-        let (on, manager) = {
+    /// Reports the end of a session and queues its repetition.
+    fn report_end(&self, connection: usize, viewing_id: Ref, attempt: usize) {
+        let (target, manager) = {
             let state = self.state.borrow();
             let manager = state.connections[connection].manager;
-            let usable = |of: &Connection| of.alive && !of.useless && of.manager == manager;
-            let own = Some(connection).filter(|own| usable(&state.connections[*own]));
-            (own.or_else(|| state.connections.iter().position(usable)), manager)
+            let is_usable = |candidate: &Connection| {
+                candidate.alive && !candidate.unusable && candidate.manager == manager
+            };
+            let own_connection = Some(connection).filter(|own| is_usable(&state.connections[*own]));
+            (own_connection.or_else(|| state.connections.iter().position(is_usable)), manager)
         };
-        on.into_iter().for_each(|on| self.write_end(on, of, attempt));
-        self.state.borrow_mut().again.entry(manager).or_default().push((of, attempt));
+        target.into_iter().for_each(|target| self.send_end(target, viewing_id, attempt));
+        self.state.borrow_mut().ends_to_repeat.entry(manager).or_default().push((viewing_id, attempt));
     }
 
-    fn write_end(&self, connection: usize, of: Ref, attempt: usize) {
-        let bytes = binary::write(Kind::Release, of, &[], Some(16), None).unwrap_or_default();
-        self.send(connection, Out::Bytes { bytes, answer_of: None, end_of: Some(attempt) });
+    /// Queues the release that reports the end of a session.
+    fn send_end(&self, connection: usize, viewing_id: Ref, attempt: usize) {
+        let bytes = binary::write(Kind::Release, viewing_id, &[], Some(16), None).unwrap_or_default();
+        self.send(connection, Output::Bytes { bytes, answered_attempt: None, ended_attempt: Some(attempt) });
     }
 
-    /// Whether it was not over before.
-    fn over(&self, of: Ref, attempt: usize, how: AttemptEnd) -> bool {
+    /// Records the end of an attempt. Returns whether it had not ended before.
+    fn finish_attempt(&self, viewing_id: Ref, attempt: usize, attempt_end: AttemptEnd) -> bool {
         let mut state = self.state.borrow_mut();
-        state.standing.remove(&attempt);
-        if state.latest.get(&of) == Some(&attempt) {
-            state.latest.remove(&of);
+        state.active_attempts.remove(&attempt);
+        if state.latest_attempts.get(&viewing_id) == Some(&attempt) {
+            state.latest_attempts.remove(&viewing_id);
         }
-        let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
-        let end = &mut seen.attempts[attempt].end;
-        let first = end.is_none();
-        end.get_or_insert((now, how));
-        first
+        let (now, mut observations) = (self.context.now(), self.context.observations.borrow_mut());
+        let end = &mut observations.attempts[attempt].end;
+        let is_first_end = end.is_none();
+        end.get_or_insert((now, attempt_end));
+        is_first_end
     }
 
-    /// A release names its session: the set-up open on its own connection, else the last that came here.
-    fn took_release(&self, connection: usize, of: Ref) {
+    /// Handles a release. It applies to the viewing's attempt pending on the same connection, else to the
+    /// last one received.
+    fn handle_release(&self, connection: usize, viewing_id: Ref) {
         let attempt = {
             let mut state = self.state.borrow_mut();
-            let own = state.open.remove(&(connection, of));
-            own.or_else(|| state.latest.get(&of).copied())
+            let own_attempt = state.pending_attempts.remove(&(connection, viewing_id));
+            own_attempt.or_else(|| state.latest_attempts.get(&viewing_id).copied())
         };
         let Some(attempt) = attempt else { return };
-        self.state.borrow_mut().open.retain(|_, open| *open != attempt);
-        self.over(of, attempt, AttemptEnd::GivenUp);
+        self.state.borrow_mut().pending_attempts.retain(|_, pending_attempt| *pending_attempt != attempt);
+        self.finish_attempt(viewing_id, attempt, AttemptEnd::Withdrawn);
     }
 
-    /// The set-ups open on a connection that closed are given up; what stands goes on.
-    fn closed(&self, connection: usize) {
-        let open: Vec<_> = {
+    /// Gives up the attempts pending on a connection that closed; active sessions continue.
+    fn handle_close(&self, connection: usize) {
+        let given_up: Vec<_> = {
             let state = self.state.borrow();
-            let on = state.open.iter().filter(|((of, _), _)| *of == connection);
-            on.map(|((_, of), attempt)| (*of, *attempt)).collect()
+            let on_connection =
+                state.pending_attempts.iter().filter(|((pending_on, _), _)| *pending_on == connection);
+            on_connection.map(|((_, pending_id), attempt)| (*pending_id, *attempt)).collect()
         };
-        for (of, attempt) in open {
-            self.state.borrow_mut().open.remove(&(connection, of));
-            self.over(of, attempt, AttemptEnd::GivenUp);
+        for (viewing_id, attempt) in given_up {
+            self.state.borrow_mut().pending_attempts.remove(&(connection, viewing_id));
+            self.finish_attempt(viewing_id, attempt, AttemptEnd::Withdrawn);
         }
     }
 
-    /// Sessions that stand are told of, so that their managers know that somebody is there.
-    async fn tells(self: Rc<Self>) {
+    /// Sends notes on active sessions, so that managers know that their viewers are still present.
+    async fn send_notes(self: Rc<Self>) {
         loop {
-            sleep(NOTES).await;
-            let standing: Vec<_> = self.state.borrow().standing.iter().copied().collect();
-            for attempt in standing {
-                let (of, connection) = {
-                    let seen = self.world.seen.borrow();
-                    (seen.attempts[attempt].of, seen.attempts[attempt].connection)
+            sleep(NOTE_INTERVAL).await;
+            let active_attempts: Vec<_> = self.state.borrow().active_attempts.iter().copied().collect();
+            for attempt in active_attempts {
+                let (viewing_id, connection) = {
+                    let observations = self.context.observations.borrow();
+                    (observations.attempts[attempt].viewing_id, observations.attempts[attempt].connection)
                 };
                 let fields = [(Field::Note, "asked"), (Field::Figure, "0.4")];
-                if !self.state.borrow().connections[connection].useless {
-                    self.say(
+                if !self.state.borrow().connections[connection].unusable {
+                    self.send_bytes(
                         connection,
-                        binary::write(Kind::Note, of, &fields, None, None).unwrap_or_default(),
+                        binary::write(Kind::Note, viewing_id, &fields, None, None).unwrap_or_default(),
                     );
                 }
             }
         }
     }
 
-    pub fn listening(&self, how: Listening) {
-        self.listening.send_replace(how);
+    /// Changes how new connections are handled.
+    pub fn set_listening(&self, mode: Listening) {
+        self.listening.send_replace(mode);
     }
 
-    pub fn hang(&self, hangs: bool) {
-        self.hangs.send_replace(hangs);
+    /// Suspends or resumes the process.
+    pub fn set_hung(&self, hung: bool) {
+        self.hung.send_replace(hung);
     }
 
-    pub fn stall(&self, stalls: bool) {
-        self.stalls.send_replace(stalls);
+    /// Stops or resumes reading from the sockets.
+    pub fn set_stalled(&self, stalled: bool) {
+        self.stalled.send_replace(stalled);
     }
 
-    pub fn path(&self, manager: usize, carries: Carries) {
-        self.paths[manager].send_replace(carries);
+    /// Opens or cuts the path to a manager.
+    pub fn set_path(&self, manager: usize, path_state: PathState) {
+        self.paths[manager].send_replace(path_state);
     }
 
-    pub fn reset(&self, of: Option<usize>) {
+    /// Resets the connections of one manager, or all of them.
+    pub fn reset_connections(&self, only_manager: Option<usize>) {
         let state = self.state.borrow();
-        let all =
-            state.connections.iter().filter(|c| c.alive && of.is_none_or(|manager| c.manager == manager));
-        all.for_each(|connection| drop(connection.out.send(Out::Reset)));
+        let all = state
+            .connections
+            .iter()
+            .filter(|c| c.alive && only_manager.is_none_or(|manager| c.manager == manager));
+        all.for_each(|connection| drop(connection.output.send(Output::Reset)));
     }
 
-    /// Its process ends: all that ran here is over, and nothing of it is remembered.
-    pub fn process_ends(&self) {
-        let now = self.world.now();
+    /// Ends the process: all sessions end, and its state is lost.
+    pub fn stop_process(&self) {
+        let now = self.context.now();
         let mut state = self.state.borrow_mut();
         state.generation += 1;
-        let running: BTreeSet<_> = state.latest.values().chain(&state.standing).copied().collect();
-        (state.open, state.latest, state.standing) = Default::default();
-        state.again.clear();
+        let running: BTreeSet<_> =
+            state.latest_attempts.values().chain(&state.active_attempts).copied().collect();
+        (state.pending_attempts, state.latest_attempts, state.active_attempts) = Default::default();
+        state.ends_to_repeat.clear();
         drop(state);
-        let mut seen = self.world.seen.borrow_mut();
+        let mut observations = self.context.observations.borrow_mut();
         for attempt in running {
-            seen.attempts[attempt].end.get_or_insert((now, AttemptEnd::Over));
+            observations.attempts[attempt].end.get_or_insert((now, AttemptEnd::Finished));
         }
     }
 }
 
+/// Writes all bytes. Returns whether that succeeded.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         if stream.writable().await.is_err() {
             return false;
         }
         match stream.try_write(bytes) {
-            Ok(out) => bytes = &bytes[out..],
+            Ok(written) => bytes = &bytes[written..],
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return false,
         }
--- a/crates/lab/src/soak/viewer.rs
+++ b/crates/lab/src/soak/viewer.rs
@@ -1,7 +1,10 @@
-//! Clients of a trial: each asks on a connection of its own as long as that stands, and comes again at once elsewhere.
+//! Simulated viewers of a trial.
+//!
+//! Each viewer sends requests on one connection for as long as that is open. When the connection ends it
+//! connects again; when a manager can't be reached it moves to the next one.
 
-use super::observations::{Final, Request, Shared};
-use super::plan::{ASKING_ENDS, Habit};
+use super::observations::{FinalAnswer, SharedContext, Viewing};
+use super::plan::{Habit, REQUESTS_END_AT};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal};
 use rand::RngExt;
@@ -14,22 +17,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A connection that brings nothing and has no session on it is closed after so long.
-const IDLE: Duration = Duration::from_secs(4);
-/// A request that crosses the close of its connection within so long is sent again on a new one, once.
-const CROSSES: Duration = Duration::from_millis(50);
-/// Connecting takes no longer.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Nobody connects to a manager later than this after its SIGTERM.
-const NEW_AFTER_TERM: Duration = Duration::from_millis(400);
-/// Requests of the last moments are waited for so long.
-const LINGERS: Duration = Duration::from_secs(9);
-/// Further requests of one who is turned away at once.
-const REPEATS: usize = 30;
-/// A long description.
-const BULK: usize = 11_000;
-/// Bytes that no manager can use.
-const RUDE: [&[u8]; 6] = [
+/// An unused connection without sessions is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// A request sent at most this long before its connection ended is sent again on a new one, once: the close
+/// may have crossed it.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(50);
+/// Timeout for connecting to a manager.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Viewers connect to a manager until this long after its SIGTERM.
+const CONNECT_AFTER_TERM_TIMEOUT: Duration = Duration::from_millis(400);
+/// A connection on which nothing was sent or received for this long is closed even with open requests.
+const OPEN_REQUEST_TIMEOUT: Duration = Duration::from_secs(9);
+/// A quarter of the request count from which a refused viewer with [`Habit::Repeats`] no longer sends its
+/// next request at once.
+const REPEAT_COUNT: usize = 30;
+/// Additional size of a long description.
+const LONG_DESCRIPTION_BYTES: usize = 11_000;
+/// Inputs that are invalid for every manager.
+const INVALID_INPUTS: [&[u8]; 6] = [
     b"\xfe\xfe\xfe\xfe\n",
     b"[1,2]\n",
     b"{\"t\":\"new\",\"ref\":\"12\"}\n",
@@ -38,144 +43,160 @@
     b"{\"t\":\"down\",\"ref\":\"zz\",\"c\":999}\n",
 ];
 
-pub struct Client {
-    world: Shared,
+/// A viewer and its position in the trial.
+pub struct SimulatedViewer {
+    context: SharedContext,
     addresses: Vec<SocketAddr>,
     manager: usize,
     habit: Habit,
+    /// Identifies the viewer in the trial.
     number: u64,
-    asked: u64,
-    /// Requests that it makes at most.
-    most: u64,
-    chance: Pcg64Mcg,
-    /// Requests to be sent again on the next connection, as they crossed a close.
-    again: Vec<Ref>,
+    request_count: u64,
+    /// Maximum number of requests.
+    max_requests: u64,
+    rng: Pcg64Mcg,
+    /// Requests to send again on the next connection, as the close of the last one may have crossed them.
+    to_resend: Vec<Ref>,
 }
 
-/// A connection while it stands.
-struct Session {
+/// An open connection to a manager.
+struct Connection {
     stream: TcpStream,
     lines: Lines,
-    process: usize,
+    incarnation: usize,
+    /// The index of its entry in `viewer_connections`.
     record: usize,
-    /// Requests without an answer, with when their last byte was written.
-    open: BTreeMap<Ref, Instant>,
-    /// What stands, with when its client ends it, if it does.
-    standing: BTreeMap<Ref, Option<Instant>>,
-    /// When requests are given up.
-    leaves: BTreeMap<Ref, Instant>,
-    used: Instant,
+    /// Unanswered requests, with the time at which their last byte was written.
+    unanswered: BTreeMap<Ref, Instant>,
+    /// Active sessions, with the time at which the viewer ends them, if it does.
+    sessions: BTreeMap<Ref, Option<Instant>>,
+    /// When the viewer gives up requests.
+    abandon_at: BTreeMap<Ref, Instant>,
+    /// When something was last sent or received.
+    last_used_at: Instant,
 }
 
-impl Client {
+impl SimulatedViewer {
+    /// Creates a viewer with a habit that connects to a manager first.
     pub fn new(
-        world: &Shared, addresses: Vec<SocketAddr>, (manager, habit): (usize, Habit), number: u64, most: u64,
-    ) -> Client {
-        let chance = Pcg64Mcg::seed_from_u64(world.plan.seed.wrapping_mul(1000).wrapping_add(number));
-        Client {
-            world: world.clone(),
+        context: &SharedContext, addresses: Vec<SocketAddr>, (manager, habit): (usize, Habit), number: u64,
+        max_requests: u64,
+    ) -> SimulatedViewer {
+        let rng = Pcg64Mcg::seed_from_u64(context.plan.seed.wrapping_mul(1000).wrapping_add(number));
+        SimulatedViewer {
+            context: context.clone(),
             addresses,
             manager,
             habit,
             number,
-            asked: 0,
-            most,
-            chance,
-            again: vec![],
+            request_count: 0,
+            max_requests,
+            rng,
+            to_resend: vec![],
         }
     }
 
-    pub async fn lives(mut self) {
-        sleep(Duration::from_millis(self.chance.random_range(0..400))).await;
-        while self.world.now() < ASKING_ENDS && self.asked < self.most {
-            let Some(session) = self.connects().await else {
-                // Whoever finds nobody comes to another at once.
+    /// Connects and sends requests until the plan or the viewer's limit ends it.
+    pub async fn run_until_done(mut self) {
+        sleep(Duration::from_millis(self.rng.random_range(0..400))).await;
+        while self.context.now() < REQUESTS_END_AT && self.request_count < self.max_requests {
+            let Some(connection) = self.connect_to_manager().await else {
+                // Tries the next manager at once.
                 self.manager = (self.manager + 1) % self.addresses.len();
                 sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let record = session.record;
+            let record = connection.record;
             match self.habit {
-                Habit::Rude => self.is_rude(session).await,
-                Habit::Silent => is_silent(session).await,
-                _ => self.converses(session).await,
+                Habit::Rude => self.send_invalid_input(connection).await,
+                Habit::Silent => stay_silent(connection).await,
+                _ => self.exchange_messages(connection).await,
             }
-            let now = self.world.now();
-            self.world.seen.borrow_mut().viewer_connections[record].3 = Some(now);
+            let now = self.context.now();
+            self.context.observations.borrow_mut().viewer_connections[record].3 = Some(now);
         }
     }
 
-    async fn connects(&mut self) -> Option<Session> {
-        let now = self.world.now();
-        let life = self.world.seen.borrow().lives[self.manager].last().cloned()?;
-        let late = life.terminated.is_some_and(|at| now > at + NEW_AFTER_TERM);
-        if life.ready.is_none() || late || life.killed.is_some() || life.ended.is_some() {
+    /// Connects to the viewer's manager if that is up and accepts new connections.
+    async fn connect_to_manager(&mut self) -> Option<Connection> {
+        let now = self.context.now();
+        let run = self.context.observations.borrow().incarnations[self.manager].last().cloned()?;
+        let too_late = run.terminated_at.is_some_and(|at| now > at + CONNECT_AFTER_TERM_TIMEOUT);
+        if run.ready_at.is_none() || too_late || run.killed_at.is_some() || run.exit.is_some() {
             return None;
         }
-        let stream = timeout(CONNECT, TcpStream::connect(self.addresses[self.manager])).await.ok()?.ok()?;
+        let stream =
+            timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addresses[self.manager])).await.ok()?.ok()?;
         stream.set_nodelay(true).ok();
-        let process = self.world.process(self.manager);
-        let mut seen = self.world.seen.borrow_mut();
-        seen.viewer_connections.push((self.manager, process, now, None));
-        Some(Session {
+        let incarnation = self.context.current_incarnation(self.manager);
+        let mut observations = self.context.observations.borrow_mut();
+        observations.viewer_connections.push((self.manager, incarnation, now, None));
+        Some(Connection {
             stream,
             lines: Lines::default(),
-            process,
-            record: seen.viewer_connections.len() - 1,
-            open: BTreeMap::new(),
-            standing: BTreeMap::new(),
-            leaves: BTreeMap::new(),
-            used: Instant::now(),
+            incarnation,
+            record: observations.viewer_connections.len() - 1,
+            unanswered: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            abandon_at: BTreeMap::new(),
+            last_used_at: Instant::now(),
         })
     }
 
-    /// Until the connection ends, or nothing more is to come.
-    async fn converses(&mut self, mut session: Session) {
-        let mut piece = [0; 4096];
-        let mut next = Instant::now();
-        for of in std::mem::take(&mut self.again) {
-            if !self.writes(&mut session, of).await {
-                return self.cut(&session);
+    /// Sends requests and handles answers until the connection ends, or nothing more is expected on it.
+    async fn exchange_messages(&mut self, mut connection: Connection) {
+        let mut buffer = [0; 4096];
+        let mut next_request_at = Instant::now();
+        for viewing_id in std::mem::take(&mut self.to_resend) {
+            if !self.send_set_up(&mut connection, viewing_id).await {
+                return self.connection_lost(&connection);
             }
         }
         loop {
-            let asking = self.world.now() < ASKING_ENDS && self.asked < self.most;
-            let quiet = session.open.is_empty() && session.standing.is_empty();
-            if quiet && (!asking || session.used.elapsed() >= IDLE) {
+            let may_request = self.context.now() < REQUESTS_END_AT && self.request_count < self.max_requests;
+            let is_unused = connection.unanswered.is_empty() && connection.sessions.is_empty();
+            if is_unused && (!may_request || connection.last_used_at.elapsed() >= IDLE_TIMEOUT) {
                 return;
             }
-            if session.used.elapsed() >= LINGERS {
-                return self.cut(&session);
+            if connection.last_used_at.elapsed() >= OPEN_REQUEST_TIMEOUT {
+                return self.connection_lost(&connection);
             }
-            let ends = session.standing.values().flatten().chain(session.leaves.values()).min().copied();
-            let due =
-                ends.unwrap_or(Instant::now() + IDLE).min(if asking { next } else { Instant::now() + IDLE });
+            let next_end =
+                connection.sessions.values().flatten().chain(connection.abandon_at.values()).min().copied();
+            let wake_at = next_end.unwrap_or(Instant::now() + IDLE_TIMEOUT).min(if may_request {
+                next_request_at
+            } else {
+                Instant::now() + IDLE_TIMEOUT
+            });
             tokio::select! {
                 biased;
-                read = session.stream.read(&mut piece) => {
-                    let Ok(read @ 1..) = read else { return self.cut(&session) };
-                    session.lines.push(&piece[..read]);
-                    if self.heard(&mut session, &mut next) {
-                        return self.cut(&session);
+                read = connection.stream.read(&mut buffer) => {
+                    let Ok(read @ 1..) = read else { return self.connection_lost(&connection) };
+                    connection.lines.push(&buffer[..read]);
+                    if self.handle_input(&mut connection, &mut next_request_at) {
+                        return self.connection_lost(&connection);
                     }
                 }
-                () = sleep_until(due) => {
-                    if !self.ends_what_is_due(&mut session).await {
-                        return self.cut(&session);
+                () = sleep_until(wake_at) => {
+                    if !self.release_due(&mut connection).await {
+                        return self.connection_lost(&connection);
                     }
-                    if self.habit == Habit::Drops && session.open.is_empty() && !session.standing.is_empty() {
+                    if self.habit == Habit::Drops
+                        && connection.unanswered.is_empty()
+                        && !connection.sessions.is_empty()
+                    {
                         return;
                     }
-                    if asking && Instant::now() >= next {
-                        next = Instant::now() + self.pause();
-                        let of = self.draws_request(&session);
-                        if !self.writes(&mut session, of).await {
-                            return self.cut(&session);
+                    if may_request && Instant::now() >= next_request_at {
+                        next_request_at = Instant::now() + self.draw_pause();
+                        let viewing_id = self.draw_request(&connection);
+                        if !self.send_set_up(&mut connection, viewing_id).await {
+                            return self.connection_lost(&connection);
                         }
-                        if self.habit == Habit::Leaves && self.chance.random_bool(0.3) {
-                            // Goes with its connection, right behind the request or a moment later.
-                            sleep(Duration::from_millis(self.chance.random_range(0..30))).await;
-                            return self.leaves(session);
+                        if self.habit == Habit::Leaves && self.rng.random_bool(0.3) {
+                            // Disconnects right after the request or a moment later.
+                            sleep(Duration::from_millis(self.rng.random_range(0..30))).await;
+                            return self.abandon(connection);
                         }
                     }
                 }
@@ -183,216 +204,230 @@
         }
     }
 
-    fn pause(&mut self) -> Duration {
-        Duration::from_millis(self.chance.random_range(60..500))
+    /// Draws the pause before the next request.
+    fn draw_pause(&mut self) -> Duration {
+        Duration::from_millis(self.rng.random_range(60..500))
     }
 
-    fn draws_request(&mut self, session: &Session) -> Ref {
-        self.asked += 1;
-        let of = Ref((self.world.plan.seed << 44) | (self.number << 24) | self.asked);
-        let class = self.chance.random_range(0..self.world.plan.classes.len());
+    /// Draws and records the next request.
+    fn draw_request(&mut self, connection: &Connection) -> Ref {
+        self.request_count += 1;
+        let viewing_id = Ref((self.context.plan.seed << 44) | (self.number << 24) | self.request_count);
+        let class = self.rng.random_range(0..self.context.plan.classes.len());
         let patience = match self.habit {
-            Habit::Hurried => Duration::from_millis(self.chance.random_range(2..40)),
-            _ => self.world.plan.classes[class].patience,
+            Habit::Hurried => Duration::from_millis(self.rng.random_range(2..40)),
+            _ => self.context.plan.classes[class].patience,
         };
-        let request = Request {
+        let viewing = Viewing {
             manager: self.manager,
-            process: session.process,
+            incarnation: connection.incarnation,
             class,
             patience,
-            sent: Duration::ZERO,
-            left: None,
+            sent_at: Duration::ZERO,
+            abandoned_at: None,
             answers: vec![],
-            cut: None,
-            released: None,
-            ended_by_client: None,
+            connection_lost_at: None,
+            released_at: None,
+            ended_by_viewer_at: None,
         };
-        self.world.seen.borrow_mut().requests.insert(of, request);
-        of
+        self.context.observations.borrow_mut().viewings.insert(viewing_id, viewing);
+        viewing_id
     }
 
-    /// Whether the connection took it whole.
-    async fn writes(&mut self, session: &mut Session, of: Ref) -> bool {
+    /// Sends a request. Returns whether it was written whole.
+    async fn send_set_up(&mut self, connection: &mut Connection, viewing_id: Ref) -> bool {
         let text = {
-            let (seen, plan) = (self.world.seen.borrow(), &self.world.plan);
-            let request = &seen.requests[&of];
-            let left = request.patience.as_millis().to_string();
+            let (observations, plan) = (self.context.observations.borrow(), &self.context.plan);
+            let viewing = &observations.viewings[&viewing_id];
+            let patience_ms = viewing.patience.as_millis().to_string();
             let extras = format!(
                 "home:{};copies:{};top:3;viewer:{:016x}",
-                of.0 as usize % plan.servers,
+                viewing_id.0 as usize % plan.servers,
                 plan.copies,
                 self.number
             );
-            let title = format!("{:016x}", of.0 % plan.servers as u64);
+            let title = format!("{:016x}", viewing_id.0 % plan.servers as u64);
             let fields = [
-                (Field::Package, plan.classes[request.class].name),
-                (Field::Left, &left),
+                (Field::Package, plan.classes[viewing.class].name),
+                (Field::Left, &patience_ms),
                 (Field::Tenant, "acme"),
                 (Field::Title, &title),
                 (Field::Extras, &extras),
             ];
-            let more = if self.habit == Habit::Bulky { "a".repeat(BULK) } else { String::new() };
-            let description = format!("9d41c07a5be2f318\r\nm=video 0{more}\r\n");
-            line::write(Kind::SetUp, of, &fields, None, Some(&description)).unwrap_or_default()
+            let padding =
+                if self.habit == Habit::Bulky { "a".repeat(LONG_DESCRIPTION_BYTES) } else { String::new() };
+            let description = format!("9d41c07a5be2f318\r\nm=video 0{padding}\r\n");
+            line::write(Kind::SetUp, viewing_id, &fields, None, Some(&description)).unwrap_or_default()
         };
-        let size =
-            if self.habit == Habit::Pieces { self.chance.random_range(1..60) } else { text.len().max(1) };
+        let size = if self.habit == Habit::Pieces { self.rng.random_range(1..60) } else { text.len().max(1) };
         for piece in text.chunks(size) {
-            if session.stream.write_all(piece).await.is_err() {
-                self.world.seen.borrow_mut().requests.remove(&of);
+            if connection.stream.write_all(piece).await.is_err() {
+                self.context.observations.borrow_mut().viewings.remove(&viewing_id);
                 return false;
             }
             if self.habit == Habit::Pieces {
-                sleep(Duration::from_millis(self.chance.random_range(0..3))).await;
+                sleep(Duration::from_millis(self.rng.random_range(0..3))).await;
             }
         }
-        let (now, manager) = (self.world.now(), self.manager);
-        let mut seen = self.world.seen.borrow_mut();
-        if let Some(request) = seen.requests.get_mut(&of) {
-            (request.sent, request.manager, request.process, request.cut) =
-                (now, manager, session.process, None);
+        let (now, manager) = (self.context.now(), self.manager);
+        let mut observations = self.context.observations.borrow_mut();
+        if let Some(viewing) = observations.viewings.get_mut(&viewing_id) {
+            (viewing.sent_at, viewing.manager, viewing.incarnation, viewing.connection_lost_at) =
+                (now, manager, connection.incarnation, None);
         }
-        session.open.insert(of, Instant::now());
-        session.used = Instant::now();
+        connection.unanswered.insert(viewing_id, Instant::now());
+        connection.last_used_at = Instant::now();
         if self.habit == Habit::Leaves {
-            let after = Duration::from_millis(self.chance.random_range(0..120));
-            session.leaves.insert(of, Instant::now() + after);
+            let after = Duration::from_millis(self.rng.random_range(0..120));
+            connection.abandon_at.insert(viewing_id, Instant::now() + after);
         }
         true
     }
 
-    /// Whether nothing more can be read.
-    fn heard(&mut self, session: &mut Session, next: &mut Instant) -> bool {
+    /// Handles the messages received so far. Returns whether the input is invalid, so that reading must stop.
+    fn handle_input(&mut self, connection: &mut Connection, next_request_at: &mut Instant) -> bool {
         loop {
-            let signal = match session.lines.cut() {
+            let signal = match connection.lines.cut() {
                 Ok(None) => return false,
                 Ok(Some(text)) => line::read(text),
-                Err(wrong) => Err(wrong),
+                Err(error) => Err(error),
             };
             match signal {
-                Ok(signal) => self.answered(session, &signal, next),
-                Err(wrong) => {
-                    let now = self.world.now();
-                    let line = format!("lost: client {} got what can't be read: {wrong}", self.number);
-                    self.world.seen.borrow_mut().breaches.push((now, line));
+                Ok(signal) => self.handle_signal(connection, &signal, next_request_at),
+                Err(error) => {
+                    let now = self.context.now();
+                    let violation =
+                        format!("lost: viewer {} received an unreadable message: {error}", self.number);
+                    self.context.observations.borrow_mut().violations.push((now, violation));
                     return true;
                 }
             }
         }
     }
 
-    fn answered(&mut self, session: &mut Session, signal: &Signal, next: &mut Instant) {
-        let (of, now) = (signal.of, self.world.now());
-        session.used = Instant::now();
-        session.leaves.remove(&of);
-        let mut seen = self.world.seen.borrow_mut();
-        let Some(request) = seen.requests.get_mut(&of) else { return };
+    /// Handles one message from the manager.
+    fn handle_signal(&mut self, connection: &mut Connection, signal: &Signal, next_request_at: &mut Instant) {
+        let (viewing_id, now) = (signal.of, self.context.now());
+        connection.last_used_at = Instant::now();
+        connection.abandon_at.remove(&viewing_id);
+        let mut observations = self.context.observations.borrow_mut();
+        let Some(viewing) = observations.viewings.get_mut(&viewing_id) else { return };
         match signal.kind {
             Kind::Answer => {
-                let text = signal.description.as_deref().unwrap_or_default().to_vec();
-                request.answers.push((now, Final::Served(text)));
-                session.open.remove(&of);
-                let ends = self.chance.random_bool(0.3);
-                let after = Duration::from_millis(self.chance.random_range(100..2500));
-                session.standing.insert(of, ends.then(|| Instant::now() + after));
+                let answer_text = signal.description.as_deref().unwrap_or_default().to_vec();
+                viewing.answers.push((now, FinalAnswer::Served(answer_text)));
+                connection.unanswered.remove(&viewing_id);
+                let ends_session = self.rng.random_bool(0.3);
+                let after = Duration::from_millis(self.rng.random_range(100..2500));
+                connection.sessions.insert(viewing_id, ends_session.then(|| Instant::now() + after));
             }
-            Kind::Release | Kind::Move if matches!(request.answers.last(), Some((_, Final::Served(_)))) => {
-                request.released.get_or_insert(now);
-                session.standing.remove(&of);
+            Kind::Release | Kind::Move
+                if matches!(viewing.answers.last(), Some((_, FinalAnswer::Served(_)))) =>
+            {
+                viewing.released_at.get_or_insert(now);
+                connection.sessions.remove(&viewing_id);
             }
-            // An end of what its client left before the answer is told to whoever is there.
-            Kind::Release if request.left.is_some() => {}
+            // A request given up before its answer may still be released towards the viewer.
+            Kind::Release if viewing.abandoned_at.is_some() => {}
             Kind::Release => {
-                request.answers.push((now, Final::Down(signal.cause.unwrap_or_default())));
-                session.open.remove(&of);
-                if self.habit == Habit::Repeats && (self.asked as usize) < REPEATS * 4 {
-                    *next = Instant::now();
+                viewing.answers.push((now, FinalAnswer::Down(signal.cause.unwrap_or_default())));
+                connection.unanswered.remove(&viewing_id);
+                if self.habit == Habit::Repeats && (self.request_count as usize) < REPEAT_COUNT * 4 {
+                    *next_request_at = Instant::now();
                 }
             }
             _ => {}
         }
     }
 
-    /// Whether the connection took it.
-    async fn ends_what_is_due(&mut self, session: &mut Session) -> bool {
+    /// Ends the sessions and gives up the requests that are due. Returns whether the connection is still
+    /// writable.
+    async fn release_due(&mut self, connection: &mut Connection) -> bool {
         let now = Instant::now();
-        let due = |at: &Instant| *at <= now;
-        let given_up: Vec<_> = session.leaves.iter().filter(|(_, at)| due(at)).map(|(of, _)| *of).collect();
-        let over: Vec<_> = session
-            .standing
+        let is_due = |at: &Instant| *at <= now;
+        let abandoned: Vec<_> =
+            connection.abandon_at.iter().filter(|(_, at)| is_due(at)).map(|(id, _)| *id).collect();
+        let ended: Vec<_> = connection
+            .sessions
             .iter()
-            .filter(|(_, at)| at.as_ref().is_some_and(due))
-            .map(|(of, _)| *of)
+            .filter(|(_, at)| at.as_ref().is_some_and(is_due))
+            .map(|(id, _)| *id)
             .collect();
-        for of in given_up.iter().chain(&over) {
-            session.leaves.remove(of);
-            let stood = session.standing.remove(of).is_some();
-            session.open.remove(of);
-            let at = self.world.now();
-            if let Some(request) = self.world.seen.borrow_mut().requests.get_mut(of) {
-                let when = if stood { &mut request.ended_by_client } else { &mut request.left };
-                when.get_or_insert(at);
+        for viewing_id in abandoned.iter().chain(&ended) {
+            connection.abandon_at.remove(viewing_id);
+            let was_active = connection.sessions.remove(viewing_id).is_some();
+            connection.unanswered.remove(viewing_id);
+            let at = self.context.now();
+            if let Some(viewing) = self.context.observations.borrow_mut().viewings.get_mut(viewing_id) {
+                let recorded =
+                    if was_active { &mut viewing.ended_by_viewer_at } else { &mut viewing.abandoned_at };
+                recorded.get_or_insert(at);
             }
-            let line = line::write(Kind::Release, *of, &[], Some(16), None).unwrap_or_default();
-            if session.stream.write_all(&line).await.is_err() {
+            let release = line::write(Kind::Release, *viewing_id, &[], Some(16), None).unwrap_or_default();
+            if connection.stream.write_all(&release).await.is_err() {
                 return false;
             }
         }
         true
     }
 
-    /// The client goes with its connection: nobody waits for anything on it any more.
-    fn leaves(&mut self, session: Session) {
-        if self.chance.random() {
-            session.stream.set_zero_linger().ok();
+    /// Closes the connection and gives up everything on it.
+    fn abandon(&mut self, connection: Connection) {
+        if self.rng.random() {
+            connection.stream.set_zero_linger().ok();
         }
-        let (open, standing) = (session.open.clone(), session.standing.clone());
-        drop(session);
-        let now = self.world.now();
-        let mut seen = self.world.seen.borrow_mut();
-        for of in open.keys().chain(standing.keys()) {
-            if let Some(request) = seen.requests.get_mut(of) {
-                request.left.get_or_insert(now);
+        let (unanswered, sessions) = (connection.unanswered.clone(), connection.sessions.clone());
+        drop(connection);
+        let now = self.context.now();
+        let mut observations = self.context.observations.borrow_mut();
+        for viewing_id in unanswered.keys().chain(sessions.keys()) {
+            if let Some(viewing) = observations.viewings.get_mut(viewing_id) {
+                viewing.abandoned_at.get_or_insert(now);
             }
         }
     }
 
-    /// The connection ended: what was open on it is sent again where it crossed the close.
-    fn cut(&mut self, session: &Session) {
-        let now = self.world.now();
-        let mut seen = self.world.seen.borrow_mut();
-        let killed = seen.lives[self.manager].get(session.process).is_some_and(|life| life.killed.is_some());
-        for (of, written) in &session.open {
-            let Some(request) = seen.requests.get_mut(of) else { continue };
-            let first = !killed && request.cut.is_none();
-            request.cut = Some(now);
-            if first && written.elapsed() <= CROSSES && session.open.len() == 1 {
-                self.again.push(*of);
+    /// Records that the connection ended. A request that the close may have crossed is queued to be sent
+    /// again.
+    fn connection_lost(&mut self, connection: &Connection) {
+        let now = self.context.now();
+        let mut observations = self.context.observations.borrow_mut();
+        let was_killed = observations.incarnations[self.manager]
+            .get(connection.incarnation)
+            .is_some_and(|run| run.killed_at.is_some());
+        for (viewing_id, written_at) in &connection.unanswered {
+            let Some(viewing) = observations.viewings.get_mut(viewing_id) else { continue };
+            let may_resend = !was_killed && viewing.connection_lost_at.is_none();
+            viewing.connection_lost_at = Some(now);
+            if may_resend && written_at.elapsed() <= RESEND_TIMEOUT && connection.unanswered.len() == 1 {
+                self.to_resend.push(*viewing_id);
             }
         }
     }
 
-    async fn is_rude(&mut self, mut session: Session) {
-        let bytes = RUDE[self.chance.random_range(0..RUDE.len())];
-        let begun = self.world.now();
-        let number = {
-            let mut seen = self.world.seen.borrow_mut();
-            seen.rude.push((begun, None));
-            seen.rude.len() - 1
+    /// Sends invalid bytes and records whether the manager reacts.
+    async fn send_invalid_input(&mut self, mut connection: Connection) {
+        let bytes = INVALID_INPUTS[self.rng.random_range(0..INVALID_INPUTS.len())];
+        let connected_at = self.context.now();
+        let record_index = {
+            let mut observations = self.context.observations.borrow_mut();
+            observations.invalid_viewers.push((connected_at, None));
+            observations.invalid_viewers.len() - 1
         };
-        session.stream.write_all(bytes).await.ok();
-        self.asked += 1;
-        let mut piece = [0; 4096];
-        let answered = timeout(Duration::from_secs(4), session.stream.read(&mut piece)).await.is_ok();
-        let now = self.world.now();
-        if answered {
-            self.world.seen.borrow_mut().rude[number].1 = Some(now);
+        connection.stream.write_all(bytes).await.ok();
+        self.request_count += 1;
+        let mut buffer = [0; 4096];
+        let got_response = timeout(Duration::from_secs(4), connection.stream.read(&mut buffer)).await.is_ok();
+        let now = self.context.now();
+        if got_response {
+            self.context.observations.borrow_mut().invalid_viewers[record_index].1 = Some(now);
         }
-        sleep(Duration::from_millis(self.chance.random_range(50..600))).await;
+        sleep(Duration::from_millis(self.rng.random_range(50..600))).await;
     }
 }
 
-async fn is_silent(mut session: Session) {
-    let mut piece = [0; 64];
-    timeout(Duration::from_secs(4), session.stream.read(&mut piece)).await.ok();
+/// Keeps a connection open without sending anything, until it is closed or 4 s have passed.
+async fn stay_silent(mut connection: Connection) {
+    let mut buffer = [0; 64];
+    timeout(Duration::from_secs(4), connection.stream.read(&mut buffer)).await.ok();
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,24 +1,25 @@
-//! A few seeds of the soak as it is called, and what its judge makes of edges.
+//! Runs the trials of a few seeds through the public entry point of the soak test.
 
 use ivyward_lab::soak::{Ask, run};
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Seeds that CI plays, and how many at once.
-const SEEDS: (u64, u64) = (1, 9);
-const JOBS: usize = 3;
+/// First and last seed of the test.
+const SEED_RANGE: (u64, u64) = (1, 9);
+/// Number of concurrent trials.
+const JOB_COUNT: usize = 3;
 
 #[test]
-fn dense_trials_under_faults_keep_all_rules() {
+fn managers_keep_all_rules_in_dense_trials_under_faults() {
     let program = Path::new(env!("CARGO_BIN_EXE_ivyward-lab"));
-    let told = Mutex::new(String::new());
-    let ask = Ask { seeds: SEEDS.0..=SEEDS.1, jobs: JOBS, program, keep: None };
-    let kept = run(&ask, |line| {
+    let report = Mutex::new(String::new());
+    let options = Ask { seeds: SEED_RANGE.0..=SEED_RANGE.1, jobs: JOB_COUNT, program, keep: None };
+    let result = run(&options, |line| {
         println!("{line}");
-        let mut told = told.lock().expect("nobody panicked");
-        told.push_str(&line);
-        told.push('\n');
+        let mut report = report.lock().expect("no thread panics while it holds the lock");
+        report.push_str(&line);
+        report.push('\n');
     });
-    let told = told.into_inner().expect("nobody panicked");
-    assert_eq!(kept, Ok(true), "{told}");
+    let report = report.into_inner().expect("no thread panics while it holds the lock");
+    assert_eq!(result, Ok(true), "{report}");
 }
