--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -13,7 +13,7 @@
 use ivyward::front::{Load, News, PackageId, ServerId, TitleId, ViewingId};
 use ivyward_edge::{Errand, brief};
 use ivyward_peers::Claimed;
-use ivyward_replica::Word;
+use ivyward_replica::ClaimOutcome;
 use ivyward_session::{Birth, Happened, Over, SessionId, TuneIn};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -124,8 +124,8 @@
             let once = shell.0.once.get(package.0) == Some(&true);
             if let Some(peers) = shell.0.peers.as_ref().filter(|_| once) {
                 let (claim, word) = peers.claim(session, until.saturating_sub(shell.now())).await;
-                if word != Word::Granted {
-                    let (taken, come_back) = (word == Word::Taken, shell.0.come_back);
+                if word != ClaimOutcome::Granted {
+                    let (taken, come_back) = (word == ClaimOutcome::Taken, shell.0.come_back);
                     shell.tell(move |front, hands, now| {
                         hands.over(vw, tune_in);
                         front.unclaimed(hands, now, vw, tune_in, taken, come_back);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -310,7 +310,7 @@
 
     /// Whether that one is still to hear what it may have forgotten.
     pub fn recalls(&self, member: usize) -> bool {
-        self.members[member].cores.as_ref().is_some_and(|cores| cores.keeper.recalls())
+        self.members[member].cores.as_ref().is_some_and(|cores| cores.acceptor.is_recovering())
     }
 
     /// Entries of records in common that a member holds: records, and starts of members that it knows of.
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -4,7 +4,8 @@
 use super::{Kind, Series, Sizes, process};
 use ivyward_overlay::Overlay;
 use ivyward_replica::{
-    Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word,
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Record, ReplicatedSet,
+    ReplicationEffects,
 };
 use ivyward_session::{Birth, SessionId};
 use std::collections::{BTreeMap, VecDeque};
@@ -39,44 +40,44 @@
     Records(Log, Range<u64>, Vec<Record<SessionId>>),
 }
 
-impl Tells<SessionId> for Out {
+impl ReplicationEffects<SessionId> for Out {
     fn digest(&mut self, _: Member, _: u64) {
         self.messages += 1;
     }
-    fn same(&mut self, _: Member) {
+    fn in_sync(&mut self, _: Member) {
         self.messages += 1;
     }
-    fn heads(&mut self, _: Member, heads: &BTreeMap<Log, u64>, back: bool) {
+    fn heads(&mut self, _: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
         self.messages += 1;
-        self.told.push_back(Said::Heads(heads.clone(), back));
+        self.told.push_back(Said::Heads(heads.clone(), is_reply));
     }
     fn records(&mut self, _: Member, log: Log, between: Range<u64>, records: &[Record<SessionId>]) {
         self.messages += 1;
         self.records += records.len();
         self.told.push_back(Said::Records(log, between, records.to_vec()));
     }
-    fn learned(&mut self, _: &SessionId) {}
-    fn over(&mut self, _: &SessionId) {}
+    fn added(&mut self, _: &SessionId) {}
+    fn expired(&mut self, _: &SessionId) {}
 }
 
 impl Effects for Out {
     fn claim(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn kept(&mut self, _: Member, _: SessionId, _: Claim, _: Birth, _: &[(Member, Birth)]) {
+    fn accepted(&mut self, _: Member, _: SessionId, _: Claim, _: Birth, _: &[(Member, Birth)]) {
         self.messages += 1;
     }
-    fn unkept(&mut self, _: Member, _: SessionId, _: Claim, _: bool) {}
-    fn take_back(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn taken_back(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn recall(&mut self, _: Member, _: Birth) {}
-    fn row(&mut self, _: Member, _: Birth, _: SessionId, _: &Held) {}
-    fn rows(&mut self, _: Member, _: Birth, _: u64) {}
-    fn store(&mut self, _: SessionId, _: &Held) {
+    fn rejected(&mut self, _: Member, _: SessionId, _: Claim, _: bool) {}
+    fn withdraw(&mut self, _: Member, _: SessionId, _: Claim) {}
+    fn withdrawn(&mut self, _: Member, _: SessionId, _: Claim) {}
+    fn request_recovery(&mut self, _: Member, _: Birth) {}
+    fn recovery_entry(&mut self, _: Member, _: Birth, _: SessionId, _: &ClaimSet) {}
+    fn recovery_done(&mut self, _: Member, _: Birth, _: u64) {}
+    fn store(&mut self, _: SessionId, _: &ClaimSet) {
         self.notes += 1;
     }
     fn store_start(&mut self, _: Member, _: Birth) {}
-    fn store_whole(&mut self) {}
+    fn store_recovered(&mut self) {}
     fn forget(&mut self, _: SessionId) {}
-    fn decided(&mut self, _: ClaimNo, _: Word) {}
+    fn claim_decided(&mut self, _: ClaimNo, _: ClaimOutcome) {}
 }
 
 fn group(members: usize) -> Group {
@@ -114,42 +115,42 @@
 }
 
 /// A copy with a record of each of so many members.
-fn copy(me: Member, logs: usize) -> Common<SessionId> {
-    let mut copy = Common::new(me, Birth(1), SPAN);
+fn copy(me: Member, logs: usize) -> ReplicatedSet<SessionId> {
+    let mut copy = ReplicatedSet::new(me, Birth(1), SPAN);
     let mut out = Out::default();
     for at in 0..logs {
         let log = Log { of: Member(at as u16), birth: Birth(1) };
         if log.of == me {
             copy.add(&mut out, NOW, SessionId(at as u128), &[]);
         } else {
-            copy.told(&mut out, NOW, log.of, log, 0..1, vec![record(0, at)], &[]);
+            copy.on_records(&mut out, NOW, log.of, log, 0..1, vec![record(0, at)], &[]);
         }
     }
     copy
 }
 
 fn record(no: u64, session: usize) -> Record<SessionId> {
-    Record { no, left: SPAN, what: SessionId(session as u128) }
+    Record { no, remaining: SPAN, value: SessionId(session as u128) }
 }
 
 /// One who holds so many records more than another meets it: messages that pass until they hold the same, records
 /// among them, and turns.
 pub(super) fn catch_up(behind: usize) -> (usize, usize, usize) {
-    let mut copies = [copy_of_records(behind), Common::new(Member(1), Birth(1), SPAN)];
+    let mut copies = [copy_of_records(behind), ReplicatedSet::new(Member(1), Birth(1), SPAN)];
     let (mut out, mut messages, mut records, mut turns) = ([Out::default(), Out::default()], 0, 0, 0);
     while copies[0].digest() != copies[1].digest() {
         (turns, messages) = (turns + 1, messages + 1);
         let digest = copies[0].digest();
-        copies[1].compared(&mut out[1], NOW, Member(0), digest);
+        copies[1].on_digest(&mut out[1], NOW, Member(0), digest);
         while let Some((from, said)) = (0..2).find_map(|from| Some((from, out[from].told.pop_front()?))) {
             messages += 1;
             let to = 1 - from;
             let (copy, out, from) = (&mut copies[to], &mut out[to], Member(from as u16));
             match said {
-                Said::Heads(heads, back) => copy.accounted(out, NOW, from, &heads, back),
+                Said::Heads(heads, is_reply) => copy.on_heads(out, NOW, from, &heads, is_reply),
                 Said::Records(log, between, all) => {
                     records += all.len();
-                    copy.told(out, NOW, from, log, between, all, &[]);
+                    copy.on_records(out, NOW, from, log, between, all, &[]);
                 }
             }
         }
@@ -252,7 +253,7 @@
             let mut next = 0_u128;
             rows[0].push(time(|| {
                 next += 1;
-                black_box(group.keepers(SessionId(next)));
+                black_box(group.acceptors(SessionId(next)));
             }));
             let held = copy(Member(0), *count);
             rows[1].push(time(|| {
@@ -262,7 +263,15 @@
             let (mut held, mut out, mut no) = (copy(Member(0), *count), Out::default(), 1);
             let log = Log { of: Member(1), birth: Birth(1) };
             rows[2].push(time(|| {
-                held.told(&mut out, NOW, Member(1), log, no..no + 1, vec![record(no, no as usize)], &near);
+                held.on_records(
+                    &mut out,
+                    NOW,
+                    Member(1),
+                    log,
+                    no..no + 1,
+                    vec![record(no, no as usize)],
+                    &near,
+                );
                 no += 1;
                 out.told.clear();
             }));
@@ -283,16 +292,16 @@
         for count in &sessions {
             let (group, mut out) = (group(3), Out::default());
             let stored = Default::default();
-            let mut keeper = Keeper::new(group, Member(0), Birth(1), SPAN, NOW, true, stored);
+            let mut acceptor = Acceptor::new(group, Member(0), Birth(1), SPAN, NOW, true, stored);
             let mut next = 0_u64;
-            let mut claims = |keeper: &mut Keeper| {
+            let mut claims = |acceptor: &mut Acceptor| {
                 next += 1;
                 let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
-                keeper.claimed(&mut out, NOW, Member(1), SessionId(next.into()), claim);
-                keeper.stored(&mut out, 1);
+                acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
+                acceptor.on_stored(&mut out, 1);
             };
-            (0..*count).for_each(|_| claims(&mut keeper));
-            rows[8].push(time(|| claims(&mut keeper)));
+            (0..*count).for_each(|_| claims(&mut acceptor));
+            rows[8].push(time(|| claims(&mut acceptor)));
         }
         for count in &behind {
             let (messages, _, turns) = catch_up(*count);
@@ -314,19 +323,19 @@
     Ok(all)
 }
 
-fn kept(count: usize) -> Keeper {
+fn kept(count: usize) -> Acceptor {
     let (mut out, stored) = (Out::default(), Default::default());
-    let mut keeper = Keeper::new(group(3), Member(0), Birth(1), SPAN, NOW, true, stored);
+    let mut acceptor = Acceptor::new(group(3), Member(0), Birth(1), SPAN, NOW, true, stored);
     for next in 1..=count as u64 {
         let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
-        keeper.claimed(&mut out, NOW, Member(1), SessionId(next.into()), claim);
-        keeper.stored(&mut out, 1);
+        acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
+        acceptor.on_stored(&mut out, 1);
     }
-    keeper
+    acceptor
 }
 
-fn copy_of_records(count: usize) -> Common<SessionId> {
-    let mut copy = Common::new(Member(0), Birth(1), SPAN);
+fn copy_of_records(count: usize) -> ReplicatedSet<SessionId> {
+    let mut copy = ReplicatedSet::new(Member(0), Birth(1), SPAN);
     (0..count).for_each(|at| copy.add(&mut Out::default(), NOW, SessionId(at as u128), &[]));
     copy
 }
--- a/crates/overlay/src/tests.rs
+++ b/crates/overlay/src/tests.rs
@@ -1,6 +1,6 @@
 //! Neighbours over groups of several sizes, some of whose members are away.
 
-use crate::{Overlay, PAUSES, RINGS, UNANSWERED};
+use crate::{MAX_UNANSWERED_COUNT, Overlay, RETRY_DELAY_TICKS, RING_COUNT};
 use ivyward_replica::{Group, Member};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -35,13 +35,13 @@
         self.now += TURN;
         for at in 0..self.overlays.len() {
             let me = Member(at as u16);
-            let Some(to) = self.overlays[at].turn(self.now) else { continue };
+            let Some(to) = self.overlays[at].tick(self.now) else { continue };
             self.asked += 1;
             if reaches(me, to) {
-                self.overlays[usize::from(to.0)].heard(me);
-                self.overlays[at].heard(to);
+                self.overlays[usize::from(to.0)].on_message(me);
+                self.overlays[at].on_message(to);
             } else if refused {
-                self.overlays[at].unreached(self.now, to);
+                self.overlays[at].on_unreachable(self.now, to);
             }
         }
     }
@@ -76,7 +76,7 @@
             let apart: BTreeSet<_> = found.iter().collect();
             assert_eq!(apart.len(), found.len(), "{members}");
             assert!(
-                found.len() <= 2 * usize::from(RINGS) && !found.contains(&Member(at as u16)),
+                found.len() <= 2 * usize::from(RING_COUNT) && !found.contains(&Member(at as u16)),
                 "{members}"
             );
             // Each way there is one back.
@@ -114,7 +114,7 @@
                 let case = format!("{members} members, {what}, refused {refused}");
                 let mut world = World::new(members);
                 // Each neighbour is asked until it counts as silent, and those behind it.
-                let found = usize::from(RINGS) * 2 * (UNANSWERED as usize + 2);
+                let found = usize::from(RING_COUNT) * 2 * (MAX_UNANSWERED_COUNT as usize + 2);
                 (0..3 * found).for_each(|_| world.turn(reaches, refused));
                 for from in [Member(0), Member(members - 1)] {
                     if !both && !reaches(from, from) {
@@ -129,8 +129,8 @@
                 world.turn(reaches, refused);
                 assert!(world.asked - before <= usize::from(members), "{case}: more than one each");
                 // All are neighbours as they were, by the last pause and two turns for each of those passed over.
-                let passed = world.overlays.iter().map(Overlay::away).max().unwrap_or_default();
-                let turns = PAUSES[1] as usize + 2 * passed;
+                let passed = world.overlays.iter().map(Overlay::unreachable_count).max().unwrap_or_default();
+                let turns = RETRY_DELAY_TICKS[1] as usize + 2 * passed;
                 (0..turns).for_each(|_| world.turn(|_, _| true, false));
                 let fresh = World::new(members);
                 let same = |(a, b): &(&Overlay, &Overlay)| a.neighbours() == b.neighbours();
@@ -165,23 +165,27 @@
     let mut now = Duration::ZERO;
     // All others answer.
     let tried = |overlay: &mut Overlay, now| {
-        let asked = [overlay.turn(now), overlay.turn(now)];
-        asked.iter().flatten().filter(|member| **member != first).for_each(|member| overlay.heard(*member));
+        let asked = [overlay.tick(now), overlay.tick(now)];
+        asked
+            .iter()
+            .flatten()
+            .filter(|member| **member != first)
+            .for_each(|member| overlay.on_message(*member));
         asked.contains(&Some(first))
     };
     // In turns: how long it is passed over after each failure.
     for turns in [4, 8, 16, 16] {
-        overlay.unreached(now, first);
+        overlay.on_unreachable(now, first);
         // Another failure in the pause doesn't count.
-        overlay.unreached(now + TURN, first);
+        overlay.on_unreachable(now + TURN, first);
         assert!(!overlay.neighbours().contains(&first));
         assert!(!tried(&mut overlay, now + TURN * turns - Duration::from_millis(1)), "{turns}");
         now += TURN * turns;
         assert!(tried(&mut overlay, now), "{turns}");
         assert!(!overlay.neighbours().contains(&first), "{turns}: not before it is heard");
     }
-    overlay.heard(first);
+    overlay.on_message(first);
     assert!(overlay.neighbours().contains(&first));
-    overlay.unreached(now, first);
-    assert!(tried(&mut overlay, now + TURN * PAUSES[0]), "from the first pause on again");
+    overlay.on_unreachable(now, first);
+    assert!(tried(&mut overlay, now + TURN * RETRY_DELAY_TICKS[0]), "from the first pause on again");
 }
--- a/crates/peers/src/cores.rs
+++ b/crates/peers/src/cores.rs
@@ -6,7 +6,8 @@
 use crate::store::{Note, Stored};
 use ivyward_overlay::Overlay;
 use ivyward_replica::{
-    Asker, Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word,
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
+    ReplicatedSet, ReplicationEffects,
 };
 use ivyward_session::{Birth, SessionId};
 use std::collections::{BTreeMap, VecDeque};
@@ -42,7 +43,7 @@
     /// To disk, in order, and whether [`Cores::stored`] is to be told.
     pub notes: VecDeque<(Note, bool)>,
     /// What became of claims.
-    pub decided: Vec<(ClaimNo, Word)>,
+    pub decided: Vec<(ClaimNo, ClaimOutcome)>,
     /// Sessions that are revoked, and, with false, no longer.
     pub revoked: Vec<(SessionId, bool)>,
     pub counts: BTreeMap<&'static str, u64>,
@@ -73,50 +74,50 @@
         self.say(to, self.about(frame::CLAIM, session, claim));
     }
 
-    fn kept(
+    fn accepted(
         &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
     ) {
         let starts = starts.iter().map(|of| start(&self.group, *of)).collect();
-        let about = self.about(frame::KEPT, session, claim);
+        let about = self.about(frame::ACCEPTED, session, claim);
         self.say(to, Frame { birth: birth.0, starts, ..about });
     }
 
-    fn unkept(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool) {
-        let about = self.about(frame::UNKEPT, session, claim);
+    fn rejected(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool) {
+        let about = self.about(frame::REJECTED, session, claim);
         self.say(to, Frame { taken, ..about });
     }
 
-    fn take_back(&mut self, to: Member, session: SessionId, claim: Claim) {
-        self.say(to, self.about(frame::TAKE_BACK, session, claim));
+    fn withdraw(&mut self, to: Member, session: SessionId, claim: Claim) {
+        self.say(to, self.about(frame::WITHDRAW, session, claim));
     }
 
-    fn taken_back(&mut self, to: Member, session: SessionId, claim: Claim) {
-        self.say(to, self.about(frame::TAKEN_BACK, session, claim));
+    fn withdrawn(&mut self, to: Member, session: SessionId, claim: Claim) {
+        self.say(to, self.about(frame::WITHDRAWN, session, claim));
     }
 
-    fn recall(&mut self, to: Member, birth: Birth) {
-        self.say(to, Frame { kind: frame::RECALL, birth: birth.0, ..Frame::default() });
+    fn request_recovery(&mut self, to: Member, birth: Birth) {
+        self.say(to, Frame { kind: frame::REQUEST_RECOVERY, birth: birth.0, ..Frame::default() });
     }
 
-    fn row(&mut self, _: Member, birth: Birth, session: SessionId, held: &Held) {
-        self.telling.push(Frame { birth: birth.0, ..frame::row(&self.group, session, held) });
+    fn recovery_entry(&mut self, _: Member, birth: Birth, session: SessionId, claim_set: &ClaimSet) {
+        self.telling.push(Frame { birth: birth.0, ..frame::recovery_entry(&self.group, session, claim_set) });
     }
 
-    fn rows(&mut self, to: Member, birth: Birth, count: u64) {
-        let mut rows = std::mem::take(&mut self.telling);
-        rows.push(Frame { kind: frame::ROWS, birth: birth.0, count, ..Frame::default() });
-        self.rows.push((to, rows));
+    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64) {
+        let mut entries = std::mem::take(&mut self.telling);
+        entries.push(Frame { kind: frame::RECOVERY_DONE, birth: birth.0, count, ..Frame::default() });
+        self.rows.push((to, entries));
     }
 
-    fn store(&mut self, session: SessionId, held: &Held) {
-        self.notes.push_back((Note::held(&self.group, session, held), true));
+    fn store(&mut self, session: SessionId, claim_set: &ClaimSet) {
+        self.notes.push_back((Note::held(&self.group, session, claim_set), true));
     }
 
     fn store_start(&mut self, member: Member, birth: Birth) {
         self.notes.push_back((Note::Start(self.group.name(member).into(), birth), true));
     }
 
-    fn store_whole(&mut self) {
+    fn store_recovered(&mut self) {
         self.notes.push_back((Note::Whole, true));
     }
 
@@ -124,28 +125,28 @@
         self.notes.push_back((Note::Forgotten(session), false));
     }
 
-    fn decided(&mut self, no: ClaimNo, word: Word) {
-        self.count(match word {
-            Word::Granted => "granted",
-            Word::Taken => "taken",
-            Word::Alone => "no_majority",
+    fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
+        self.count(match outcome {
+            ClaimOutcome::Granted => "granted",
+            ClaimOutcome::Taken => "taken",
+            ClaimOutcome::NoMajority => "no_majority",
         });
-        self.decided.push((no, word));
+        self.decided.push((no, outcome));
     }
 }
 
-impl Tells<SessionId> for Outbox {
+impl ReplicationEffects<SessionId> for Outbox {
     fn digest(&mut self, to: Member, digest: u64) {
         self.say(to, Frame { kind: frame::DIGEST, count: digest, ..Frame::default() });
     }
 
-    fn same(&mut self, to: Member) {
-        self.say(to, Frame { kind: frame::SAME, ..Frame::default() });
+    fn in_sync(&mut self, to: Member) {
+        self.say(to, Frame { kind: frame::IN_SYNC, ..Frame::default() });
     }
 
-    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, back: bool) {
+    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
         let starts = heads.iter().map(|of| frame::head(&self.group, of)).collect();
-        self.say(to, Frame { kind: frame::HEADS, starts, back, ..Frame::default() });
+        self.say(to, Frame { kind: frame::HEADS, starts, is_reply, ..Frame::default() });
     }
 
     fn records(&mut self, to: Member, log: Log, between: Range<u64>, records: &[Record<SessionId>]) {
@@ -154,11 +155,11 @@
         self.say(to, Frame { kind: frame::RECORDS, claim, count, records, ..Frame::default() });
     }
 
-    fn learned(&mut self, session: &SessionId) {
+    fn added(&mut self, session: &SessionId) {
         self.revoked.push((*session, true));
     }
 
-    fn over(&mut self, session: &SessionId) {
+    fn expired(&mut self, session: &SessionId) {
         self.revoked.push((*session, false));
     }
 }
@@ -168,9 +169,9 @@
     group: Group,
     me: Member,
     pub birth: Birth,
-    pub keeper: Keeper,
-    pub asker: Asker,
-    pub revoked: Common<SessionId>,
+    pub acceptor: Acceptor,
+    pub proposer: Proposer,
+    pub revoked: ReplicatedSet<SessionId>,
     pub overlay: Overlay,
     turns: u64,
     span: Duration,
@@ -201,9 +202,9 @@
             counts: BTreeMap::new(),
         };
         Cores {
-            keeper: Keeper::new(group.clone(), me, birth, span, now, stored.whole, kept),
-            asker: Asker::new(group.clone(), me, birth),
-            revoked: Common::new(me, birth, span),
+            acceptor: Acceptor::new(group.clone(), me, birth, span, now, stored.whole, kept),
+            proposer: Proposer::new(group.clone(), me, birth),
+            revoked: ReplicatedSet::new(me, birth, span),
             overlay: Overlay::new(&group, me, word),
             group,
             me,
@@ -232,46 +233,46 @@
     /// At the start. What all know is asked of one neighbour, since each would tell all of it; should that be away, the
     /// first turn finds out.
     pub fn start(&mut self, now: Duration) {
-        let asked = self.overlay.turn(now);
+        let asked = self.overlay.tick(now);
         self.revoked.start(&mut self.out, asked.as_slice());
-        self.keeper.ask_again(&mut self.out, now, ASKED);
+        self.acceptor.retry(&mut self.out, now, ASKED);
         self.settle(now);
     }
 
     /// Every `word`, for the first time a `word` after the start.
     pub fn turn(&mut self, now: Duration) {
-        if let Some(to) = self.overlay.turn(now) {
-            self.revoked.turn(&mut self.out, now, to);
+        if let Some(to) = self.overlay.tick(now) {
+            self.revoked.tick(&mut self.out, now, to);
         }
         self.turns += 1;
         if self.turns == EARLY {
             self.tells_early(now);
         }
         if self.turns.is_multiple_of(RECALLS) {
-            self.keeper.ask_again(&mut self.out, now, 1);
+            self.acceptor.retry(&mut self.out, now, 1);
         }
         self.settle(now);
     }
 
     /// Whether claims wait for a word, or for being taken back: then [`Cores::again`] is called [`AGAIN`] times a `word`.
     pub fn wakes(&self) -> bool {
-        self.asker.open() != (0, 0)
+        self.proposer.open_counts() != (0, 0)
     }
 
     pub fn again(&mut self, now: Duration) {
-        self.asker.ask_again(&mut self.out, now);
+        self.proposer.retry(&mut self.out, now);
         self.settle(now);
     }
 
     /// A path to a member could not be opened, or broke.
     pub fn unreached(&mut self, now: Duration, member: Member) {
-        self.overlay.unreached(now, member);
+        self.overlay.on_unreachable(now, member);
     }
 
     /// Another member wrote that; none where it makes no sense.
     pub fn hears(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
         self.heard.insert(from, now);
-        self.overlay.heard(from);
+        self.overlay.on_message(from);
         let had = self.takes(now, from, frame);
         self.settle(now);
         had
@@ -279,7 +280,7 @@
 
     /// So many counted notes more are on disk.
     pub fn stored(&mut self, now: Duration, notes: usize) {
-        self.keeper.stored(&mut self.out, notes);
+        self.acceptor.on_stored(&mut self.out, notes);
         self.settle(now);
     }
 
@@ -298,7 +299,7 @@
     fn tells(&mut self, now: Duration, session: SessionId) {
         // Guards against a record of each member's for what stands in the settings of all: what is told already, and for
         // much longer than until it would be said again, is not told anew.
-        if self.revoked.left(now, &session).is_none_or(|left| left <= self.span * 3 / 4) {
+        if self.revoked.remaining(now, &session).is_none_or(|left| left <= self.span * 3 / 4) {
             let neighbours = self.overlay.neighbours();
             self.revoked.add(&mut self.out, now, session, &neighbours);
         }
@@ -306,14 +307,14 @@
 
     /// A paid session is to be set up, if a majority of its keepers says so until then.
     pub fn claim(&mut self, now: Duration, session: SessionId, until: Duration) -> ClaimNo {
-        let no = self.asker.ask(&mut self.out, session, until);
+        let no = self.proposer.propose(&mut self.out, session, until);
         self.settle(now);
         no
     }
 
     /// Nothing of a claim ran, and nothing will.
-    pub fn take_back(&mut self, now: Duration, session: SessionId, no: ClaimNo) {
-        self.asker.take_back(&mut self.out, session, no);
+    pub fn withdraw(&mut self, now: Duration, session: SessionId, no: ClaimNo) {
+        self.proposer.withdraw(&mut self.out, session, no);
         self.settle(now);
     }
 
@@ -332,31 +333,31 @@
         match frame.kind {
             // Guards against a disk that takes nothing, or less than is claimed.
             frame::CLAIM if out.notes.len() >= BACKLOG => out.count("claims_left_out"),
-            frame::CLAIM => self.keeper.claimed(out, now, from, session()?, claim()?),
-            frame::KEPT => {
+            frame::CLAIM => self.acceptor.on_claim(out, now, from, session()?, claim()?),
+            frame::ACCEPTED => {
                 let starts = frame::starts(group, &frame.starts)?;
-                self.asker.kept(out, from, claim()?, birth, &starts);
+                self.proposer.on_accepted(out, from, claim()?, birth, &starts);
             }
-            frame::UNKEPT => self.asker.unkept(out, from, claim()?, frame.taken),
-            frame::TAKE_BACK => self.keeper.takes_back(out, now, from, session()?, claim()?),
-            frame::TAKEN_BACK => self.asker.taken_back(from, claim()?),
-            frame::RECALL => self.keeper.recalled(out, from, birth),
-            frame::ROW => {
-                let (session, held) = frame::held(group, frame)?;
-                self.keeper.row(out, now, from, birth, session, &held);
+            frame::REJECTED => self.proposer.on_rejected(out, from, claim()?, frame.taken),
+            frame::WITHDRAW => self.acceptor.on_withdraw(out, now, from, session()?, claim()?),
+            frame::WITHDRAWN => self.proposer.on_withdrawn(from, claim()?),
+            frame::REQUEST_RECOVERY => self.acceptor.on_recovery_request(out, from, birth),
+            frame::RECOVERY_ENTRY => {
+                let (session, claim_set) = frame::claim_set(group, frame)?;
+                self.acceptor.on_recovery_entry(out, now, from, birth, session, &claim_set);
             }
-            frame::ROWS => self.keeper.rows(out, from, birth, frame.count),
-            frame::SAME => self.tells_early(now),
-            frame::DIGEST => self.revoked.compared(out, now, from, frame.count),
+            frame::RECOVERY_DONE => self.acceptor.on_recovery_done(out, from, birth, frame.count),
+            frame::IN_SYNC => self.tells_early(now),
+            frame::DIGEST => self.revoked.on_digest(out, now, from, frame.count),
             frame::HEADS => {
                 let heads = frame::heads(group, &frame.starts)?;
-                self.revoked.accounted(out, now, from, &heads, frame.back);
+                self.revoked.on_heads(out, now, from, &heads, frame.is_reply);
             }
             frame::RECORDS => {
                 let of = claim()?;
                 let (log, between) = (Log { of: of.by, birth: of.birth }, of.no.0..frame.count);
                 let (records, neighbours) = (frame::records(&frame.records)?, self.overlay.neighbours());
-                self.revoked.told(out, now, from, log, between, records, &neighbours);
+                self.revoked.on_records(out, now, from, log, between, records, &neighbours);
             }
             // That it was heard is all there is to it; what a later revision says is left alone.
             _ => {}
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -5,7 +5,7 @@
 use crate::path::{Paths, Sent, Terms};
 use crate::store::{Note, Store};
 use crate::{Config, link};
-use ivyward_replica::{ClaimNo, Member, Word};
+use ivyward_replica::{ClaimNo, ClaimOutcome, Member};
 use ivyward_session::{Birth, SessionId};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 struct Desk {
     cores: Cores,
     paths: Paths,
-    waiting: BTreeMap<ClaimNo, oneshot::Sender<Word>>,
+    waiting: BTreeMap<ClaimNo, oneshot::Sender<ClaimOutcome>>,
     /// Members that are being told rows.
     telling: Rc<RefCell<BTreeSet<Member>>>,
     revoked: Revoked,
@@ -59,10 +59,10 @@
         for (to, rows) in std::mem::take(&mut self.cores.out.rows) {
             self.tells(to, rows);
         }
-        for (no, word) in std::mem::take(&mut self.cores.out.decided) {
-            tracing::debug!(claim = no.0, ?word, "decided");
+        for (no, outcome) in std::mem::take(&mut self.cores.out.decided) {
+            tracing::debug!(claim = no.0, word = ?outcome, "decided");
             if let Some(waiting) = self.waiting.remove(&no) {
-                waiting.send(word).ok();
+                waiting.send(outcome).ok();
             }
         }
         for (session, revoked) in std::mem::take(&mut self.cores.out.revoked) {
@@ -141,13 +141,13 @@
         let members: Vec<_> = group.members().map(member).collect();
         let neighbours = cores.overlay.neighbours();
         let neighbours: Vec<_> = neighbours.into_iter().map(|member| group.name(member)).collect();
-        let (open, owed) = cores.asker.open();
+        let (open, owed) = cores.proposer.open_counts();
         let sent = &paths.terms().sent;
         json!({
-            "members": members, "birth": cores.birth.0, "catching_up": cores.keeper.recalls(),
-            "neighbours": neighbours, "passed_over": cores.overlay.away(), "paths": paths.open(),
+            "members": members, "birth": cores.birth.0, "catching_up": cores.acceptor.is_recovering(),
+            "neighbours": neighbours, "passed_over": cores.overlay.unreachable_count(), "paths": paths.open(),
             "paths_opened": sent.paths.get(), "frames_sent": sent.frames.get(), "bytes_sent": sent.bytes.get(),
-            "sessions_kept": cores.keeper.len(), "asking": open, "to_take_back": owed,
+            "sessions_kept": cores.acceptor.len(), "asking": open, "to_take_back": owed,
             "notes_to_disk": cores.out.notes.len(), "revoked": cores.revoked.len(),
             "revoked_digest": format!("{:016x}", cores.revoked.digest()), "counts": cores.out.counts,
         })
@@ -234,7 +234,7 @@
     }
 
     /// Asks the keepers of a paid session whether it may be set up. `within`: how long its viewer waits at most.
-    pub async fn claim(&self, session: SessionId, within: Duration) -> (Claimed, Word) {
+    pub async fn claim(&self, session: SessionId, within: Duration) -> (Claimed, ClaimOutcome) {
         let (asked, number) = oneshot::channel();
         let (tell, told) = oneshot::channel();
         let span = within.min(self.word);
@@ -244,12 +244,12 @@
             // Guards against a set-up that was called off in the same moment.
             if let Err(no) = asked.send(no) {
                 desk.waiting.remove(&no);
-                desk.cores.take_back(now, session, no);
+                desk.cores.withdraw(now, session, no);
             }
         });
         let no = number.await.ok();
         let claimed = Claimed { peers: self.clone(), session, no };
-        (claimed, told.await.unwrap_or(Word::Alone))
+        (claimed, told.await.unwrap_or(ClaimOutcome::NoMajority))
     }
 
     /// How long it is held what a member told.
@@ -310,7 +310,7 @@
             let session = self.session;
             self.peers.tell(move |desk, now| {
                 desk.waiting.remove(&no);
-                desk.cores.take_back(now, session, no);
+                desk.cores.withdraw(now, session, no);
             });
         }
     }
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -1,7 +1,7 @@
 //! What managers write to each other: one message of protobuf a frame, members by their names, so that they need not
 //! number them alike.
 
-use ivyward_replica::{Claim, ClaimNo, Group, Held, Log, Member, Record};
+use ivyward_replica::{Claim, ClaimNo, ClaimSet, Group, Log, Member, Record};
 use ivyward_session::{Birth, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,18 +15,18 @@
 
 pub const HELLO: u32 = 1;
 pub const CLAIM: u32 = 2;
-pub const KEPT: u32 = 3;
-pub const UNKEPT: u32 = 4;
-pub const TAKE_BACK: u32 = 5;
-pub const TAKEN_BACK: u32 = 6;
-pub const RECALL: u32 = 7;
-pub const ROW: u32 = 8;
-pub const ROWS: u32 = 9;
+pub const ACCEPTED: u32 = 3;
+pub const REJECTED: u32 = 4;
+pub const WITHDRAW: u32 = 5;
+pub const WITHDRAWN: u32 = 6;
+pub const REQUEST_RECOVERY: u32 = 7;
+pub const RECOVERY_ENTRY: u32 = 8;
+pub const RECOVERY_DONE: u32 = 9;
 pub const DIGEST: u32 = 10;
 pub const HEADS: u32 = 11;
 pub const RECORDS: u32 = 12;
 /// In answer to a digest: the same here. To a greeting: the group as configured here, which is another.
-pub const SAME: u32 = 13;
+pub const IN_SYNC: u32 = 13;
 pub const DIFFERS: u32 = 14;
 
 /// Kinds of records in common.
@@ -49,7 +49,7 @@
     #[prost(message, repeated, tag = "7")]
     pub claims: Vec<Who>,
     #[prost(message, repeated, tag = "8")]
-    pub taken_back: Vec<Who>,
+    pub withdrawn: Vec<Who>,
     #[prost(message, repeated, tag = "9")]
     pub starts: Vec<Who>,
     /// Of who says hello.
@@ -62,7 +62,7 @@
     pub revision: u32,
     /// In answer to an account.
     #[prost(bool, tag = "13")]
-    pub back: bool,
+    pub is_reply: bool,
     #[prost(message, repeated, tag = "14")]
     pub records: Vec<Told>,
     /// Of the group as configured there.
@@ -125,7 +125,7 @@
 }
 
 pub fn told(record: &Record<SessionId>) -> Told {
-    let (left_ms, session) = (record.left.as_millis() as u64, record.what.0.to_be_bytes().into());
+    let (left_ms, session) = (record.remaining.as_millis() as u64, record.value.0.to_be_bytes().into());
     Told { no: record.no, left_ms, kind: REVOKED, session }
 }
 
@@ -133,7 +133,7 @@
 pub fn records(all: &[Told]) -> Option<Vec<Record<SessionId>>> {
     let record = |told: &Told| {
         let left = Duration::from_millis(told.left_ms);
-        Some(Record { no: told.no, left, what: session(&told.session)? })
+        Some(Record { no: told.no, remaining: left, value: session(&told.session)? })
     };
     all.iter().filter(|told| told.kind == REVOKED).map(record).collect()
 }
@@ -142,21 +142,22 @@
     bytes.try_into().ok().map(|bytes| SessionId(u128::from_be_bytes(bytes)))
 }
 
-pub fn row(group: &Group, session: SessionId, held: &Held) -> Frame {
+pub fn recovery_entry(group: &Group, session: SessionId, claim_set: &ClaimSet) -> Frame {
     let all = |claims: &std::collections::BTreeSet<Claim>| claims.iter().map(|c| who(group, *c)).collect();
     Frame {
-        kind: ROW,
+        kind: RECOVERY_ENTRY,
         session: session.0.to_be_bytes().into(),
-        claims: all(&held.claims),
-        taken_back: all(&held.taken_back),
+        claims: all(&claim_set.claims),
+        withdrawn: all(&claim_set.withdrawn),
         ..Frame::default()
     }
 }
 
-/// What is held of a session, as [`row`] wrote it.
-pub fn held(group: &Group, frame: &Frame) -> Option<(SessionId, Held)> {
-    let held = Held { claims: claims(group, &frame.claims)?, taken_back: claims(group, &frame.taken_back)? };
-    Some((session(&frame.session)?, held))
+/// What is held of a session, as [`recovery_entry`] wrote it.
+pub fn claim_set(group: &Group, frame: &Frame) -> Option<(SessionId, ClaimSet)> {
+    let claim_set =
+        ClaimSet { claims: claims(group, &frame.claims)?, withdrawn: claims(group, &frame.withdrawn)? };
+    Some((session(&frame.session)?, claim_set))
 }
 
 /// The longest text from outside in a line, in characters.
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -1,7 +1,7 @@
 //! What a member promised, on disk: an embedded database, since its writes are whole or not there, and synced.
 
 use crate::frame::{self, Frame};
-use ivyward_replica::{Group, Held, Member};
+use ivyward_replica::{ClaimSet, Group, Member};
 use ivyward_session::{Birth, SessionId};
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -29,8 +29,8 @@
 }
 
 impl Note {
-    pub fn held(group: &Group, session: SessionId, held: &Held) -> Note {
-        Note::Held(session, frame::row(group, session, held).encode_to_vec())
+    pub fn held(group: &Group, session: SessionId, held: &ClaimSet) -> Note {
+        Note::Held(session, frame::recovery_entry(group, session, held).encode_to_vec())
     }
 }
 
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct Stored {
     pub whole: bool,
-    pub sessions: BTreeMap<SessionId, Held>,
+    pub sessions: BTreeMap<SessionId, ClaimSet>,
     pub starts: BTreeMap<Member, Birth>,
 }
 
@@ -78,7 +78,7 @@
             let sessions = change.open_table(SESSIONS).map_err(told(&file))?;
             for row in sessions.iter().map_err(told(&file))? {
                 let (session, bytes) = row.map_err(told(&file))?;
-                let read = Frame::decode(bytes.value()).ok().and_then(|row| frame::held(group, &row));
+                let read = Frame::decode(bytes.value()).ok().and_then(|row| frame::claim_set(group, &row));
                 let session = session.value();
                 // Guards against a promise left out since it can't be read.
                 let (session, held) = read
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -3,7 +3,7 @@
 use crate::store::Note;
 use crate::{Config, Cores, Frame, HEAD, Peers, Store, Stored, greets, hello};
 use futures_util::future::join_all;
-use ivyward_replica::{Claim, ClaimNo, Group, Held, Member, Word};
+use ivyward_replica::{Claim, ClaimNo, ClaimOutcome, ClaimSet, Group, Member};
 use ivyward_session::{Birth, SessionId};
 use prost::Message;
 use std::collections::BTreeSet;
@@ -19,9 +19,9 @@
     Group::new(names.iter().map(|name| (name.to_string(), 0)).collect(), 3)
 }
 
-fn held(no: u64) -> Held {
+fn held(no: u64) -> ClaimSet {
     let claim = |no| Claim { by: Member(1), birth: Birth(5), no: ClaimNo(no) };
-    Held { claims: BTreeSet::from([claim(no)]), taken_back: BTreeSet::from([claim(no + 1)]) }
+    ClaimSet { claims: BTreeSet::from([claim(no)]), withdrawn: BTreeSet::from([claim(no + 1)]) }
 }
 
 #[test]
@@ -101,7 +101,7 @@
                 word
             }
         });
-        assert!(join_all(claims).await.into_iter().all(|word| word == Word::Granted));
+        assert!(join_all(claims).await.into_iter().all(|word| word == ClaimOutcome::Granted));
         let late = Peers::start(config(2), Birth(2)).await.expect("a member");
         let end = Instant::now() + Duration::from_secs(20);
         while late.page().await["catching_up"] == true {
@@ -110,7 +110,7 @@
         }
         assert_eq!(late.page().await["sessions_kept"], MANY as u64);
         let (_, word) = late.claim(SessionId(7), Duration::from_secs(1)).await;
-        assert_eq!(word, Word::Taken);
+        assert_eq!(word, ClaimOutcome::Taken);
     });
     fs::remove_dir_all(&dir).ok();
 }
@@ -195,7 +195,7 @@
             async move { peers.claim(SessionId(session), Duration::from_secs(5)).await.1 }
         });
         let (_, words) = tokio::join!(join_all(floods), join_all(claims));
-        assert!(words.iter().all(|word| *word == Word::Granted), "{words:?}");
+        assert!(words.iter().all(|word| *word == ClaimOutcome::Granted), "{words:?}");
         // What is told in common still comes from one to the other.
         peers[0].revoke(SessionId(7));
         let end = Instant::now() + Duration::from_secs(5);
@@ -209,7 +209,7 @@
 
 /// Digests of nothing, and rows that nobody asked for.
 fn lies(i: u64) -> Frame {
-    let kind = if i.is_multiple_of(2) { frame::DIGEST } else { frame::ROWS };
+    let kind = if i.is_multiple_of(2) { frame::DIGEST } else { frame::RECOVERY_DONE };
     Frame { kind, count: i, birth: u64::MAX, ..Frame::default() }
 }
 
@@ -246,7 +246,7 @@
             cores.hears(now, Member(1), &records).expect("it makes sense");
             cores.out.frames.clear();
         }
-        cores.hears(now, Member(1), &Frame { kind: frame::SAME, ..Frame::default() });
+        cores.hears(now, Member(1), &Frame { kind: frame::IN_SYNC, ..Frame::default() });
         let told = cores.out.frames.drain(..).filter(|(_, frame)| frame.kind == frame::RECORDS).count();
         assert_eq!(told > 0, at_once, "{heard:?}");
         // Said again at once it isn't told twice.
@@ -254,7 +254,7 @@
         now += span / 2;
         assert_eq!(tells(&mut cores, now) > 0, later, "{heard:?}, half a span later");
         // At no moment it is over here.
-        assert!(cores.revoked.left(now, &SessionId(7)).is_some_and(|left| left == span), "{heard:?}");
+        assert!(cores.revoked.remaining(now, &SessionId(7)).is_some_and(|left| left == span), "{heard:?}");
     }
     // Nobody answers: it is told all the same, after some turns.
     let mut now = Duration::ZERO;
--- a/crates/replica/src/group.rs
+++ b/crates/replica/src/group.rs
@@ -11,15 +11,15 @@
 pub struct Group {
     /// By name, in order: its zone.
     members: Vec<(String, u8)>,
-    keepers: usize,
+    acceptor_count: usize,
 }
 
 impl Group {
-    /// `members`: names and zones in any order; `keepers`: of each session, at most as many as there are members.
-    pub fn new(mut members: Vec<(String, u8)>, keepers: usize) -> Group {
+    /// `members`: names and zones in any order; `acceptor_count`: of each session, at most as many as there are members.
+    pub fn new(mut members: Vec<(String, u8)>, acceptor_count: usize) -> Group {
         members.sort();
-        let keepers = keepers.clamp(1, members.len().max(1));
-        Group { members, keepers }
+        let acceptor_count = acceptor_count.clamp(1, members.len().max(1));
+        Group { members, acceptor_count }
     }
 
     pub fn members(&self) -> impl Iterator<Item = Member> + Clone + use<> {
@@ -42,7 +42,7 @@
     pub fn text(&self) -> String {
         let member = |(name, zone): &(String, u8)| format!("{name:?} zone {zone}");
         let members: Vec<_> = self.members.iter().map(member).collect();
-        format!("{} keepers of {}", self.keepers, members.join(", "))
+        format!("{} keepers of {}", self.acceptor_count, members.join(", "))
     }
 
     /// That text in one number: what members tell each other of it where it is the same.
@@ -52,7 +52,7 @@
 
     /// A session's keepers: those of highest weight (rendezvous hashing: Thaler and Ravishankar, 1998), from zones apart
     /// as far as there are so many.
-    pub fn keepers(&self, session: SessionId) -> BTreeSet<Member> {
+    pub fn acceptors(&self, session: SessionId) -> BTreeSet<Member> {
         let weight = |member: &Member| {
             let mut hasher = SipHasher13::new();
             hasher.write(self.name(*member).as_bytes());
@@ -65,17 +65,17 @@
         let mut zones = BTreeSet::new();
         let (apart, beside): (Vec<_>, Vec<_>) =
             order.into_iter().partition(|member| zones.insert(self.members[usize::from(member.0)].1));
-        apart.into_iter().chain(beside).take(self.keepers).collect()
+        apart.into_iter().chain(beside).take(self.acceptor_count).collect()
     }
 
     /// So many keepers decide.
     pub fn majority(&self) -> usize {
-        self.keepers / 2 + 1
+        self.acceptor_count / 2 + 1
     }
 
     /// Of the others that keep a session, so many have to have told theirs before one without memory keeps again: each
     /// majority that it was part of has one of them.
-    pub fn recalled(&self) -> usize {
-        self.keepers - self.majority() + 1
+    pub fn recovery_quorum(&self) -> usize {
+        self.acceptor_count - self.majority() + 1
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -15,15 +15,15 @@
 //! Not promised: that a session can be claimed again whose claimant died between its claim and its set-up. It may have
 //! run, so it counts as run until its span is over.
 
-mod asker;
-mod common;
+mod acceptor;
 mod group;
-mod keeper;
+mod proposer;
+mod replicated_set;
 
-pub use asker::{Asker, Word};
-pub use common::{Common, Log, Record, Tells};
+pub use acceptor::{Acceptor, ClaimSet};
 pub use group::Group;
-pub use keeper::{Held, Keeper};
+pub use proposer::{ClaimOutcome, Proposer};
+pub use replicated_set::{Log, Record, ReplicatedSet, ReplicationEffects};
 
 use ivyward_session::{Birth, SessionId};
 
@@ -49,29 +49,29 @@
     fn claim(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To the claim's manager: `birth`, this start of the keeper, keeps it. `starts`: of others that came back without
     /// memory, as far as it knows.
-    fn kept(
+    fn accepted(
         &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
     );
     /// To the claim's manager: not kept, since another is (`taken`), or since the keeper abstains.
-    fn unkept(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool);
+    fn rejected(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool);
     /// To a keeper: the set-up of this claim provably never ran and never will.
-    fn take_back(&mut self, to: Member, session: SessionId, claim: Claim);
+    fn withdraw(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To the claim's manager: it is taken back here.
-    fn taken_back(&mut self, to: Member, session: SessionId, claim: Claim);
+    fn withdrawn(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To a member: this start came back without memory; what does that one hold that is also kept here?
-    fn recall(&mut self, to: Member, birth: Birth);
+    fn request_recovery(&mut self, to: Member, birth: Birth);
     /// To one that recalls: one session; then how many there were.
-    fn row(&mut self, to: Member, birth: Birth, session: SessionId, held: &Held);
-    fn rows(&mut self, to: Member, birth: Birth, count: u64);
-    /// To disk, in order, each one note of which [`Keeper::stored`] is told: what is held of a session; a member's start
+    fn recovery_entry(&mut self, to: Member, birth: Birth, session: SessionId, claim_set: &ClaimSet);
+    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64);
+    /// To disk, in order, each one note of which [`Acceptor::on_stored`] is told: what is held of a session; a member's start
     /// without memory; that this memory is whole.
-    fn store(&mut self, session: SessionId, held: &Held);
+    fn store(&mut self, session: SessionId, claim_set: &ClaimSet);
     fn store_start(&mut self, member: Member, birth: Birth);
-    fn store_whole(&mut self);
+    fn store_recovered(&mut self);
     /// From disk, whenever that may be; no note.
     fn forget(&mut self, session: SessionId);
     /// What became of a claim asked here.
-    fn decided(&mut self, no: ClaimNo, word: Word);
+    fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome);
 }
 
 #[cfg(test)]
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -1,6 +1,9 @@
 //! The cores of three members in a small world, through every order of what may happen to them; and tables of their parts.
 
-use crate::{Asker, Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word};
+use crate::{
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
+    ReplicatedSet, ReplicationEffects,
+};
 use ivyward_session::{Birth, SessionId};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -18,35 +21,35 @@
 const LATE: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Says {
+enum Message {
     Claim(Claim),
-    Kept(Claim, Birth, Vec<(Member, Birth)>),
-    Unkept(Claim, bool),
-    TakeBack(Claim),
-    TakenBack(Claim),
-    Recall(Birth),
-    Row(Birth, Held),
-    Rows(Birth, u64),
+    Accepted(Claim, Birth, Vec<(Member, Birth)>),
+    Rejected(Claim, bool),
+    Withdraw(Claim),
+    Withdrawn(Claim),
+    RequestRecovery(Birth),
+    RecoveryEntry(Birth, ClaimSet),
+    RecoveryDone(Birth, u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Note {
-    Held(Held),
+    Held(ClaimSet),
     Start(Member, Birth),
     Whole,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Disk {
-    held: Option<Held>,
+    held: Option<ClaimSet>,
     starts: BTreeMap<Member, Birth>,
     whole: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    keeper: Keeper,
-    asker: Asker,
+    acceptor: Acceptor,
+    proposer: Proposer,
     birth: Birth,
     disk: Disk,
     unsynced: Vec<Note>,
@@ -56,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
-    wire: BTreeSet<(Member, Member, Says)>,
+    wire: BTreeSet<(Member, Member, Message)>,
     /// Claims granted and neither sent nor given up, and those sent.
     granted: BTreeSet<Claim>,
     sent: BTreeSet<Claim>,
@@ -92,59 +95,59 @@
     Forgets(Member),
 }
 
-struct Hands<'a> {
+struct RecordedEffects<'a> {
     me: Member,
     birth: Birth,
-    wire: &'a mut BTreeSet<(Member, Member, Says)>,
+    wire: &'a mut BTreeSet<(Member, Member, Message)>,
     notes: &'a mut Vec<Note>,
     granted: &'a mut BTreeSet<Claim>,
     defect: Defect,
 }
 
-impl Hands<'_> {
-    fn say(&mut self, to: Member, says: Says) {
-        self.wire.insert((self.me, to, says));
+impl RecordedEffects<'_> {
+    fn say(&mut self, to: Member, message: Message) {
+        self.wire.insert((self.me, to, message));
     }
 }
 
-impl Effects for Hands<'_> {
+impl Effects for RecordedEffects<'_> {
     fn claim(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Says::Claim(claim));
+        self.say(to, Message::Claim(claim));
     }
-    fn kept(&mut self, to: Member, _: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)]) {
-        let told = if self.defect == Defect::StartsNotTold { &[] } else { starts };
-        self.say(to, Says::Kept(claim, birth, told.to_vec()));
+    fn accepted(&mut self, to: Member, _: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)]) {
+        let reported = if self.defect == Defect::StartsNotTold { &[] } else { starts };
+        self.say(to, Message::Accepted(claim, birth, reported.to_vec()));
     }
-    fn unkept(&mut self, to: Member, _: SessionId, claim: Claim, taken: bool) {
-        self.say(to, Says::Unkept(claim, taken));
+    fn rejected(&mut self, to: Member, _: SessionId, claim: Claim, taken: bool) {
+        self.say(to, Message::Rejected(claim, taken));
     }
-    fn take_back(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Says::TakeBack(claim));
+    fn withdraw(&mut self, to: Member, _: SessionId, claim: Claim) {
+        self.say(to, Message::Withdraw(claim));
     }
-    fn taken_back(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Says::TakenBack(claim));
+    fn withdrawn(&mut self, to: Member, _: SessionId, claim: Claim) {
+        self.say(to, Message::Withdrawn(claim));
     }
-    fn recall(&mut self, to: Member, birth: Birth) {
-        self.say(to, Says::Recall(birth));
+    fn request_recovery(&mut self, to: Member, birth: Birth) {
+        self.say(to, Message::RequestRecovery(birth));
     }
-    fn row(&mut self, to: Member, birth: Birth, _: SessionId, held: &Held) {
-        self.say(to, Says::Row(birth, held.clone()));
+    fn recovery_entry(&mut self, to: Member, birth: Birth, _: SessionId, claim_set: &ClaimSet) {
+        self.say(to, Message::RecoveryEntry(birth, claim_set.clone()));
     }
-    fn rows(&mut self, to: Member, birth: Birth, count: u64) {
-        self.say(to, Says::Rows(birth, count));
+    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64) {
+        self.say(to, Message::RecoveryDone(birth, count));
     }
-    fn store(&mut self, _: SessionId, held: &Held) {
+    fn store(&mut self, _: SessionId, held: &ClaimSet) {
         self.notes.push(Note::Held(held.clone()));
     }
     fn store_start(&mut self, member: Member, birth: Birth) {
         self.notes.push(Note::Start(member, birth));
     }
-    fn store_whole(&mut self) {
+    fn store_recovered(&mut self) {
         self.notes.push(Note::Whole);
     }
     fn forget(&mut self, _: SessionId) {}
-    fn decided(&mut self, no: ClaimNo, word: Word) {
-        if word == Word::Granted {
+    fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
+        if outcome == ClaimOutcome::Granted {
             self.granted.insert(Claim { by: self.me, birth: self.birth, no });
         }
     }
@@ -157,8 +160,8 @@
 fn node(me: Member, members: u16, birth: Birth, disk: Disk) -> Node {
     let sessions = disk.held.clone().map(|held| (SESSION, held)).into_iter().collect();
     let stored = (sessions, disk.starts.clone());
-    let keeper = Keeper::new(group(members), me, birth, SPAN, NOW, disk.whole, stored);
-    Node { keeper, asker: Asker::new(group(members), me, birth), birth, disk, unsynced: vec![] }
+    let acceptor = Acceptor::new(group(members), me, birth, SPAN, NOW, disk.whole, stored);
+    Node { acceptor, proposer: Proposer::new(group(members), me, birth), birth, disk, unsynced: vec![] }
 }
 
 impl World {
@@ -177,29 +180,36 @@
         }
     }
 
-    fn at<T>(&mut self, at: Member, defect: Defect, does: impl FnOnce(&mut Node, &mut Hands) -> T) -> T {
+    fn at<T>(
+        &mut self, at: Member, defect: Defect, does: impl FnOnce(&mut Node, &mut RecordedEffects) -> T,
+    ) -> T {
         let node = &mut self.nodes[usize::from(at.0)];
         let mut notes = std::mem::take(&mut node.unsynced);
         let (wire, granted) = (&mut self.wire, &mut self.granted);
-        let hands = &mut Hands { me: at, birth: node.birth, wire, notes: &mut notes, granted, defect };
-        let came = does(node, hands);
+        let effects =
+            &mut RecordedEffects { me: at, birth: node.birth, wire, notes: &mut notes, granted, defect };
+        let came = does(node, effects);
         node.unsynced = notes;
         came
     }
 
-    fn comes(&mut self, from: Member, to: Member, says: &Says, defect: Defect) {
-        self.at(to, defect, |node, out| match says {
-            Says::Claim(claim) => node.keeper.claimed(out, NOW, from, SESSION, *claim),
-            Says::Kept(claim, birth, starts) => node.asker.kept(out, from, *claim, *birth, starts),
-            Says::Unkept(claim, taken) => node.asker.unkept(out, from, *claim, *taken),
-            Says::TakeBack(claim) => node.keeper.takes_back(out, NOW, from, SESSION, *claim),
-            Says::TakenBack(claim) => node.asker.taken_back(from, *claim),
-            Says::Recall(birth) => node.keeper.recalled(out, from, *birth),
-            Says::Row(birth, held) => node.keeper.row(out, NOW, from, *birth, SESSION, held),
-            Says::Rows(birth, count) => node.keeper.rows(out, from, *birth, *count),
+    fn comes(&mut self, from: Member, to: Member, message: &Message, defect: Defect) {
+        self.at(to, defect, |node, out| match message {
+            Message::Claim(claim) => node.acceptor.on_claim(out, NOW, from, SESSION, *claim),
+            Message::Accepted(claim, birth, starts) => {
+                node.proposer.on_accepted(out, from, *claim, *birth, starts)
+            }
+            Message::Rejected(claim, taken) => node.proposer.on_rejected(out, from, *claim, *taken),
+            Message::Withdraw(claim) => node.acceptor.on_withdraw(out, NOW, from, SESSION, *claim),
+            Message::Withdrawn(claim) => node.proposer.on_withdrawn(from, *claim),
+            Message::RequestRecovery(birth) => node.acceptor.on_recovery_request(out, from, *birth),
+            Message::RecoveryEntry(birth, held) => {
+                node.acceptor.on_recovery_entry(out, NOW, from, *birth, SESSION, held)
+            }
+            Message::RecoveryDone(birth, count) => node.acceptor.on_recovery_done(out, from, *birth, *count),
         });
         if defect == Defect::SaidBeforeSync {
-            self.at(to, defect, |node, out| node.keeper.stored(out, usize::MAX));
+            self.at(to, defect, |node, out| node.acceptor.on_stored(out, usize::MAX));
         }
     }
 
@@ -214,7 +224,7 @@
                 Note::Whole => node.disk.whole = true,
             }
         }
-        self.at(at, defect, |node, out| node.keeper.stored(out, notes.len()));
+        self.at(at, defect, |node, out| node.acceptor.on_stored(out, notes.len()));
     }
 
     fn dies(&mut self, at: Member, forgets: bool, defect: Defect) {
@@ -229,7 +239,7 @@
         self.nodes[usize::from(at.0)] = node(at, members, birth, disk);
         // What it was granted and had not sent goes with it.
         self.granted.retain(|claim| claim.by != at);
-        self.at(at, defect, |node, out| node.keeper.ask_again(out, NOW, usize::MAX));
+        self.at(at, defect, |node, out| node.acceptor.retry(out, NOW, usize::MAX));
     }
 
     /// All that may happen next.
@@ -240,7 +250,7 @@
             let at = Member(i as u16);
             may.extend((!node.unsynced.is_empty()).then_some(Act::Syncs(at)));
             may.extend((self.asks[i] > 0).then_some(Act::Asks(at)));
-            may.extend((node.asker.open().0 > 0).then_some(Act::GivesUp(at)));
+            may.extend((node.proposer.open_counts().0 > 0).then_some(Act::GivesUp(at)));
             may.extend((self.kills > 0).then_some(Act::Dies(at)));
             may.extend((self.forgets > 0).then_some(Act::Forgets(at)));
         }
@@ -250,8 +260,8 @@
     fn does(&mut self, act: Act, defect: Defect) {
         match act {
             Act::Comes(i) => {
-                let Some((from, to, says)) = self.wire.iter().nth(i).cloned() else { return };
-                self.comes(from, to, &says, defect);
+                let Some((from, to, message)) = self.wire.iter().nth(i).cloned() else { return };
+                self.comes(from, to, &message, defect);
             }
             Act::Sends(claim) => {
                 self.granted.remove(&claim);
@@ -260,14 +270,14 @@
             // Its servers turned it away.
             Act::NeverRan(claim) => {
                 self.granted.remove(&claim);
-                self.at(claim.by, defect, |node, out| node.asker.take_back(out, SESSION, claim.no));
+                self.at(claim.by, defect, |node, out| node.proposer.withdraw(out, SESSION, claim.no));
             }
             Act::Syncs(at) => self.syncs(at, defect),
             Act::Asks(at) => {
                 self.asks[usize::from(at.0)] -= 1;
-                self.at(at, defect, |node, out| node.asker.ask(out, SESSION, LATE));
+                self.at(at, defect, |node, out| node.proposer.propose(out, SESSION, LATE));
             }
-            Act::GivesUp(at) => self.at(at, defect, |node, out| node.asker.ask_again(out, LATE)),
+            Act::GivesUp(at) => self.at(at, defect, |node, out| node.proposer.retry(out, LATE)),
             Act::Dies(at) => {
                 self.kills -= 1;
                 self.dies(at, false, defect);
@@ -393,41 +403,43 @@
     ] {
         let mut world = World::new(&[1, 1, 0], 1, 1);
         let [zero, one, two] = [0, 1, 2].map(Member);
-        let come = |world: &mut World, from, to, what: fn(&Says) -> bool| {
-            let fits = |m: &&(Member, Member, Says)| m.0 == from && m.1 == to && what(&m.2);
+        let come = |world: &mut World, from, to, what: fn(&Message) -> bool| {
+            let fits = |m: &&(Member, Member, Message)| m.0 == from && m.1 == to && what(&m.2);
             let all: Vec<_> = world.wire.iter().filter(fits).cloned().collect();
-            for (from, to, says) in all {
-                world.comes(from, to, &says, defect);
+            for (from, to, message) in all {
+                world.comes(from, to, &message, defect);
                 world.syncs(to, defect);
             }
         };
         // Whoever dies loses what it was granted, so it asks second.
         let first = if dies { one } else { zero };
         let other = if dies { zero } else { one };
-        let claim: fn(&Says) -> bool = |says| matches!(says, Says::Claim(_));
-        let kept: fn(&Says) -> bool = |says| matches!(says, Says::Kept(..));
+        let claim: fn(&Message) -> bool = |message| matches!(message, Message::Claim(_));
+        let accepted: fn(&Message) -> bool = |message| matches!(message, Message::Accepted(..));
         world.does(Act::Asks(first), defect);
         come(&mut world, first, two, claim);
         world.does(Act::Forgets(two), defect);
         for member in [zero, one] {
-            come(&mut world, two, member, |says| matches!(says, Says::Recall(_)));
-            come(&mut world, member, two, |says| matches!(says, Says::Row(..) | Says::Rows(..)));
+            come(&mut world, two, member, |message| matches!(message, Message::RequestRecovery(_)));
+            come(&mut world, member, two, |message| {
+                matches!(message, Message::RecoveryEntry(..) | Message::RecoveryDone(..))
+            });
         }
         if dies {
             // Who keeps the first claim beside member 2 comes back in between.
             world.does(Act::Dies(other), defect);
             come(&mut world, first, other, claim);
-            come(&mut world, other, first, kept);
+            come(&mut world, other, first, accepted);
         } else {
             come(&mut world, first, first, claim);
-            come(&mut world, first, first, kept);
+            come(&mut world, first, first, accepted);
         }
-        come(&mut world, two, first, kept);
+        come(&mut world, two, first, accepted);
         // The other majority: member 2 as it is now, and member 1, which has not heard of the first claim.
         world.does(Act::Asks(other), defect);
-        for keeper in [two, one] {
-            come(&mut world, other, keeper, claim);
-            come(&mut world, keeper, other, kept);
+        for acceptor in [two, one] {
+            come(&mut world, other, acceptor, claim);
+            come(&mut world, acceptor, other, accepted);
         }
         assert_eq!(world.live(), live, "{defect:?}, dies {dies}");
     }
@@ -437,52 +449,52 @@
 #[derive(Default)]
 struct Said {
     known: BTreeMap<u32, usize>,
-    wire: Vec<(Member, Told)>,
+    wire: Vec<(Member, ReplicationMessage)>,
 }
 
 #[derive(Clone)]
-enum Told {
+enum ReplicationMessage {
     Digest(u64),
     Same,
     Heads(BTreeMap<Log, u64>, bool),
     Records(Log, Range<u64>, Vec<Record<u32>>),
 }
 
-impl Tells<u32> for Said {
+impl ReplicationEffects<u32> for Said {
     fn digest(&mut self, to: Member, digest: u64) {
-        self.wire.push((to, Told::Digest(digest)));
+        self.wire.push((to, ReplicationMessage::Digest(digest)));
     }
 
-    fn same(&mut self, to: Member) {
-        self.wire.push((to, Told::Same));
+    fn in_sync(&mut self, to: Member) {
+        self.wire.push((to, ReplicationMessage::Same));
     }
 
-    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, back: bool) {
-        self.wire.push((to, Told::Heads(heads.clone(), back)));
+    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
+        self.wire.push((to, ReplicationMessage::Heads(heads.clone(), is_reply)));
     }
 
     fn records(&mut self, to: Member, log: Log, between: Range<u64>, records: &[Record<u32>]) {
-        self.wire.push((to, Told::Records(log, between, records.to_vec())));
+        self.wire.push((to, ReplicationMessage::Records(log, between, records.to_vec())));
     }
 
-    fn learned(&mut self, what: &u32) {
-        *self.known.entry(*what).or_default() += 1;
+    fn added(&mut self, value: &u32) {
+        *self.known.entry(*value).or_default() += 1;
     }
 
-    fn over(&mut self, what: &u32) {
-        let count = self.known.get_mut(what).expect("it was learned");
+    fn expired(&mut self, value: &u32) {
+        let count = self.known.get_mut(value).expect("it was learned");
         *count -= 1;
         if *count == 0 {
-            self.known.remove(what);
+            self.known.remove(value);
         }
     }
 }
 
 /// Copies in virtual time, a turn of each a step; what is said comes in the same step, or is lost, doubled, or late.
 struct Copies {
-    copies: Vec<(Common<u32>, Said)>,
+    copies: Vec<(ReplicatedSet<u32>, Said)>,
     now: Duration,
-    late: Vec<(Member, Member, Told)>,
+    late: Vec<(Member, Member, ReplicationMessage)>,
     chance: Pcg64Mcg,
     /// Messages, and records in them.
     sent: [usize; 2],
@@ -494,13 +506,13 @@
 impl Copies {
     fn new(members: u16, seed: u64) -> Copies {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |of| (Common::new(of, Birth(1), SPAN), Said::default());
+        let copy = |of| (ReplicatedSet::new(of, Birth(1), SPAN), Said::default());
         let copies = group.members().map(copy).collect();
         let (late, chance) = (vec![], Pcg64Mcg::seed_from_u64(seed));
         Copies { copies, now: NOW, late, chance, sent: [0; 2], turns: 0, passes_on: false }
     }
 
-    fn of(&mut self, at: usize, act: impl FnOnce(&mut Common<u32>, &mut Said, Duration)) {
+    fn of(&mut self, at: usize, act: impl FnOnce(&mut ReplicatedSet<u32>, &mut Said, Duration)) {
         let (copy, said) = &mut self.copies[at];
         act(copy, said, self.now);
     }
@@ -518,7 +530,7 @@
 
     /// Forgets all, and starts anew.
     fn restart(&mut self, at: usize, birth: u64) {
-        let fresh = Common::new(Member(at as u16), Birth(birth), SPAN);
+        let fresh = ReplicatedSet::new(Member(at as u16), Birth(birth), SPAN);
         self.copies[at] = (fresh, Said::default());
         let mut asked = self.others(at);
         asked.truncate(3);
@@ -539,7 +551,8 @@
             assert!(wire.len() < 1_000_000, "what is said grows without end");
             for (from, to, told) in wire {
                 self.sent[0] += 1;
-                self.sent[1] += if let Told::Records(_, _, records) = &told { records.len() } else { 0 };
+                self.sent[1] +=
+                    if let ReplicationMessage::Records(_, _, records) = &told { records.len() } else { 0 };
                 if cut(from.0.into(), to.0.into()) || self.chance.random_ratio(lost, 100) {
                     continue;
                 }
@@ -551,14 +564,14 @@
         }
     }
 
-    fn comes(&mut self, from: Member, to: Member, told: Told) {
+    fn comes(&mut self, from: Member, to: Member, told: ReplicationMessage) {
         let others = if self.passes_on { self.others(to.0.into()) } else { vec![] };
         self.of(to.0.into(), |copy, said, now| match told {
-            Told::Digest(digest) => copy.compared(said, now, from, digest),
-            Told::Same => {}
-            Told::Heads(heads, back) => copy.accounted(said, now, from, &heads, back),
-            Told::Records(log, between, records) => {
-                copy.told(said, now, from, log, between, records, &others)
+            ReplicationMessage::Digest(digest) => copy.on_digest(said, now, from, digest),
+            ReplicationMessage::Same => {}
+            ReplicationMessage::Heads(heads, is_reply) => copy.on_heads(said, now, from, &heads, is_reply),
+            ReplicationMessage::Records(log, between, records) => {
+                copy.on_records(said, now, from, log, between, records, &others)
             }
         });
     }
@@ -568,7 +581,7 @@
         for at in 0..self.copies.len() {
             let others = self.others(at);
             let to = others[self.turns % others.len()];
-            self.of(at, |copy, said, now| copy.turn(said, now, to));
+            self.of(at, |copy, said, now| copy.tick(said, now, to));
         }
         self.turns += 1;
         self.carry(lost, cut);
@@ -672,7 +685,7 @@
 fn what_is_over_is_not_passed_on_round_and_round() {
     // What comes once all is over of a start before the last: nothing but a number, a record that is over, and one that was
     // long on the way; and where it is learned.
-    let record = |left| vec![Record { no: 0, left, what: 7 }];
+    let record = |remaining| vec![Record { no: 0, remaining, value: 7 }];
     let cases = [
         ("a number", vec![], [0, 0]),
         ("over", record(Duration::ZERO), [0, 0]),
@@ -693,7 +706,7 @@
             all.turn(0, |_, to| to == 4 && !heard);
             assert!(all.copies.iter().all(|(copy, _)| copy.is_empty()), "{what}");
             all.sent = [0; 2];
-            all.comes(Member(1), Member(4), Told::Records(log, 0..1, records.clone()));
+            all.comes(Member(1), Member(4), ReplicationMessage::Records(log, 0..1, records.clone()));
             all.carry(0, |_, _| false);
             let knows = all.copies.iter().filter(|(_, said)| said.known.contains_key(&7)).count();
             assert_eq!(knows, learned[usize::from(!heard)], "{what}, heard {heard}");
