--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -2,7 +2,7 @@
 //! its own.
 
 use crate::setup;
-use ivyward_dash::token::Pass;
+use ivyward_dash::token::TokenClaims;
 use ivyward_settings::Part;
 use ivyward_standin::Standins;
 use std::net::SocketAddr;
@@ -81,6 +81,6 @@
     // A session of its own each time: the date in nanoseconds over the process.
     let session = now.as_nanos() << 32 | u128::from(std::process::id());
     let (title, package) = (title.to_string(), package.to_string());
-    let pass = Pass { session, title, package, top, tenant: String::new(), given: None };
-    keys.mint(&pass, now, life)
+    let token_claims = TokenClaims { session, title, package, top, tenant: String::new(), granted: None };
+    keys.mint(&token_claims, now, life)
 }
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -2,8 +2,8 @@
 
 use crate::shell::Shell;
 use ivyward::front::ServerId;
-use ivyward_dash::token::Pass;
-use ivyward_hints::{Said, Skipped};
+use ivyward_dash::token::TokenClaims;
+use ivyward_hints::{ReportItem, SkippedKey};
 use ivyward_quality::{Blame, ClientId, Factor, Figures, Intake, Level, SessionId, Taken, Window, blame};
 use ivyward_settings::Part;
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
 struct Inner {
     intake: RefCell<Intake>,
     names: RefCell<[Names; 5]>,
-    skipped: RefCell<BTreeMap<Skipped, u64>>,
+    skipped: RefCell<BTreeMap<SkippedKey, u64>>,
     windows: RefCell<VecDeque<Value>>,
     racks: u32,
     /// A name that was not used for so long stands in no window that is still open.
@@ -116,11 +116,12 @@
     /// Reports of a session: lines of keys, or one JSON object. `server`: where it plays, and its cell. What became of the
     /// worst of them.
     pub fn hear(
-        &self, now: Duration, pass: &Pass, server: Option<(ServerId, u32)>, from: IpAddr, text: &str,
+        &self, now: Duration, token_claims: &TokenClaims, server: Option<(ServerId, u32)>, from: IpAddr,
+        text: &str,
     ) -> Taken {
-        let session = SessionId(pass.session);
+        let session = SessionId(token_claims.session);
         // A session's reports come from its player: who floods by one session is its client.
-        let client = ClientId(pass.session as u64);
+        let client = ClientId(token_claims.session as u64);
         let levels = {
             let names = &mut self.0.names.borrow_mut();
             let (rack, server) = match server {
@@ -129,7 +130,7 @@
                 }
                 None => ("none".into(), "none".into()),
             };
-            let of = [rack, server, pass.title.clone(), pass.tenant.clone(), network(from)];
+            let of = [rack, server, token_claims.title.clone(), token_claims.tenant.clone(), network(from)];
             let mut numbers =
                 of.iter().zip(names.iter_mut()).map(|(name, names)| Level(names.number(now, name)));
             std::array::from_fn(|_| numbers.next().unwrap_or(Level(0)))
@@ -139,13 +140,13 @@
         let mut worst = Taken::Kept;
         for line in lines {
             let mut figures = Figures::default();
-            let mut hear = |said: Said| match said {
-                Said::Sequence(sequence) => figures.sequence = Some(sequence),
-                Said::Sent(sent) => figures.sent = Some(sent),
-                Said::StartUp(span) => figures.start_up = Some(span),
-                Said::Stalled(span) => figures.stalled = Some(span),
-                Said::StalledInAll(span) => figures.stalled_in_all = Some(span),
-                Said::Rate(rate) => figures.rate = Some(rate),
+            let mut hear = |said: ReportItem| match said {
+                ReportItem::Sequence(sequence) => figures.sequence = Some(sequence),
+                ReportItem::Sent(sent) => figures.sent = Some(sent),
+                ReportItem::StartUp(span) => figures.start_up = Some(span),
+                ReportItem::Stalled(span) => figures.stalled = Some(span),
+                ReportItem::StalledInAll(span) => figures.stalled_in_all = Some(span),
+                ReportItem::Rate(rate) => figures.rate = Some(rate),
                 _ => {}
             };
             let mut skip = |why| *self.0.skipped.borrow_mut().entry(why).or_default() += 1;
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use ivyward::front::PackageId;
 use ivyward_dash::manifest::manifest;
-use ivyward_dash::token::{Given, Keys, Pass, Refusal};
+use ivyward_dash::token::{GrantedTuneIn, Keys, Refusal, TokenClaims};
 use ivyward_edge::{Refresh, Shown};
 use ivyward_hints::{HEADERS, in_query};
 use ivyward_peers::Peers;
@@ -309,8 +309,8 @@
         }
         let token = given(&request).map(String::from).unwrap_or_default();
         let checked = self.keys.borrow().check(&token, self.shell.date(), self.skew);
-        let pass = match checked {
-            Ok((pass, _)) => pass,
+        let token_claims = match checked {
+            Ok((token_claims, _)) => token_claims,
             Err(refusal) => return refused(refusal),
         };
         let body = Limited::new(request.into_body(), LONGEST_REPORTS).collect();
@@ -319,7 +319,7 @@
             return with(page, "connection", "close");
         };
         let body = body.to_bytes();
-        match self.hears(&pass, from, &String::from_utf8_lossy(&body)) {
+        match self.hears(&token_claims, from, &String::from_utf8_lossy(&body)) {
             Taken::Flood | Taken::Full => {
                 told(page(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"), "reports", "too many")
             }
@@ -327,10 +327,11 @@
         }
     }
 
-    fn hears(&self, pass: &Pass, from: IpAddr, text: &str) -> Taken {
-        let server = pass.given.as_ref().and_then(|given| setup::server_id(&given.server.to_string()));
+    fn hears(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> Taken {
+        let server =
+            token_claims.granted.as_ref().and_then(|given| setup::server_id(&given.server.to_string()));
         let server = server.and_then(|server| Some((server, self.shell.cell(server)?)));
-        self.quality.hear(self.shell.now(), pass, server, from, text)
+        self.quality.hear(self.shell.now(), token_claims, server, from, text)
     }
 
     async fn answer(&self, request: Request<Incoming>, from: IpAddr) -> Page {
@@ -350,47 +351,47 @@
         let Some(token) = given(&request) else { return refused(Refusal::Malformed) };
         let now = self.shell.date();
         let checked = self.keys.borrow().check(token, now, self.skew);
-        let (pass, (issued, until)) = match checked {
+        let (token_claims, (issued, until)) = match checked {
             Ok(taken) => taken,
             Err(refusal) => return refused(refusal),
         };
-        if self.is_revoked(pass.session) {
+        if self.is_revoked(token_claims.session) {
             return refused(Refusal::Revoked);
         }
         let Some(title) = self.titles.get(name) else {
             return page(StatusCode::NOT_FOUND, "no such title\n");
         };
-        if pass.title != name {
+        if token_claims.title != name {
             return refused(Refusal::ForeignTitle);
         }
-        let Some((package, patience, rates)) = self.packages.get(&pass.package) else {
+        let Some((package, patience, rates)) = self.packages.get(&token_claims.package) else {
             return page(StatusCode::FORBIDDEN, "no such package\n");
         };
         // What a player says of itself with a request (CMCD's request mode) is heard as a report.
-        if pass.given.is_some() {
+        if token_claims.granted.is_some() {
             let headers = HEADERS.iter().filter_map(|name| request.headers().get(*name)?.to_str().ok());
             let mut said: Vec<_> = headers.map(String::from).collect();
             let query = request.uri().query().unwrap_or_default();
             said.extend(in_query(query));
             if !said.is_empty() {
-                self.hears(&pass, from, &said.join(","));
+                self.hears(&token_claims, from, &said.join(","));
             }
         }
-        let (request, session) = (self.shell.request(), SessionId(pass.session));
+        let (request, session) = (self.shell.request(), SessionId(token_claims.session));
         let (tell, given_back) = oneshot::channel();
         // A token of another manager is no step of a viewing here: it is as if the app had given it.
-        let given = pass.given.as_ref().filter(|given| given.manager == self.shell.0.name);
+        let given = token_claims.granted.as_ref().filter(|given| given.manager == self.shell.0.name);
         let shown = given.and_then(|given| {
             let server = setup::server_id(&given.server.to_string())?;
             Some(Shown::Manager { birth: given.birth, server, turn: given.turn })
         });
         let begun_at = self.shell.now();
-        if pass.given.is_none()
+        if token_claims.granted.is_none()
             && let Err(wait) = self.shell.0.gate.borrow().takes(begun_at, *patience)
         {
             return blocked(wait, "gate");
         }
-        let about = (*package, title.id, title.cells, pass.top);
+        let about = (*package, title.id, title.cells, token_claims.top);
         let left = until.saturating_sub(now);
         self.shell.tell(move |front, hands, now| {
             hands.expect(request, tell);
@@ -403,7 +404,7 @@
             return told(page, "aborted", "the manager ends");
         };
         waiting.answered.set(true);
-        tracing::debug!(session = %format_args!("{:032x}", pass.session), title = name, ?answer, "answered");
+        tracing::debug!(session = %format_args!("{:032x}", token_claims.session), title = name, ?answer, "answered");
         if shown.is_none() {
             let after = self.shell.now().saturating_sub(begun_at);
             self.shell.0.gate.borrow_mut().answered(after);
@@ -413,13 +414,13 @@
                 let server = setup::server_address(server);
                 // The answer may have taken a while: what is said now is dated now.
                 let now = self.shell.date();
-                let said = pass.given.as_ref().map(|given| given.began);
+                let said = token_claims.granted.as_ref().map(|given| given.began);
                 let began = self.shell.began(session, said);
                 let (manager, birth, vw, n) = (self.shell.0.name.clone(), birth.0, vw.0, tune_in.0);
-                let given = Given { manager, birth, vw, n, server, turn, began };
-                let pass = Pass { given: Some(given), ..pass };
+                let given = GrantedTuneIn { manager, birth, vw, n, server, turn, began };
+                let token_claims = TokenClaims { granted: Some(given), ..token_claims };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
-                let page = self.manifest(title, server, rates, &pass, (began, now));
+                let page = self.manifest(title, server, rates, &token_claims, (began, now));
                 told(page, "plays", if shown.is_none() { "asked" } else { "asked again" })
             }
             Answer::Replayed => refused(Refusal::Replayed),
@@ -440,10 +441,10 @@
     }
 
     fn manifest(
-        &self, title: &setup::Title, server: SocketAddr, rates: &[f64], pass: &Pass,
+        &self, title: &setup::Title, server: SocketAddr, rates: &[f64], token_claims: &TokenClaims,
         (began, now): (Duration, Duration),
     ) -> Page {
-        let token = match self.keys.borrow().mint(pass, now, self.life) {
+        let token = match self.keys.borrow().mint(token_claims, now, self.life) {
             Ok(token) => token,
             Err(error) => return page(StatusCode::INTERNAL_SERVER_ERROR, format!("no token: {error}\n")),
         };
--- a/crates/daemon/tests/flood.rs
+++ b/crates/daemon/tests/flood.rs
@@ -1,7 +1,8 @@
 //! A manager on sockets under floods, and while the list changes under it.
 
-mod world;
+mod harness;
 
+use harness::{Harness, Listing, counts, free, get, ms, row, set_ups, with};
 use ivyward_fleet::ServerNo;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -11,34 +12,36 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use world::{Listing, World, counts, free, get, ms, row, set_ups, with};
 
 /// The settings of the world with a console, and its list at another address.
-fn text_with(world: &World, list: SocketAddr, console: SocketAddr) -> String {
-    let text = world.text.replace(&world.standins.list_address().to_string(), &list.to_string());
+fn text_with(harness: &Harness, list: SocketAddr, console: SocketAddr) -> String {
+    let text = harness.text.replace(&harness.standins.list_address().to_string(), &list.to_string());
     text.replacen("manager {", &format!("manager {{ console: \"{console}\""), 1)
 }
 
 /// Where a token's manifest is asked for at another manager.
-fn url(world: &World, at: SocketAddr, session: u128) -> String {
-    world.url(&world.token(session, "clip")).replace(&world.address.to_string(), &at.to_string())
+fn url(harness: &Harness, at: SocketAddr, session: u128) -> String {
+    harness.url(&harness.token(session, "clip")).replace(&harness.address.to_string(), &at.to_string())
 }
 
 #[test]
 fn what_a_whole_list_leaves_out_stays_gone_whatever_its_clock_does() {
     with(
         |text| text,
-        |world| async move {
-            let all: Vec<_> =
-                world.all().into_iter().map(|at| row(world.standins.address(at), "ready", 1, None)).collect();
+        |harness| async move {
+            let all: Vec<_> = harness
+                .all()
+                .into_iter()
+                .map(|at| row(harness.standins.address(at), "ready", 1, None))
+                .collect();
             let listing = Listing::open(json!({"whole": all}).to_string()).await;
-            let (at, end, _) = world.start_with(text_with(&world, listing.address, free())).await;
+            let (at, end, _) = harness.start_with(text_with(&harness, listing.address, free())).await;
             // Past the time in which all is cold to a manager that has just started.
             sleep(ms(800)).await;
-            world.standins.clock(ServerNo(0), 7200);
+            harness.standins.clock(ServerNo(0), 7200);
             let mut session = 0;
-            let there = |session: u128| get_at(&world, at, session);
-            while session < 60 && world.standins.records().count(|what| is_at(what, 0)) == 0 {
+            let there = |session: u128| get_at(&harness, at, session);
+            while session < 60 && harness.standins.records().count(|what| is_at(what, 0)) == 0 {
                 there(session).await;
                 session += 1;
             }
@@ -47,14 +50,14 @@
             *listing.first.borrow_mut() = json!({"whole": all[1..]}).to_string();
             listing.cut();
             sleep(ms(1500)).await;
-            world.records();
-            world.standins.clock(ServerNo(0), 0);
+            harness.records();
+            harness.standins.clock(ServerNo(0), 0);
             // Long enough for its clock to be asked for, were it still of use.
             sleep(ms(17_000)).await;
             for session in 100..130 {
                 there(session).await;
             }
-            let to = set_ups(&world.records());
+            let to = set_ups(&harness.records());
             assert!(to.len() >= 25, "{} set-ups", to.len());
             let to_first = to.iter().filter(|(at, ..)| *at == ServerNo(0)).count();
             assert_eq!(to_first, 0, "of {} set-ups, long after a list without it", to.len());
@@ -67,20 +70,23 @@
     matches!(what, ivyward_standin::What::SetUp { server: at, .. } if at.0 == server)
 }
 
-async fn get_at(world: &World, at: SocketAddr, session: u128) -> u16 {
-    timeout(ms(9000), get(&url(world, at, session))).await.expect("an answer in time").status.as_u16()
+async fn get_at(harness: &Harness, at: SocketAddr, session: u128) -> u16 {
+    timeout(ms(9000), get(&url(harness, at, session))).await.expect("an answer in time").status.as_u16()
 }
 
 #[test]
 fn servers_replaced_under_new_addresses_leave_nothing_behind() {
     with(
         |text| text,
-        |world| async move {
-            let living: Vec<_> =
-                world.all().into_iter().map(|at| row(world.standins.address(at), "ready", 1, None)).collect();
+        |harness| async move {
+            let living: Vec<_> = harness
+                .all()
+                .into_iter()
+                .map(|at| row(harness.standins.address(at), "ready", 1, None))
+                .collect();
             let listing = Listing::open(json!({"whole": living}).to_string()).await;
             let console = free();
-            let (at, end, _) = world.start_with(text_with(&world, listing.address, console)).await;
+            let (at, end, _) = harness.start_with(text_with(&harness, listing.address, console)).await;
             let old = |turn: u8, i: u8| SocketAddr::from(([127, 3, turn, i], 9));
             for turn in 0..20 {
                 let ready = (1..6).map(|i| row(old(turn, i), "ready", 1, Some(0)));
@@ -97,7 +103,7 @@
                 assert!(begun.elapsed() < Duration::from_secs(20), "{}", counts(console).await);
                 sleep(ms(200)).await;
             }
-            assert_eq!(get_at(&world, at, 1).await, 200);
+            assert_eq!(get_at(&harness, at, 1).await, 200);
             end.send(()).ok();
         },
     );
@@ -106,20 +112,20 @@
 #[test]
 fn after_a_flood_the_counts_are_what_viewers_saw() {
     let tight = |text: String| text.replace("limits {", "limits { connections: 4");
-    with(tight, |world| async move {
+    with(tight, |harness| async move {
         let all: Vec<_> =
-            world.all().into_iter().map(|at| row(world.standins.address(at), "ready", 1, None)).collect();
+            harness.all().into_iter().map(|at| row(harness.standins.address(at), "ready", 1, None)).collect();
         let listing = Listing::open(json!({"whole": all}).to_string()).await;
         let console = free();
-        let (at, end, _) = world.start_with(text_with(&world, listing.address, console)).await;
+        let (at, end, _) = harness.start_with(text_with(&harness, listing.address, console)).await;
         sleep(ms(800)).await;
         // Some servers stand still; lines that can't be read come by the thousand.
-        [0, 1].into_iter().for_each(|i| world.standins.freeze(ServerNo(i)));
+        [0, 1].into_iter().for_each(|i| harness.standins.freeze(ServerNo(i)));
         (0..3000).for_each(|i| listing.tell(format!("{{\"changes\": [{i}, \"{}\"]}}", "x".repeat(300))));
         let asked: Vec<_> = (0..600_u128)
             .map(|session| {
                 // Some come with a token that is none, some ask for what there is not.
-                let good = url(&world, at, session);
+                let good = url(&harness, at, session);
                 let url = match session % 8 {
                     6 => good.replace("token=", "token=x"),
                     7 => good.replace("/mpd/how", "/mpd/now"),
@@ -167,9 +173,9 @@
 fn a_log_that_nobody_reads_holds_no_viewing_up() {
     with(
         |text| text,
-        |world| async move {
+        |harness| async move {
             let console = free();
-            let text = text_with(&world, world.standins.list_address(), console);
+            let text = text_with(&harness, harness.standins.list_address(), console);
             let file = std::env::temp_dir().join(format!("ivyward-unread-{}.txtpb", std::process::id()));
             std::fs::write(&file, text.replace("manager-1", "manager-2")).expect("written");
             let mut program = Command::new(env!("CARGO_BIN_EXE_ivyward"));
@@ -184,7 +190,7 @@
             };
             timeout(ms(9000), up).await.expect("it listens");
             sleep(ms(800)).await;
-            let good = url(&world, listen, 1);
+            let good = url(&harness, listen, 1);
             for i in 0..6000 {
                 let page = timeout(ms(3000), get(&good)).await;
                 assert!(page.is_ok(), "request {i} waits for a log that nobody reads");
@@ -214,22 +220,26 @@
 fn while_the_list_changes_under_a_crowd_each_viewer_has_one_answer_and_ends_are_kept() {
     with(
         |text| text,
-        |world| async move {
-            let addresses: Vec<_> = world.all().into_iter().map(|at| world.standins.address(at)).collect();
+        |harness| async move {
+            let addresses: Vec<_> =
+                harness.all().into_iter().map(|at| harness.standins.address(at)).collect();
             let ready: Vec<_> = addresses.iter().map(|at| row(*at, "ready", 1, None)).collect();
             let listing = Listing::open(json!({"whole": ready}).to_string()).await;
             let console = free();
-            let (at, end, ended) = world.start_with(text_with(&world, listing.address, console)).await;
+            let (at, end, ended) = harness.start_with(text_with(&harness, listing.address, console)).await;
             sleep(ms(800)).await;
-            world.records();
+            harness.records();
             // Set-ups take a while, so that many are out whenever the list changes.
-            world.all().into_iter().for_each(|at| world.standins.fault(at, "slow", true, |f| f.slow = 10.0));
+            harness
+                .all()
+                .into_iter()
+                .for_each(|at| harness.standins.fault(at, "slow", true, |f| f.slow = 10.0));
             let asked: Vec<_> = (0..240_u128)
                 .map(|session| {
                     let package = if session % 3 == 0 { "ticket" } else { "clip" };
-                    let url = world
-                        .url(&world.token(session, package))
-                        .replace(&world.address.to_string(), &at.to_string());
+                    let url = harness
+                        .url(&harness.token(session, package))
+                        .replace(&harness.address.to_string(), &at.to_string());
                     spawn_local(async move {
                         sleep(ms(session as u64 * 12)).await;
                         timeout(ms(9000), get(&url)).await.expect("an answer in time").status.as_u16()
@@ -239,7 +249,7 @@
             // Each server in turn drains, is gone, is back from another start, is left out by a whole list, and so on.
             let (mut births, mut news) = ([1_u64; 4], vec![]);
             for step in 0..24_usize {
-                let (i, now) = (step % 4, world.standins.now());
+                let (i, now) = (step % 4, harness.standins.now());
                 let line =
                     |j: usize, standing, births: &[u64; 4], age| row(addresses[j], standing, births[j], age);
                 let told = match (step / 4 % 3, step % 2) {
@@ -264,7 +274,7 @@
                 assert!([200, 502, 503].contains(&status), "{status}");
             }
             // Nothing new later than the grace of 250 ms after news of an end that still stood.
-            let records = world.records();
+            let records = harness.records();
             let late = records.iter().filter(|record| {
                 let ivyward_standin::What::SetUp { server, .. } = record.what else { return false };
                 let last = news.iter().rfind(|(at, told, _)| *at == server && *told <= record.at);
--- a/crates/daemon/tests/fuzz.rs
+++ b/crates/daemon/tests/fuzz.rs
@@ -1,8 +1,9 @@
 //! Bytes that make no sense, from viewers and from servers: no panic, and no viewing unanswered. How many are tried can be
 //! set by `IVYWARD_FUZZ`; the same number tries the same ones.
 
-mod world;
+mod harness;
 
+use harness::{get, ms, with};
 use hyper::StatusCode;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -12,7 +13,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use world::{get, ms, with};
 
 /// Tried at a time.
 const TOGETHER: usize = 20;
@@ -48,7 +48,7 @@
 fn requests_of_any_bytes_leave_the_manager_answering() {
     with(
         |text| text,
-        |mut world| async move {
+        |mut harness| async move {
             let mut chance = Pcg64Mcg::seed_from_u64(7);
             let request = |token: &str| {
                 format!(
@@ -61,8 +61,8 @@
                 let tasks: Vec<_> = (0..TOGETHER)
                     .map(|i| {
                         let session = 1000 + (round * TOGETHER + i) as u128;
-                        let bytes = spoilt(request(&world.token(session, "clip")).as_bytes(), &mut chance);
-                        let address = world.address;
+                        let bytes = spoilt(request(&harness.token(session, "clip")).as_bytes(), &mut chance);
+                        let address = harness.address;
                         spawn_local(async move {
                             let mut stream = TcpStream::connect(address).await.expect("a connection");
                             stream.write_all(&bytes).await.ok();
@@ -79,14 +79,14 @@
                     let answer = came.is_empty() || came.starts_with(b"HTTP/1.1 ");
                     assert!(answer, "{}: {}", bytes.escape_ascii(), came.escape_ascii());
                 }
-                let page = world.ask(round as u128, "clip").await;
+                let page = harness.ask(round as u128, "clip").await;
                 assert!(
                     [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE].contains(&page.status),
                     "{}",
                     page.status
                 );
             }
-            assert_eq!(world.end().await.0.map(|ended| ended.breaches), Ok(0));
+            assert_eq!(harness.end().await.0.map(|ended| ended.breaches), Ok(0));
         },
     );
 }
@@ -103,7 +103,7 @@
     ];
     with(
         |text| text,
-        |world| async move {
+        |harness| async move {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
             let address = listener.local_addr().expect("an address");
             let serving = spawn_local(async move {
@@ -119,17 +119,18 @@
                     });
                 }
             });
-            let lines = world.text.lines().filter(|line| !line.starts_with("list_address"));
+            let lines = harness.text.lines().filter(|line| !line.starts_with("list_address"));
             let text = lines.collect::<Vec<_>>().join("\n");
             let text = format!("{text}\nserver {{ address: \"{address}\" cell: 3 }}\n");
             let text = text.replace("ration { span_s: 5 free: 5 share: 0.2 }", "");
-            let (rogue, end, ended) = world.start_with(text).await;
+            let (rogue, end, ended) = harness.start_with(text).await;
             for round in 0..tries(120).div_ceil(TOGETHER) {
                 let tasks: Vec<_> = (0..TOGETHER)
                     .map(|i| {
                         let session = (round * TOGETHER + i) as u128;
-                        let token = world.token(session, ["clip", "ticket", "replay"][i % 3]);
-                        let url = world.url(&token).replace(&world.address.to_string(), &rogue.to_string());
+                        let token = harness.token(session, ["clip", "ticket", "replay"][i % 3]);
+                        let url =
+                            harness.url(&token).replace(&harness.address.to_string(), &rogue.to_string());
                         spawn_local(async move { timeout(ms(9000), get(&url)).await })
                     })
                     .collect();
--- a/crates/daemon/tests/world/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode};
 use ivyward_daemon::pool::Connection;
 use ivyward_daemon::{Ended, Outside, date, setup};
-use ivyward_dash::token::{Keys, Pass};
+use ivyward_dash::token::{Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_fleet::ServerNo;
 use ivyward_settings::Part;
@@ -36,7 +36,7 @@
     Duration::from_millis(ms)
 }
 
-pub struct World {
+pub struct Harness {
     pub standins: Standins,
     pub address: SocketAddr,
     pub settings: Part,
@@ -57,9 +57,9 @@
 }
 
 /// Runs a test against a manager whose settings text `tweak` may change.
-pub fn with<F: Future<Output = ()>>(tweak: impl Fn(String) -> String, test: impl FnOnce(World) -> F) {
+pub fn with<F: Future<Output = ()>>(tweak: impl Fn(String) -> String, test: impl FnOnce(Harness) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { test(World::start(tweak).await).await });
+    LocalSet::new().block_on(&runtime, async { test(Harness::start(tweak).await).await });
 }
 
 /// A manager in a thread of its own.
@@ -109,23 +109,24 @@
 
 pub fn token(keys: &Keys, session: u128, package: &str, title: &str, life: Duration) -> String {
     let (title, package) = (title.to_string(), package.to_string());
-    let pass = Pass { session, title, package, top: 3, tenant: String::new(), given: None };
-    keys.mint(&pass, date(), life).expect("a token")
+    let token_claims = TokenClaims { session, title, package, top: 3, tenant: String::new(), granted: None };
+    keys.mint(&token_claims, date(), life).expect("a token")
 }
 
-impl World {
-    async fn start(tweak: impl Fn(String) -> String) -> World {
+impl Harness {
+    async fn start(tweak: impl Fn(String) -> String) -> Harness {
         let (standins, text) = standins(tweak);
         let settings = ivyward_daemon::read(&text).expect("settings that fit");
         let (ahead, (texts, given)) = (Arc::new(AtomicI64::new(0)), unbounded_channel());
         let (end, ended, address) = start(text.clone(), ahead.clone(), given).await;
-        let world = World { standins, address, settings, ahead, texts, text, end: Some(end), ended };
+        let harness = Harness { standins, address, settings, ahead, texts, text, end: Some(end), ended };
         // The list has come, and what started with the manager is warm.
-        let told =
-            |w: &World| w.standins.records().count(|what| matches!(what, What::Told { .. })) >= w.all().len();
-        world.until("the list", told).await;
+        let told = |w: &Harness| {
+            w.standins.records().count(|what| matches!(what, What::Told { .. })) >= w.all().len()
+        };
+        harness.until("the list", told).await;
         sleep(ms(400)).await;
-        world
+        harness
     }
 
     pub fn keys(&self) -> Keys {
@@ -181,7 +182,7 @@
     }
 
     /// Waits until `fits`, for twenty seconds at most.
-    pub async fn until(&self, what: &str, fits: impl Fn(&World) -> bool) {
+    pub async fn until(&self, what: &str, fits: impl Fn(&Harness) -> bool) {
         for _ in 0..2000 {
             if fits(self) {
                 return;
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,9 +1,9 @@
 //! The program as a viewing manager, on loopback, over stand-ins that speak the platform's protocol.
 
-use ivyward_fleet::{Cold, Key, ManagerNo, ServerNo};
+use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
 use ivyward_rules::{Asked, Came, History, Life, Package, Record, Terms, What, gone, judge, table};
 use ivyward_signal::{Field, Kind, Ref, line};
-use ivyward_standin::platform::{Bus, Does, Server, Viewer, answer, own_address};
+use ivyward_standin::platform::{Behavior, Bus, Server, Viewer, answer, own_address};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -67,7 +67,7 @@
 }
 
 /// A manager in a process of its own, and the platform round it.
-struct World {
+struct Harness {
     servers: Vec<Rc<Server>>,
     bus: Rc<Bus>,
     config: Value,
@@ -76,9 +76,9 @@
     program: Child,
 }
 
-impl World {
+impl Harness {
     /// `count`: servers; `tweak`: what is changed in the configuration. The program really has no more descriptors than that allows.
-    async fn new(does: Does, count: usize, tweak: impl FnOnce(&mut Value)) -> World {
+    async fn new(does: Behavior, count: usize, tweak: impl FnOnce(&mut Value)) -> Harness {
         let mut servers = vec![];
         for i in 0..count {
             servers.push(Server::start(&format!("s-{i:08x}"), does).await.expect("a server"));
@@ -99,14 +99,14 @@
         let file = env::temp_dir().join(format!("ivyward-node-{}-{number}.json", process::id()));
         fs::write(&file, config.to_string()).expect("written");
         let program = starts(&file, &config);
-        let world = World { servers, bus, config, file, address, program };
+        let harness = Harness { servers, bus, config, file, address, program };
         // Ready, and its servers warm.
-        let mut test = world.viewer().await;
-        assert!(test.says(Kind::Test, Ref(1), Some(0)).await);
-        let tested = test.hears(ms(2000)).await.expect("an answer to the test");
+        let mut test = harness.viewer().await;
+        assert!(test.send_signal(Kind::Test, Ref(1), Some(0)).await);
+        let tested = test.receive(ms(2000)).await.expect("an answer to the test");
         assert_eq!((tested.kind, tested.of, tested.cause), (Kind::Tested, Ref(1), Some(1)));
         sleep(ms(200)).await;
-        world
+        harness
     }
 
     async fn viewer(&self) -> Viewer {
@@ -121,12 +121,12 @@
     }
 
     fn of(&self, kind: Kind) -> usize {
-        self.servers.iter().map(|server| server.of(kind).len()).sum()
+        self.servers.iter().map(|server| server.received(kind).len()).sum()
     }
 
     /// The server that something stands at or is out to, as the only one that got a set-up.
     fn holder(&self) -> Rc<Server> {
-        let holder = self.servers.iter().find(|server| !server.of(Kind::SetUp).is_empty());
+        let holder = self.servers.iter().find(|server| !server.received(Kind::SetUp).is_empty());
         holder.expect("a set-up somewhere").clone()
     }
 
@@ -154,27 +154,27 @@
         .expect("the program runs")
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
         fs::remove_file(&self.file).ok();
     }
 }
 
-fn with<F: Future<Output = ()>>(does: Does, test: impl FnOnce(World) -> F) {
+fn with<F: Future<Output = ()>>(does: Behavior, test: impl FnOnce(Harness) -> F) {
     with_connect(does, ms(250), test);
 }
 
 /// `connect`: how long a connection to a server may take to stand.
-fn with_connect<F: Future<Output = ()>>(does: Does, connect: Duration, test: impl FnOnce(World) -> F) {
+fn with_connect<F: Future<Output = ()>>(does: Behavior, connect: Duration, test: impl FnOnce(Harness) -> F) {
     let micros = connect.as_micros() as u64;
     with_config(does, |config| config["settings"]["limits"]["connect-timeout-us"] = micros.into(), test);
 }
 
 fn with_config<F: Future<Output = ()>>(
-    does: Does, tweak: impl FnOnce(&mut Value), test: impl FnOnce(World) -> F,
+    does: Behavior, tweak: impl FnOnce(&mut Value), test: impl FnOnce(Harness) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { test(World::new(does, SERVERS, tweak).await).await });
+    LocalSet::new().block_on(&runtime, async { test(Harness::new(does, SERVERS, tweak).await).await });
 }
 
 /// A set-up as a viewer sends it; `tweak` may spoil the text.
@@ -204,26 +204,26 @@
     // ticket there may be.
     let (up, refused, failed) = ((Kind::Answer, None), (Kind::Release, Some(34)), (Kind::Release, Some(41)));
     let cases = [
-        (Does::Plays, up, up, 1),
-        (Does::PlaysTwice, up, up, 1),
-        (Does::Ahead, up, up, 1),
-        (Does::Releases(34), refused, refused, 3),
-        (Does::Releases(102), refused, refused, 3),
-        (Does::Releases(47), refused, failed, 1),
-        (Does::Releases(41), refused, failed, 1),
-        (Does::Resets, refused, failed, 1),
-        (Does::Nothing, refused, failed, 1),
-        (Does::Noise, refused, failed, 1),
-        (Does::StopsShort, refused, failed, 1),
-        (Does::Huge, refused, failed, 1),
-        (Does::Bare, refused, failed, 1),
+        (Behavior::Plays, up, up, 1),
+        (Behavior::PlaysTwice, up, up, 1),
+        (Behavior::AnswersOtherFirst, up, up, 1),
+        (Behavior::Releases(34), refused, refused, 3),
+        (Behavior::Releases(102), refused, refused, 3),
+        (Behavior::Releases(47), refused, failed, 1),
+        (Behavior::Releases(41), refused, failed, 1),
+        (Behavior::Resets, refused, failed, 1),
+        (Behavior::Ignores, refused, failed, 1),
+        (Behavior::SendsGarbage, refused, failed, 1),
+        (Behavior::TruncatesAnswer, refused, failed, 1),
+        (Behavior::SendsOversizedLength, refused, failed, 1),
+        (Behavior::OmitsDescription, refused, failed, 1),
     ];
     for (does, clip, ticket, most) in cases {
-        with(does, |world| async move {
+        with(does, |harness| async move {
             for (of, package, wanted) in [(Ref(0xa1), "clip", clip), (Ref(0xa2), "ticket", ticket)] {
-                let mut viewer = world.viewer().await;
+                let mut viewer = harness.viewer().await;
                 assert!(viewer.write(&asks(of, package, 1500, "")).await);
-                let came = viewer.hears(ms(2500)).await.expect("an answer");
+                let came = viewer.receive(ms(2500)).await.expect("an answer");
                 assert_eq!((came.of, (came.kind, came.cause)), (of, wanted), "{does:?} {package}");
                 if came.kind == Kind::Answer {
                     assert_eq!(
@@ -232,9 +232,10 @@
                         "{does:?}"
                     );
                 }
-                assert_eq!(viewer.hears(ms(100)).await, None, "{does:?} {package}: one answer only");
+                assert_eq!(viewer.receive(ms(100)).await, None, "{does:?} {package}: one answer only");
             }
-            let set_ups: Vec<_> = world.servers.iter().flat_map(|server| server.of(Kind::SetUp)).collect();
+            let set_ups: Vec<_> =
+                harness.servers.iter().flat_map(|server| server.received(Kind::SetUp)).collect();
             let paid = set_ups.iter().filter(|seen| seen.of == Ref(0xa2)).count();
             assert!((1..=most).contains(&paid), "{does:?}: {paid} set-ups of a ticket");
             let same = |description: &Option<Vec<u8>>| description.as_deref() == Some(DESCRIPTION.as_bytes());
@@ -245,21 +246,21 @@
 
 #[test]
 fn a_give_up_that_crosses_an_answer_is_released() {
-    with(Does::Nothing, |world| async move {
-        let (mut viewer, of) = (world.viewer().await, Ref(0xb1));
+    with(Behavior::Ignores, |harness| async move {
+        let (mut viewer, of) = (harness.viewer().await, Ref(0xb1));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-        let server = world.holder();
-        let seen = server.of(Kind::SetUp)[0].clone();
-        assert!(viewer.says(Kind::Release, of, Some(16)).await);
+        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+        let server = harness.holder();
+        let seen = server.received(Kind::SetUp)[0].clone();
+        assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
         let up = ivyward_signal::binary::write(Kind::Answer, of, &[], None, Some(b"late")).expect("short");
-        server.say(seen.connection, up);
-        waits("the give-up", || server.of(Kind::Release).len() == 1).await;
-        assert_eq!(server.of(Kind::Release)[0].cause, Some(16));
-        assert_eq!(viewer.hears(ms(200)).await, None, "nothing is owed any more");
-        world.servers.iter().for_each(|server| server.does.set(Does::Plays));
+        server.send_bytes(seen.connection, up);
+        waits("the give-up", || server.received(Kind::Release).len() == 1).await;
+        assert_eq!(server.received(Kind::Release)[0].cause, Some(16));
+        assert_eq!(viewer.receive(ms(200)).await, None, "nothing is owed any more");
+        harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
         assert!(viewer.write(&asks(Ref(0xb2), "clip", 3000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
 
@@ -268,19 +269,20 @@
     // Who ends it, on which connection: the server on the one of the set-up or a later one; the viewer on its own or
     // another.
     for (by_server, same) in [(true, true), (true, false), (false, true), (false, false)] {
-        with(Does::Plays, |world| async move {
-            let (mut first, mut second, of) = (world.viewer().await, world.viewer().await, Ref(0xc1));
+        with(Behavior::Plays, |harness| async move {
+            let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, Ref(0xc1));
             assert!(first.write(&asks(of, "clip", 3000, "")).await);
-            assert_eq!(first.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            let server = world.holder();
+            assert_eq!(first.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            let server = harness.holder();
             assert!(
                 second.write(&asks(Ref(0xc2), "clip", 3000, "")).await
-                    && second.hears(ms(1000)).await.is_some()
+                    && second.receive(ms(1000)).await.is_some()
             );
             // A stranger, who is told nothing.
-            let mut stranger = world.viewer().await;
+            let mut stranger = harness.viewer().await;
             assert!(
-                stranger.says(Kind::Test, Ref(2), Some(0)).await && stranger.hears(ms(1000)).await.is_some()
+                stranger.send_signal(Kind::Test, Ref(2), Some(0)).await
+                    && stranger.receive(ms(1000)).await.is_some()
             );
             if by_server {
                 if !same {
@@ -289,20 +291,21 @@
                     waits("another connection", || server.connections() == 2).await;
                     sleep(ms(50)).await;
                     server.release(1, of, 16);
-                    let came = second.hears(ms(1000)).await.expect("the release");
+                    let came = second.receive(ms(1000)).await.expect("the release");
                     assert_eq!((came.kind, came.of), (Kind::Release, of));
-                    assert_eq!(stranger.hears(ms(100)).await, None);
+                    assert_eq!(stranger.receive(ms(100)).await, None);
                     return;
                 }
                 server.release(0, of, 16);
-                let came = first.hears(ms(1000)).await.expect("the release");
+                let came = first.receive(ms(1000)).await.expect("the release");
                 assert_eq!((came.kind, came.of), (Kind::Release, of));
-                assert_eq!(second.hears(ms(100)).await, None);
+                assert_eq!(second.receive(ms(100)).await, None);
             } else {
                 let by = if same { &mut first } else { &mut second };
-                assert!(by.says(Kind::Release, of, Some(16)).await);
-                waits("the release", || server.of(Kind::Release).iter().any(|seen| seen.of == of)).await;
-                assert_eq!(first.hears(ms(100)).await.filter(|came| came.kind == Kind::Release), None);
+                assert!(by.send_signal(Kind::Release, of, Some(16)).await);
+                waits("the release", || server.received(Kind::Release).iter().any(|seen| seen.of == of))
+                    .await;
+                assert_eq!(first.receive(ms(100)).await.filter(|came| came.kind == Kind::Release), None);
             }
         });
     }
@@ -313,12 +316,12 @@
     // What the server gives as the cause, together with its answer or later; whether the viewer is told.
     for (cause, told) in [(16, true), (41, true), (31, false)] {
         for together in [true, false] {
-            with(Does::Nothing, |world| async move {
-                let (mut viewer, of) = (world.viewer().await, Ref(0xc8));
+            with(Behavior::Ignores, |harness| async move {
+                let (mut viewer, of) = (harness.viewer().await, Ref(0xc8));
                 assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-                waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-                let server = world.holder();
-                let connection = server.of(Kind::SetUp)[0].connection;
+                waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+                let server = harness.holder();
+                let connection = server.received(Kind::SetUp)[0].connection;
                 let write = |kind, cause, description| {
                     ivyward_signal::binary::write(kind, of, &[], cause, description).expect("short")
                 };
@@ -326,27 +329,27 @@
                 let end = write(Kind::Release, Some(cause), None);
                 let case = format!("cause {cause}, together {together}");
                 if together {
-                    server.say(connection, [up, end].concat());
+                    server.send_bytes(connection, [up, end].concat());
                     assert_eq!(
-                        viewer.hears(ms(1000)).await.map(|came| came.kind),
+                        viewer.receive(ms(1000)).await.map(|came| came.kind),
                         Some(Kind::Answer),
                         "{case}"
                     );
                 } else {
-                    server.say(connection, up);
+                    server.send_bytes(connection, up);
                     assert_eq!(
-                        viewer.hears(ms(1000)).await.map(|came| came.kind),
+                        viewer.receive(ms(1000)).await.map(|came| came.kind),
                         Some(Kind::Answer),
                         "{case}"
                     );
-                    server.say(connection, end);
+                    server.send_bytes(connection, end);
                 }
-                let came = viewer.hears(ms(150)).await.map(|came| (came.kind, came.of));
+                let came = viewer.receive(ms(150)).await.map(|came| (came.kind, came.of));
                 assert_eq!(came, told.then_some((Kind::Release, of)), "{case}");
                 // It stands no more: its number is free.
-                world.servers.iter().for_each(|server| server.does.set(Does::Plays));
+                harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
                 assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-                let came = viewer.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+                let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
                 assert_eq!(came, Some((Kind::Answer, of)), "{case}");
             });
         }
@@ -355,66 +358,67 @@
 
 #[test]
 fn a_spoilt_connection_takes_what_is_open_on_it_and_no_more() {
-    with(Does::Nothing, |world| async move {
-        let mut viewer = world.viewer().await;
+    with(Behavior::Ignores, |harness| async move {
+        let mut viewer = harness.viewer().await;
         let all: Vec<_> = (0..12).map(|i| Ref(0xd0 + i)).collect();
         for of in &all {
             assert!(viewer.write(&asks(*of, "ticket", 3000, "")).await);
         }
-        waits("all set-ups", || world.of(Kind::SetUp) == all.len()).await;
-        let server = world.holder();
-        let lost: Vec<_> = server.of(Kind::SetUp).iter().map(|seen| seen.of).collect();
-        server.say(0, vec![0xff; 64]);
+        waits("all set-ups", || harness.of(Kind::SetUp) == all.len()).await;
+        let server = harness.holder();
+        let lost: Vec<_> = server.received(Kind::SetUp).iter().map(|seen| seen.of).collect();
+        server.send_bytes(0, vec![0xff; 64]);
         for _ in &lost {
-            let came = viewer.hears(ms(1000)).await.expect("an answer");
+            let came = viewer.receive(ms(1000)).await.expect("an answer");
             assert_eq!((came.kind, came.cause), (Kind::Release, Some(41)));
             assert!(lost.contains(&came.of), "{:?} was elsewhere", came.of);
         }
-        assert_eq!(viewer.hears(ms(100)).await, None);
-        let others: Vec<_> = world.servers.iter().filter(|other| !Rc::ptr_eq(other, &server)).collect();
-        for seen in others.iter().flat_map(|other| other.of(Kind::SetUp).into_iter().map(move |s| (other, s)))
+        assert_eq!(viewer.receive(ms(100)).await, None);
+        let others: Vec<_> = harness.servers.iter().filter(|other| !Rc::ptr_eq(other, &server)).collect();
+        for seen in
+            others.iter().flat_map(|other| other.received(Kind::SetUp).into_iter().map(move |s| (other, s)))
         {
             let up = ivyward_signal::binary::write(Kind::Answer, seen.1.of, &[], None, Some(b"late"));
-            seen.0.say(seen.1.connection, up.expect("short"));
-            let came = viewer.hears(ms(1000)).await.expect("an answer");
+            seen.0.send_bytes(seen.1.connection, up.expect("short"));
+            let came = viewer.receive(ms(1000)).await.expect("an answer");
             assert_eq!((came.kind, came.of), (Kind::Answer, seen.1.of));
         }
         // What may have run there is ended on another connection.
-        waits("releases of all", || server.of(Kind::Release).len() == lost.len()).await;
+        waits("releases of all", || server.received(Kind::Release).len() == lost.len()).await;
     });
 }
 
 #[test]
 fn what_plays_before_the_start_is_taken_over() {
-    with(Does::Plays, |world| async move {
-        let (mut viewer, of) = (world.viewer().await, Ref(0xe1));
+    with(Behavior::Plays, |harness| async move {
+        let (mut viewer, of) = (harness.viewer().await, Ref(0xe1));
         for word in ["s-00000001", "s-00000001", "s-none"] {
             assert!(viewer.write(&asks(of, "ticket", 3000, &format!(";at:{word}"))).await);
         }
-        assert_eq!(viewer.hears(ms(200)).await, None, "no answer is wanted");
-        let server = &world.servers[1];
+        assert_eq!(viewer.receive(ms(200)).await, None, "no answer is wanted");
+        let server = &harness.servers[1];
         waits("a connection to what plays", || server.connections() == 1).await;
         sleep(ms(50)).await;
         server.release(0, of, 16);
-        let came = viewer.hears(ms(1000)).await.expect("the release");
+        let came = viewer.receive(ms(1000)).await.expect("the release");
         assert_eq!((came.kind, came.of), (Kind::Release, of));
-        assert_eq!(world.of(Kind::SetUp), 0);
+        assert_eq!(harness.of(Kind::SetUp), 0);
     });
 }
 
 #[test]
 fn sessions_of_a_dead_server_are_told_to_their_viewers() {
-    with(Does::Plays, |world| async move {
-        let (mut viewer, of) = (world.viewer().await, Ref(0xf1));
+    with(Behavior::Plays, |harness| async move {
+        let (mut viewer, of) = (harness.viewer().await, Ref(0xf1));
         // Where nobody listens any more.
         let dead =
             TcpListener::bind("127.0.0.1:0").await.expect("a socket").local_addr().expect("its address");
         let gone = json!({"id": "s-dead", "host_port": dead.to_string(), "locality": "east", "flavor": "std",
             "cell": 0, "phase": "ready", "size": 4, "up_since_ms": 0});
-        world.bus.tell(2, &event(2, false, &[gone]), 1);
+        harness.bus.publish(2, &event(2, false, &[gone]), 1);
         sleep(ms(100)).await;
         assert!(viewer.write(&asks(of, "clip", 3000, ";at:s-dead")).await);
-        let came = viewer.hears(ms(1000)).await.expect("the release");
+        let came = viewer.receive(ms(1000)).await.expect("the release");
         assert_eq!((came.kind, came.of), (Kind::Release, of));
     });
 }
@@ -422,23 +426,23 @@
 #[test]
 fn nothing_new_goes_where_a_drain_was_told() {
     for phase in ["draining", "gone"] {
-        with(Does::Plays, |world| async move {
-            let left: Vec<_> = (0..SERVERS - 1).map(|i| member(&world.servers[i], i, phase)).collect();
-            world.bus.tell(2, &event(2, false, &left), 2);
+        with(Behavior::Plays, |harness| async move {
+            let left: Vec<_> = (0..SERVERS - 1).map(|i| member(&harness.servers[i], i, phase)).collect();
+            harness.bus.publish(2, &event(2, false, &left), 2);
             sleep(ms(100)).await;
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             for i in 0..20 {
                 assert!(viewer.write(&asks(Ref(0x100 + i), "clip", 3000, "")).await);
-                assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+                assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             }
-            assert_eq!(world.servers[SERVERS - 1].of(Kind::SetUp).len(), 20, "{phase}");
+            assert_eq!(harness.servers[SERVERS - 1].received(Kind::SetUp).len(), 20, "{phase}");
         });
     }
 }
 
 #[test]
 fn a_drain_told_between_decision_and_send_keeps_the_set_up_back() {
-    with_connect(Does::Plays, ms(3000), |world| async move {
+    with_connect(Behavior::Plays, ms(3000), |harness| async move {
         // Its queue of connections is full: the next one doesn't stand before some of them are taken.
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
@@ -452,16 +456,16 @@
             json!({"id": "s-slow", "host_port": address.to_string(), "locality": "east", "flavor": "std", "cell": 0,
                 "phase": phase, "size": 4, "up_since_ms": 0})
         };
-        let drained = (0..SERVERS).map(|i| member(&world.servers[i], i, "draining"));
+        let drained = (0..SERVERS).map(|i| member(&harness.servers[i], i, "draining"));
         let mut list: Vec<_> = drained.collect();
         list.push(member_of("ready"));
-        world.bus.tell(2, &event(2, false, &list), 1);
+        harness.bus.publish(2, &event(2, false, &list), 1);
         sleep(ms(200)).await;
-        let mut viewer = world.viewer().await;
+        let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(Ref(0x150), "ticket", 3500, "")).await);
         sleep(ms(100)).await;
-        let told = [member_of("draining"), member(&world.servers[0], 0, "ready")];
-        world.bus.tell(3, &event(3, false, &told), 1);
+        let told = [member_of("draining"), member(&harness.servers[0], 0, "ready")];
+        harness.bus.publish(3, &event(3, false, &told), 1);
         sleep(ms(100)).await;
         // Now its connection may stand: whatever comes on it is kept.
         let written = Rc::new(Cell::new(0));
@@ -477,82 +481,88 @@
                 });
             }
         });
-        let came = viewer.hears(ms(3600)).await.expect("an answer");
+        let came = viewer.receive(ms(3600)).await.expect("an answer");
         assert_eq!((came.kind, came.of), (Kind::Answer, Ref(0x150)));
-        assert_eq!((written.get(), world.servers[0].of(Kind::SetUp).len()), (0, 1), "it went elsewhere");
+        assert_eq!(
+            (written.get(), harness.servers[0].received(Kind::SetUp).len()),
+            (0, 1),
+            "it went elsewhere"
+        );
     });
 }
 
 #[test]
 fn a_new_server_at_an_old_address_is_another() {
-    with(Does::Plays, |world| async move {
-        let old = &world.servers[0];
+    with(Behavior::Plays, |harness| async move {
+        let old = &harness.servers[0];
         let anew = json!({"id": "s-new", "host_port": old.address.to_string(), "locality": "east", "flavor": "std",
             "cell": 0, "phase": "ready", "size": 4, "up_since_ms": 0});
         let all = [
             member(old, 0, "gone"),
-            member(&world.servers[1], 1, "gone"),
-            member(&world.servers[2], 2, "gone"),
+            member(&harness.servers[1], 1, "gone"),
+            member(&harness.servers[2], 2, "gone"),
         ];
-        world.bus.tell(2, &event(2, false, &[&all[..], &[anew]].concat()), 1);
+        harness.bus.publish(2, &event(2, false, &[&all[..], &[anew]].concat()), 1);
         sleep(ms(100)).await;
-        let mut viewer = world.viewer().await;
+        let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(Ref(0x200), "clip", 3000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        assert_eq!(old.of(Kind::SetUp).len(), 1);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(old.received(Kind::SetUp).len(), 1);
     });
 }
 
 #[test]
 fn the_bus_breaks_stops_and_moves() {
-    with(Does::Plays, |world| async move {
-        let drain = |i: usize| vec![member(&world.servers[i], i, "draining")];
-        waits("the first question", || *world.bus.asked.borrow() == [1]).await;
+    with(Behavior::Plays, |harness| async move {
+        let drain = |i: usize| vec![member(&harness.servers[i], i, "draining")];
+        waits("the first question", || *harness.bus.requested_after.borrow() == [1]).await;
         // In the middle of an event, which doesn't count; then it is there for whoever asks.
-        world.bus.write("id: 2\ndata: {\"offset\":2,");
-        world.bus.breaks();
-        waits("asked again from the last whole event", || *world.bus.asked.borrow() == [1, 1]).await;
-        world.bus.tell(2, &event(2, false, &drain(0)), 2);
+        harness.bus.write("id: 2\ndata: {\"offset\":2,");
+        harness.bus.disconnect_all();
+        waits("asked again from the last whole event", || *harness.bus.requested_after.borrow() == [1, 1])
+            .await;
+        harness.bus.publish(2, &event(2, false, &drain(0)), 2);
         sleep(ms(50)).await;
         // Silent but open.
-        world.bus.comments.set(false);
-        waits("asked again after silence", || *world.bus.asked.borrow() == [1, 1, 2]).await;
-        world.bus.comments.set(true);
+        harness.bus.sends_comments.set(false);
+        waits("asked again after silence", || *harness.bus.requested_after.borrow() == [1, 1, 2]).await;
+        harness.bus.sends_comments.set(true);
         // At another address; a file that can't be read changes nothing.
-        let (other, before) = (Bus::start().await.expect("a bus"), world.bus.asked.borrow().len());
-        fs::write(&world.file, "{").expect("written");
-        world.signal("-HUP");
+        let (other, before) =
+            (Bus::start().await.expect("a bus"), harness.bus.requested_after.borrow().len());
+        fs::write(&harness.file, "{").expect("written");
+        harness.signal("-HUP");
         sleep(ms(200)).await;
-        assert_eq!(world.bus.asked.borrow().len(), before, "the old address stays");
-        world.configure(|config| config["bus"] = other.address.to_string().into());
-        world.signal("-HUP");
-        waits("asked at the new address", || *other.asked.borrow() == [2]).await;
-        other.tell(3, &event(3, false, &drain(1)), 1);
+        assert_eq!(harness.bus.requested_after.borrow().len(), before, "the old address stays");
+        harness.configure(|config| config["bus"] = other.address.to_string().into());
+        harness.signal("-HUP");
+        waits("asked at the new address", || *other.requested_after.borrow() == [2]).await;
+        other.publish(3, &event(3, false, &drain(1)), 1);
         sleep(ms(100)).await;
-        let mut viewer = world.viewer().await;
+        let mut viewer = harness.viewer().await;
         for i in 0..10 {
             assert!(viewer.write(&asks(Ref(0x300 + i), "clip", 3000, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         }
-        assert_eq!(world.servers[2].of(Kind::SetUp).len(), 10, "both drains were told");
+        assert_eq!(harness.servers[2].received(Kind::SetUp).len(), 10, "both drains were told");
     });
 }
 
 #[test]
 fn told_to_end_it_answers_what_still_comes_and_then_ends() {
-    with(Does::Nothing, |mut world| async move {
-        let mut viewer = world.viewer().await;
+    with(Behavior::Ignores, |mut harness| async move {
+        let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(Ref(0x400), "ticket", 2000, "")).await);
-        waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-        world.signal("-TERM");
+        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+        harness.signal("-TERM");
         sleep(ms(300)).await;
-        let mut late = world.viewer().await;
+        let mut late = harness.viewer().await;
         assert!(late.write(&asks(Ref(0x401), "ticket", 1500, "")).await);
         sleep(ms(300)).await;
         assert!(late.write(&asks(Ref(0x402), "ticket", 1500, "")).await);
         let mut answered = vec![];
         for viewer in [&mut viewer, &mut late] {
-            while let Some(came) = viewer.hears(ms(2500)).await {
+            while let Some(came) = viewer.receive(ms(2500)).await {
                 answered.push(came.of.0);
                 if answered.len() == 1 || answered.len() == 3 {
                     break;
@@ -561,8 +571,10 @@
         }
         answered.sort_unstable();
         assert_eq!(answered, [0x400, 0x401, 0x402]);
-        let ended =
-            tokio::time::timeout(ms(2000), world.program.wait()).await.expect("it ends").expect("its status");
+        let ended = tokio::time::timeout(ms(2000), harness.program.wait())
+            .await
+            .expect("it ends")
+            .expect("its status");
         assert!(ended.success());
     });
 }
@@ -588,91 +600,92 @@
         ("no copies", good.replace("copies:3", "copies:0").into_bytes(), false),
         ("a title that is none", good.replace("7f3a9c21e0b4d655", "7f3a").into_bytes(), false),
     ];
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         for (name, bytes, closes) in cases {
-            let (mut bad, begun) = (world.viewer().await, Instant::now());
+            let (mut bad, begun) = (harness.viewer().await, Instant::now());
             bad.write(&bytes).await;
             if closes {
-                assert!(bad.closes(ms(3000)).await, "{name}");
+                assert!(bad.wait_closed(ms(3000)).await, "{name}");
             } else {
-                let came = bad.hears(ms(1000)).await.expect(name);
+                let came = bad.receive(ms(1000)).await.expect(name);
                 assert_eq!((came.kind, came.of), (Kind::Release, Ref(0x500)), "{name}");
             }
             assert!(begun.elapsed() < ms(3000), "{name}");
         }
-        assert_eq!(world.of(Kind::SetUp), 0, "nothing of it reached a server");
-        let mut viewer = world.viewer().await;
+        assert_eq!(harness.of(Kind::SetUp), 0, "nothing of it reached a server");
+        let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(Ref(0x501), "clip", 2000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
 
 #[test]
 fn set_ups_taken_back_at_once_or_sent_again_and_again_end_with_a_close_or_a_refusal_each() {
-    with(Does::Nothing, |world| async move {
-        let (mut bad, begun) = (world.viewer().await, Instant::now());
+    with(Behavior::Ignores, |harness| async move {
+        let (mut bad, begun) = (harness.viewer().await, Instant::now());
         for i in 0..300 {
             let of = Ref(0xb000 + i);
             assert!(
-                bad.write(&asks(of, "clip", 3000, "")).await && bad.says(Kind::Release, of, Some(16)).await
+                bad.write(&asks(of, "clip", 3000, "")).await
+                    && bad.send_signal(Kind::Release, of, Some(16)).await
             );
         }
-        assert!(bad.closes(ms(3000)).await && begun.elapsed() < ms(3000));
-        let mut again = world.viewer().await;
+        assert!(bad.wait_closed(ms(3000)).await && begun.elapsed() < ms(3000));
+        let mut again = harness.viewer().await;
         for i in 0..300 {
             assert!(again.write(&asks(Ref(0xc000), "clap", 3000, "")).await);
-            let came = again.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = again.receive(ms(1000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Release, Ref(0xc000))), "the {i}th");
         }
         // Each that reached a server was given up there.
-        waits("give-ups", || world.of(Kind::Release) == world.of(Kind::SetUp)).await;
-        let mut viewer = world.viewer().await;
-        world.servers.iter().for_each(|server| server.does.set(Does::Plays));
+        waits("give-ups", || harness.of(Kind::Release) == harness.of(Kind::SetUp)).await;
+        let mut viewer = harness.viewer().await;
+        harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
         assert!(viewer.write(&asks(Ref(0xd000), "clip", 3000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
 
 #[test]
 fn a_number_in_use_is_turned_away_without_touching_the_first() {
-    with(Does::Nothing, |world| async move {
-        let (mut first, mut second, of) = (world.viewer().await, world.viewer().await, Ref(0x600));
+    with(Behavior::Ignores, |harness| async move {
+        let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, Ref(0x600));
         assert!(first.write(&asks(of, "ticket", 3000, "")).await);
-        waits("a set-up", || world.of(Kind::SetUp) == 1).await;
+        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
         assert!(second.write(&asks(of, "ticket", 3000, "")).await);
-        assert_eq!(second.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Release));
+        assert_eq!(second.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Release));
         drop(second);
-        let server = world.holder();
+        let server = harness.holder();
         let up = ivyward_signal::binary::write(Kind::Answer, of, &[], None, Some(b"here")).expect("short");
-        server.say(0, up);
-        let came = first.hears(ms(1000)).await.expect("an answer");
+        server.send_bytes(0, up);
+        let came = first.receive(ms(1000)).await.expect("an answer");
         assert_eq!((came.kind, came.of), (Kind::Answer, of));
     });
 }
 
 #[test]
 fn silent_connections_hold_no_descriptors_that_viewers_need() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let mut silent = vec![];
         for _ in 0..400 {
-            silent.push(world.viewer().await);
+            silent.push(harness.viewer().await);
         }
-        let (mut viewer, begun) = (world.viewer().await, Instant::now());
+        let (mut viewer, begun) = (harness.viewer().await, Instant::now());
         assert!(viewer.write(&asks(Ref(0x700), "clip", 2000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         for one in &mut silent {
-            assert!(one.closes(ms(3000)).await);
+            assert!(one.wait_closed(ms(3000)).await);
         }
         assert!(begun.elapsed() < ms(3000));
-        assert_eq!(viewer.hears(ms(100)).await, None, "the viewer's stays");
+        assert_eq!(viewer.receive(ms(100)).await, None, "the viewer's stays");
     });
 }
 
 /// Guards against a viewer's connection that gives way, among strangers' silent ones, with its set-up unread.
 #[test]
 fn viewers_come_through_a_flood_of_silent_connections() {
-    with(Does::Plays, |world| async move {
-        let address = world.address;
+    with(Behavior::Plays, |harness| async move {
+        let address = harness.address;
         let flood = spawn_local(async move {
             let mut silent = VecDeque::new();
             for i in 0..20_000 {
@@ -688,10 +701,10 @@
         });
         sleep(ms(20)).await;
         for i in 0..20 {
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             sleep(ms(20)).await;
             assert!(viewer.write(&asks(Ref(0xa000 + i), "clip", 3000, "")).await);
-            let came = viewer.hears(ms(3000)).await.map(|came| came.kind);
+            let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}");
         }
         assert!(!flood.is_finished(), "the flood went on all the while");
@@ -700,17 +713,17 @@
 
 #[test]
 fn a_flood_on_one_connection_is_bounded_and_others_are_served() {
-    with(Does::Nothing, |world| async move {
-        let mut flood = world.viewer().await;
+    with(Behavior::Ignores, |harness| async move {
+        let mut flood = harness.viewer().await;
         let all: Vec<_> = (0..400).flat_map(|i| asks(Ref(0x8000 + i), "clip", 3000, "")).collect();
         assert!(flood.write(&all).await);
         sleep(ms(100)).await;
-        world.servers.iter().for_each(|server| server.does.set(Does::Plays));
-        let (mut viewer, begun) = (world.viewer().await, Instant::now());
+        harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
+        let (mut viewer, begun) = (harness.viewer().await, Instant::now());
         assert!(viewer.write(&asks(Ref(0x800), "clip", 2000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         assert!(begun.elapsed() < ms(500));
-        let first: Vec<_> = world.servers.iter().flat_map(|s| s.of(Kind::SetUp)).collect();
+        let first: Vec<_> = harness.servers.iter().flat_map(|s| s.received(Kind::SetUp)).collect();
         let open: std::collections::BTreeSet<_> = first.iter().map(|seen| seen.of).collect();
         assert!(open.len() < 100, "{} of 400 reached servers", open.len());
     });
@@ -719,34 +732,40 @@
 /// The checker of the six rules over what the stand-ins saw of one run with servers that fail in all their ways.
 #[test]
 fn the_rules_are_kept_over_a_run_with_failures() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let begun = Instant::now();
         let asked: Rc<std::cell::RefCell<Vec<Asked>>> = Rc::default();
         let left = Rc::new(Cell::new(0));
-        let ways =
-            [Does::Plays, Does::Releases(34), Does::Releases(47), Does::Resets, Does::Nothing, Does::Noise];
+        let ways = [
+            Behavior::Plays,
+            Behavior::Releases(34),
+            Behavior::Releases(47),
+            Behavior::Resets,
+            Behavior::Ignores,
+            Behavior::SendsGarbage,
+        ];
         for i in 0..135u64 {
             // The last ones don't wait for their answer, which none gives them.
             let leaves = i >= 120;
             let turn = (i / 10) as usize;
-            for (n, server) in world.servers.iter().enumerate() {
-                let way = if n == turn % SERVERS { ways[turn % ways.len()] } else { Does::Plays };
-                server.does.set(if leaves { Does::Nothing } else { way });
+            for (n, server) in harness.servers.iter().enumerate() {
+                let way = if n == turn % SERVERS { ways[turn % ways.len()] } else { Behavior::Plays };
+                server.behavior.set(if leaves { Behavior::Ignores } else { way });
             }
             let (package, name) = if i % 3 == 0 { (1, "ticket") } else { (0, "clip") };
-            let (mut viewer, told, waiting) = (world.viewer().await, asked.clone(), left.clone());
+            let (mut viewer, told, waiting) = (harness.viewer().await, asked.clone(), left.clone());
             waiting.set(waiting.get() + 1);
             spawn_local(async move {
                 let at = begun.elapsed();
                 viewer.write(&asks(Ref(0x9000 + i), name, 1500, "")).await;
-                let came = viewer.hears(if leaves { ms(i) } else { ms(2500) }).await;
+                let came = viewer.receive(if leaves { ms(i) } else { ms(2500) }).await;
                 let leaves = leaves && came.is_none();
                 let came_at = begun.elapsed();
                 let more = if leaves {
                     drop(viewer);
                     0
                 } else {
-                    usize::from(viewer.hears(ms(200)).await.is_some())
+                    usize::from(viewer.receive(ms(200)).await.is_some())
                 };
                 // Answers as the checker knows them: playing, refused, failed.
                 let none = if leaves { Came::Closed } else { Came::Nothing };
@@ -778,18 +797,18 @@
         }
         let (mut records, mut numbers) = (vec![], BTreeMap::new());
         let mut seen: Vec<_> = (0..SERVERS)
-            .flat_map(|n| world.servers[n].of(Kind::SetUp).into_iter().map(move |seen| (n, seen)))
+            .flat_map(|n| harness.servers[n].received(Kind::SetUp).into_iter().map(move |seen| (n, seen)))
             .collect();
         seen.sort_by_key(|(_, seen)| seen.at);
         for (n, seen) in &seen {
             let number = numbers.entry(seen.of).and_modify(|n| *n += 1).or_insert(0u16);
-            let key = Key { manager: ManagerNo(0), birth: 1, vw: seen.of.0 as u32, n: *number };
+            let key = TuneInKey { manager: ManagerNo(0), birth: 1, vw: seen.of.0 as u32, n: *number };
             let server = ServerNo(*n);
             let (session, rung) = (seen.of.0.into(), seen.rung.unwrap_or_default() as usize);
             let package = usize::from(seen.package.as_deref() == Some("ticket"));
             let what = What::SetUp { server, key, session, package, title: "t".into(), rung };
             records.push(Record { at: seen.at.duration_since(begun), what });
-            let ends = world.servers[*n].ends.borrow();
+            let ends = harness.servers[*n].set_up_ends.borrow();
             let end = ends
                 .iter()
                 .find(|end| (end.connection, end.of) == (seen.connection, seen.of) && end.at >= seen.at);
--- a/crates/daemon/tests/node/outage.rs
+++ b/crates/daemon/tests/node/outage.rs
@@ -2,7 +2,7 @@
 //! attempts reach them again, and how soon nine in ten requests play.
 
 use super::*;
-use ivyward_standin::platform::{Accepts, Seen};
+use ivyward_standin::platform::{AcceptMode, ReceivedSignal};
 use std::thread;
 
 /// A request comes so often.
@@ -14,7 +14,7 @@
 const SLACK: Duration = Duration::from_millis(1500);
 
 struct Case {
-    how: Accepts,
+    how: AcceptMode,
     lasts: Duration,
     /// The servers serve again one after another, so far apart.
     apart: Duration,
@@ -43,8 +43,8 @@
 }
 
 impl Stream {
-    async fn new(world: &World) -> Stream {
-        let viewer = world.viewer().await;
+    async fn new(harness: &Harness) -> Stream {
+        let viewer = harness.viewer().await;
         Stream { viewer, asked: vec![], stand: VecDeque::new(), due: Instant::now(), late: ms(0) }
     }
 
@@ -62,11 +62,11 @@
                 );
                 self.due += EVERY;
                 while let Some((_, of)) = self.stand.pop_front_if(|(at, _)| *at + ms(500) <= now) {
-                    assert!(self.viewer.says(Kind::Release, of, Some(16)).await);
+                    assert!(self.viewer.send_signal(Kind::Release, of, Some(16)).await);
                 }
                 continue;
             }
-            let Some(came) = self.viewer.hears(left).await else { continue };
+            let Some(came) = self.viewer.receive(left).await else { continue };
             if came.kind == Kind::Answer {
                 self.stand.push_back((Instant::now(), came.of));
                 self.asked[(came.of.0 - 0x1000) as usize].1 = true;
@@ -81,8 +81,8 @@
     }
 }
 
-async fn plays(world: World, case: &Case) -> String {
-    let mut stream = Stream::new(&world).await;
+async fn plays(harness: Harness, case: &Case) -> String {
+    let mut stream = Stream::new(&harness).await;
     if !case.fresh {
         // All are warm.
         stream.goes_on(Instant::now() + COLD + ms(1500)).await;
@@ -90,29 +90,30 @@
         assert!(before >= 0.99, "before: {before:.2} play");
     }
     let down = Instant::now();
-    world.servers.iter().for_each(|server| server.accepts(case.how));
+    harness.servers.iter().for_each(|server| server.set_accept_mode(case.how));
     stream.goes_on(down + case.lasts).await;
     // Answers on the way as it began aside, nothing plays.
     let meanwhile = stream.asked.iter().filter(|(at, played)| *at > down + ms(100) && *played).count();
     assert_eq!(meanwhile, 0, "played meanwhile");
     let up = Instant::now();
-    for (i, server) in world.servers.iter().enumerate() {
+    for (i, server) in harness.servers.iter().enumerate() {
         if i > 0 {
             stream.goes_on(Instant::now() + case.apart).await;
         }
-        server.accepts(Accepts::All);
+        server.set_accept_mode(AcceptMode::All);
     }
     let all_up = Instant::now();
     stream.goes_on(all_up + COLD * 2 + SLACK + ms(1500)).await;
     // What was written to a silent server, given up, and read once it spoke again was sent before.
-    let sent_before = |seen: &Seen| {
+    let sent_before = |seen: &ReceivedSignal| {
         let asked = stream.asked.get((seen.of.0 - 0x1000) as usize).expect("what was asked");
-        seen.at < up || case.how == Accepts::Silent && asked.0 < up
+        seen.at < up || case.how == AcceptMode::Silent && asked.0 < up
     };
     let sent = |server: &Server| -> Vec<Instant> {
-        server.of(Kind::SetUp).iter().filter(|seen| !sent_before(seen)).map(|seen| seen.at).collect()
+        server.received(Kind::SetUp).iter().filter(|seen| !sent_before(seen)).map(|seen| seen.at).collect()
     };
-    let firsts: Vec<_> = world.servers.iter().map(|server| sent(server).first().map(|at| *at - up)).collect();
+    let firsts: Vec<_> =
+        harness.servers.iter().map(|server| sent(server).first().map(|at| *at - up)).collect();
     let first = firsts.iter().flatten().min().copied().expect("nobody is ever tried again");
     let steps = (0..).map(|i| ms(100) * i).take_while(|late| *late <= COLD * 2 + SLACK);
     let nine = steps.into_iter().find(|late| stream.part(all_up + *late) >= 0.9);
@@ -124,8 +125,8 @@
     assert!(first <= WINDOW + SLACK, "{what}");
     assert!(nine.is_some_and(|nine| nine <= COLD + SLACK), "{what}");
     // Each cold server gets no more in a window than one manager's part, until what played there first is warm.
-    for server in &world.servers {
-        let Some(begun) = server.of(Kind::SetUp).iter().map(|seen| seen.at).find(|at| *at >= up) else {
+    for server in &harness.servers {
+        let Some(begun) = server.received(Kind::SetUp).iter().map(|seen| seen.at).find(|at| *at >= up) else {
             continue;
         };
         let cold: Vec<_> = sent(server).into_iter().filter(|at| *at < begun + COLD - ms(100)).collect();
@@ -143,18 +144,20 @@
 fn servers_that_all_failed_are_tried_again_and_nine_in_ten_play_within_a_warm_up() {
     let case = |how, lasts, apart, fresh| Case { how, lasts: ms(lasts), apart: ms(apart), fresh };
     let cases = [
-        case(Accepts::Refuses, 1000, 0, false),
-        case(Accepts::Refuses, 5000, 0, false),
-        case(Accepts::Refuses, 30_000, 0, false),
-        case(Accepts::Refuses, 5000, 0, true),
-        case(Accepts::Refuses, 5000, 1000, false),
-        case(Accepts::Silent, 5000, 0, false),
-        case(Accepts::Resets, 5000, 0, false),
+        case(AcceptMode::Refuse, 1000, 0, false),
+        case(AcceptMode::Refuse, 5000, 0, false),
+        case(AcceptMode::Refuse, 30_000, 0, false),
+        case(AcceptMode::Refuse, 5000, 0, true),
+        case(AcceptMode::Refuse, 5000, 1000, false),
+        case(AcceptMode::Silent, 5000, 0, false),
+        case(AcceptMode::Reset, 5000, 0, false),
     ];
     // At once: each is a process of its own that mostly waits.
     let runs = cases.map(|case| {
         thread::spawn(move || {
-            with_config(Does::Plays, tweak, |world| async move { println!("{}", plays(world, &case).await) });
+            with_config(Behavior::Plays, tweak, |harness| async move {
+                println!("{}", plays(harness, &case).await)
+            });
         })
     });
     let failed = runs.into_iter().map(thread::JoinHandle::join).filter(Result::is_err).count();
--- a/crates/daemon/tests/node/races.rs
+++ b/crates/daemon/tests/node/races.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use tokio::io::AsyncWriteExt;
 
-impl World {
+impl Harness {
     /// Stops the program, and waits until it stands still.
     async fn stops(&self) {
         self.signal("-STOP");
@@ -27,12 +27,12 @@
     async fn serves(&self, of: u64) {
         let mut viewer = self.viewer().await;
         assert!(viewer.write(&asks(Ref(of), "clip", 3000, "")).await);
-        let came = viewer.hears(ms(2500)).await.map(|came| (came.kind, came.of));
+        let came = viewer.receive(ms(2500)).await.map(|came| (came.kind, came.of));
         assert_eq!(came, Some((Kind::Answer, Ref(of))));
     }
 
     fn set_ups(&self, of: Ref) -> usize {
-        let all = self.servers.iter().flat_map(|server| server.of(Kind::SetUp));
+        let all = self.servers.iter().flat_map(|server| server.received(Kind::SetUp));
         all.filter(|seen| seen.of == of).count()
     }
 
@@ -40,8 +40,8 @@
     async fn leaves_only(&self, word: &str, address: SocketAddr) {
         let gone = (0..SERVERS).map(|i| member(&self.servers[i], i, "gone"));
         let list: Vec<_> = gone.chain([row(word, address, "ready")]).collect();
-        self.bus.tell(2, &event(2, false, &list), 1);
-        let read = || self.bus.asked.borrow().len();
+        self.bus.publish(2, &event(2, false, &list), 1);
+        let read = || self.bus.requested_after.borrow().len();
         assert!(read() > 0, "the bus is read");
         sleep(ms(200)).await;
     }
@@ -75,7 +75,7 @@
     };
     assert!(viewer.write(&test.repeat(much / test.len())).await);
     if matches!(goes, Goes::GivesUp | Goes::GivesUpBehindMuch) {
-        assert!(viewer.says(Kind::Release, of, Some(16)).await);
+        assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
     }
 }
 
@@ -93,17 +93,20 @@
     for (goes, taken, stands) in
         all.into_iter().flat_map(|goes| [(goes, true, true), (goes, false, true), (goes, false, false)])
     {
-        with(Does::Plays, |world| async move {
+        with(Behavior::Plays, |harness| async move {
             let case = format!("{goes:?}, taken {taken}, a connection stands {stands}");
             if stands {
                 for i in 0..8 {
-                    world.serves(0x10 + i).await;
+                    harness.serves(0x10 + i).await;
                 }
             }
-            let mut before = world.viewer().await;
-            assert!(before.says(Kind::Test, Ref(2), Some(0)).await && before.hears(ms(1000)).await.is_some());
-            world.stops().await;
-            let mut viewer = if taken { before } else { world.viewer().await };
+            let mut before = harness.viewer().await;
+            assert!(
+                before.send_signal(Kind::Test, Ref(2), Some(0)).await
+                    && before.receive(ms(1000)).await.is_some()
+            );
+            harness.stops().await;
+            let mut viewer = if taken { before } else { harness.viewer().await };
             asks_and_goes(&mut viewer, Ref(0xaa), goes).await;
             let viewer = match goes {
                 Goes::GivesUp | Goes::GivesUpBehindMuch => Some(viewer),
@@ -116,15 +119,15 @@
                     None
                 }
             };
-            world.goes_on();
+            harness.goes_on();
             for i in 0..3 {
-                world.serves(0x20 + i).await;
+                harness.serves(0x20 + i).await;
             }
-            assert_eq!(world.set_ups(Ref(0xaa)), 0, "{case}");
+            assert_eq!(harness.set_ups(Ref(0xaa)), 0, "{case}");
             // Nothing is owed to who gave up: a test is all that is answered.
             if let Some(mut viewer) = viewer {
                 let mut kinds = vec![];
-                while let Some(came) = viewer.hears(ms(50)).await {
+                while let Some(came) = viewer.receive(ms(50)).await {
                     kinds.push(came.kind);
                 }
                 assert!(kinds.iter().all(|kind| *kind == Kind::Tested), "{case}: {kinds:?}");
@@ -187,23 +190,23 @@
             config["settings"]["limits"]["connect-timeout-us"] = 3_000_000.into();
             config["settings"]["limits"]["cancelling"] = cancelling.into();
         };
-        with_config(Does::Plays, tweak, |world| async move {
+        with_config(Behavior::Plays, tweak, |harness| async move {
             let (address, slow, queued) = held_back().await;
-            world.leaves_only("s-slow", address).await;
-            let (mut viewer, mut stays) = (world.viewer().await, world.viewer().await);
+            harness.leaves_only("s-slow", address).await;
+            let (mut viewer, mut stays) = (harness.viewer().await, harness.viewer().await);
             assert!(viewer.write(&asks(Ref(0xab), "ticket", 3500, "")).await);
             assert!(stays.write(&asks(Ref(0xac), "ticket", 3500, "")).await);
             sleep(ms(100)).await;
             // The connection comes up, and the viewer goes, while the program stands still: both lie unread.
-            world.stops().await;
+            harness.stops().await;
             let came = takes_all(slow);
             waits("the connection comes up", || came.borrow().len() > queued.len()).await;
             if goes == Goes::GivesUp {
-                assert!(viewer.says(Kind::Release, Ref(0xab), Some(16)).await);
+                assert!(viewer.send_signal(Kind::Release, Ref(0xab), Some(16)).await);
             } else {
                 drop(viewer);
             }
-            world.goes_on();
+            harness.goes_on();
             let sent =
                 |of| came.borrow().iter().any(|bytes| read_all(bytes).contains(&(Kind::SetUp, Ref(of))));
             waits("the one who stays is sent on", || sent(0xac)).await;
@@ -219,24 +222,24 @@
     for (goes, refused_first) in
         [(Goes::Closes, true), (Goes::GivesUp, true), (Goes::Closes, false), (Goes::GivesUp, false)]
     {
-        with(Does::Nothing, |world| async move {
-            let (mut viewer, of) = (world.viewer().await, Ref(0xad));
+        with(Behavior::Ignores, |harness| async move {
+            let (mut viewer, of) = (harness.viewer().await, Ref(0xad));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
-            waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-            let server = world.holder();
-            let connection = server.of(Kind::SetUp)[0].connection;
-            world.servers.iter().for_each(|server| server.does.set(Does::Plays));
-            world.stops().await;
+            waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+            let server = harness.holder();
+            let connection = server.received(Kind::SetUp)[0].connection;
+            harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
+            harness.stops().await;
             let refuses = async || {
-                let before = server.wrote.get();
+                let before = server.written_bytes.get();
                 server.release(connection, of, 34);
-                waits("the refusal is written", || server.wrote.get() > before).await;
+                waits("the refusal is written", || server.written_bytes.get() > before).await;
             };
             if refused_first {
                 refuses().await;
             }
             let stays = if goes == Goes::GivesUp {
-                assert!(viewer.says(Kind::Release, of, Some(16)).await);
+                assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
                 Some(viewer)
             } else {
                 drop(viewer);
@@ -245,11 +248,11 @@
             if !refused_first {
                 refuses().await;
             }
-            world.goes_on();
+            harness.goes_on();
             for i in 0..3 {
-                world.serves(0x30 + i).await;
+                harness.serves(0x30 + i).await;
             }
-            assert_eq!(world.set_ups(of), 1, "{goes:?}, refused first: {refused_first}");
+            assert_eq!(harness.set_ups(of), 1, "{goes:?}, refused first: {refused_first}");
             drop(stays);
         });
     }
@@ -261,14 +264,14 @@
         config["limits"]["sockets"] = 2048.into();
         config["settings"]["limits"]["streams-per-conn"] = 1000.into();
     };
-    with_config(Does::Plays, tweak, |world| async move {
+    with_config(Behavior::Plays, tweak, |harness| async move {
         // It takes connections and reads nothing before it is told to.
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a small buffer");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
         let stalled = socket.listen(8).expect("it listens");
         let address = stalled.local_addr().expect("its address");
-        world.leaves_only("s-stalled", address).await;
+        harness.leaves_only("s-stalled", address).await;
         let taken: Rc<RefCell<Vec<TcpStream>>> = Rc::default();
         let takes = taken.clone();
         spawn_local(async move {
@@ -279,25 +282,25 @@
         let description = "x".repeat(12_000);
         let mut viewers = vec![];
         for i in 0..30 {
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             let text = String::from_utf8(asks(Ref(0xe00 + i), "ticket", 3500, "")).expect("text");
             let text = text.replace("9d41c07a5be2f318", &description);
             assert!(viewer.write(text.as_bytes()).await);
             // It had its turn before the next one asks.
-            assert!(viewer.says(Kind::Test, Ref(3), Some(0)).await);
-            assert!(viewer.hears(ms(1000)).await.is_some());
+            assert!(viewer.send_signal(Kind::Test, Ref(3), Some(0)).await);
+            assert!(viewer.receive(ms(1000)).await.is_some());
             viewers.push(viewer);
         }
         waits("a connection", || !taken.borrow().is_empty()).await;
-        world.bus.tell(3, &event(3, false, &[row("s-stalled", address, "draining")]), 1);
+        harness.bus.publish(3, &event(3, false, &[row("s-stalled", address, "draining")]), 1);
         sleep(ms(250 + 200)).await;
-        world.stops().await;
+        harness.stops().await;
         // What the program had put into its socket by then, and what comes once it goes on.
         let mut streams = std::mem::take(&mut *taken.borrow_mut());
         let mut parts = vec![];
         for goes_on in [false, true] {
             if goes_on {
-                world.goes_on();
+                harness.goes_on();
             }
             let mut came = vec![vec![]; streams.len()];
             for (stream, came) in streams.iter_mut().zip(&mut came) {
@@ -324,38 +327,40 @@
 
 #[test]
 fn requests_of_the_last_moment_are_answered_before_the_end() {
-    with(Does::Nothing, |mut world| async move {
-        let (mut open, mut half) = (world.viewer().await, world.viewer().await);
-        assert!(open.says(Kind::Test, Ref(2), Some(0)).await && open.hears(ms(1000)).await.is_some());
+    with(Behavior::Ignores, |mut harness| async move {
+        let (mut open, mut half) = (harness.viewer().await, harness.viewer().await);
+        assert!(
+            open.send_signal(Kind::Test, Ref(2), Some(0)).await && open.receive(ms(1000)).await.is_some()
+        );
         let text = asks(Ref(0x411), "ticket", 2500, "");
         assert!(half.write(&text[..60]).await);
         // Once more, and a new configuration before and after: all of it changes nothing.
         for name in ["-HUP", "-TERM", "-TERM", "-HUP"] {
-            world.signal(name);
+            harness.signal(name);
         }
         sleep(ms(600)).await;
-        world.stops().await;
+        harness.stops().await;
         assert!(open.write(&asks(Ref(0x410), "ticket", 2500, "")).await);
         assert!(half.write(&text[60..]).await);
-        let mut queued = world.viewer().await;
+        let mut queued = harness.viewer().await;
         assert!(queued.write(&asks(Ref(0x412), "ticket", 2500, "")).await);
         // By then the time is over in which requests come.
         sleep(ms(300)).await;
-        world.goes_on();
-        waits("all three are sent on", || world.of(Kind::SetUp) == 3).await;
+        harness.goes_on();
+        waits("all three are sent on", || harness.of(Kind::SetUp) == 3).await;
         sleep(ms(300)).await;
-        for server in &world.servers {
-            for seen in server.of(Kind::SetUp) {
+        for server in &harness.servers {
+            for seen in server.received(Kind::SetUp) {
                 let up = binary::write(Kind::Answer, seen.of, &[], None, Some(b"late")).expect("short");
-                server.say(seen.connection, up);
+                server.send_bytes(seen.connection, up);
             }
         }
         for (viewer, of) in [(&mut open, 0x410), (&mut half, 0x411), (&mut queued, 0x412)] {
-            let came = viewer.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Answer, Ref(of))));
-            assert!(viewer.says(Kind::Release, Ref(of), Some(16)).await);
+            assert!(viewer.send_signal(Kind::Release, Ref(of), Some(16)).await);
         }
-        let ended = timeout(ms(3000), world.program.wait()).await.expect("it ends").expect("its status");
+        let ended = timeout(ms(3000), harness.program.wait()).await.expect("it ends").expect("its status");
         assert!(ended.success());
     });
 }
@@ -395,26 +400,26 @@
         (spoilt, 1000, false, 3, 12),
     ];
     for (does, every, ends, least, most) in cases {
-        with(Does::Plays, |world| async move {
+        with(Behavior::Plays, |harness| async move {
             let (address, count) = bus_that(does, ms(every), ends).await;
-            world.configure(|config| config["bus"] = address.to_string().into());
-            world.signal("-HUP");
+            harness.configure(|config| config["bus"] = address.to_string().into());
+            harness.signal("-HUP");
             waits("it is asked", || count.get() > 0).await;
             sleep(ms(2000)).await;
             let asked = count.get();
             let what = String::from_utf8_lossy(does);
             assert!((least..=most).contains(&asked), "{what:?}, ends {ends}: asked {asked} times");
-            world.serves(0x40).await;
+            harness.serves(0x40).await;
         });
     }
 }
 
 #[test]
 fn a_watch_that_brings_no_whole_line_is_taken_for_silent() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let (address, count) = bus_that(b"a", ms(300), false).await;
-        world.configure(|config| config["bus"] = address.to_string().into());
-        world.signal("-HUP");
+        harness.configure(|config| config["bus"] = address.to_string().into());
+        harness.signal("-HUP");
         waits("it is asked", || count.get() == 1).await;
         waits("it is asked again", || count.get() > 1).await;
     });
@@ -422,37 +427,37 @@
 
 #[test]
 fn a_list_of_which_a_part_cannot_be_read_changes_nothing_and_hides_nothing() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let dead =
             TcpListener::bind("127.0.0.1:0").await.expect("a socket").local_addr().expect("its address");
         let spoilt = [row("s-00000000", dead, "ready"), json!({"id": "s-00000001", "phase": "lost"})];
-        world.bus.tell(2, &event(2, false, &spoilt), 1);
-        waits("it is asked for again", || world.bus.asked.borrow().len() > 1).await;
+        harness.bus.publish(2, &event(2, false, &spoilt), 1);
+        waits("it is asked for again", || harness.bus.requested_after.borrow().len() > 1).await;
         // The first server is where it was, and the only one that the next event leaves.
-        let gone = [member(&world.servers[1], 1, "gone"), member(&world.servers[2], 2, "gone")];
-        world.bus.tell(3, &event(3, false, &gone), 1);
-        waits("it is passed over", || world.bus.asked.borrow().len() >= 3).await;
+        let gone = [member(&harness.servers[1], 1, "gone"), member(&harness.servers[2], 2, "gone")];
+        harness.bus.publish(3, &event(3, false, &gone), 1);
+        waits("it is passed over", || harness.bus.requested_after.borrow().len() >= 3).await;
         sleep(ms(300)).await;
         for i in 0..6 {
-            world.serves(0x50 + i).await;
+            harness.serves(0x50 + i).await;
         }
-        assert_eq!(world.servers[0].of(Kind::SetUp).len(), 6);
+        assert_eq!(harness.servers[0].received(Kind::SetUp).len(), 6);
     });
 }
 
 #[test]
 fn a_configuration_half_written_is_read_again() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let other = Bus::start().await.expect("a bus");
-        let mut config = world.config.clone();
+        let mut config = harness.config.clone();
         config["bus"] = other.address.to_string().into();
         let text = config.to_string();
-        fs::write(&world.file, &text[..text.len() / 2]).expect("written");
-        world.signal("-HUP");
+        fs::write(&harness.file, &text[..text.len() / 2]).expect("written");
+        harness.signal("-HUP");
         sleep(ms(300)).await;
-        assert!(other.asked.borrow().is_empty());
-        fs::write(&world.file, text).expect("written");
-        waits("the new bus is asked", || !other.asked.borrow().is_empty()).await;
+        assert!(other.requested_after.borrow().is_empty());
+        fs::write(&harness.file, text).expect("written");
+        waits("the new bus is asked", || !other.requested_after.borrow().is_empty()).await;
     });
 }
 
@@ -470,7 +475,7 @@
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let world = World::new(Does::Plays, COUNT, tweak).await;
+        let harness = Harness::new(Behavior::Plays, COUNT, tweak).await;
         let home = |of: u64, home: usize| {
             let text = String::from_utf8(asks(Ref(of), "clip", 3000, "")).expect("text");
             text.replace("home:0;", &format!("home:{home};")).into_bytes()
@@ -478,9 +483,11 @@
         // Silent ones, ones that asked long ago, half lines, ones with a session that stands.
         let mut idle = vec![];
         for i in 0..200u64 {
-            let Ok(Ok(mut client)) = timeout(ms(200), Viewer::connect(world.address)).await else { continue };
+            let Ok(Ok(mut client)) = timeout(ms(200), Viewer::connect(harness.address)).await else {
+                continue;
+            };
             match i % 4 {
-                1 => drop(client.says(Kind::Test, Ref(4), Some(0)).await),
+                1 => drop(client.send_signal(Kind::Test, Ref(4), Some(0)).await),
                 2 => drop(client.write(&asks(Ref(0x2000 + i), "clip", 3000, "")[..50]).await),
                 3 => drop(client.write(&home(0x2000 + i, i as usize % 4)).await),
                 _ => {}
@@ -489,32 +496,32 @@
         }
         let mut served = vec![];
         for i in 0..40 {
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             assert!(viewer.write(&home(0x3000 + i as u64, i)).await);
-            let came = viewer.hears(ms(3000)).await.map(|came| came.kind);
+            let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}, discovery down");
             // What stands at the first ones goes on; each of those servers wants its connection.
-            let over = i < 24 || viewer.says(Kind::Release, Ref(0x3000 + i as u64), Some(16)).await;
+            let over = i < 24 || viewer.send_signal(Kind::Release, Ref(0x3000 + i as u64), Some(16)).await;
             assert!(over);
             served.push(viewer);
         }
         // Some are left for the bus, its next connection and a new configuration.
-        let held = format!("/proc/{}/fd", world.program.id().expect("it runs"));
+        let held = format!("/proc/{}/fd", harness.program.id().expect("it runs"));
         let held = fs::read_dir(held).expect("its descriptors").count();
         assert!(held <= 92, "{held} of 96 descriptors are held");
-        let bus = socket.listen(64).and_then(Bus::on).expect("the bus comes back");
-        let drains: Vec<_> = (1..COUNT).map(|i| member(&world.servers[i], i, "draining")).collect();
-        bus.tell(2, &event(2, false, &drains), 1);
-        waits("the bus is asked", || !bus.asked.borrow().is_empty()).await;
+        let bus = socket.listen(64).and_then(Bus::with_listener).expect("the bus comes back");
+        let drains: Vec<_> = (1..COUNT).map(|i| member(&harness.servers[i], i, "draining")).collect();
+        bus.publish(2, &event(2, false, &drains), 1);
+        waits("the bus is asked", || !bus.requested_after.borrow().is_empty()).await;
         sleep(ms(300)).await;
-        let before = world.servers[0].of(Kind::SetUp).len();
+        let before = harness.servers[0].received(Kind::SetUp).len();
         for i in 0..10 {
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             assert!(viewer.write(&asks(Ref(0x4000 + i), "clip", 3000, "")).await);
-            let came = viewer.hears(ms(3000)).await.map(|came| came.kind);
+            let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}, discovery back");
         }
-        assert_eq!(world.servers[0].of(Kind::SetUp).len(), before + 10, "the drains are obeyed");
+        assert_eq!(harness.servers[0].received(Kind::SetUp).len(), before + 10, "the drains are obeyed");
     });
 }
 
@@ -527,13 +534,13 @@
 }
 
 impl Another {
-    async fn start(world: &World, n: usize) -> Another {
+    async fn start(harness: &Harness, n: usize) -> Another {
         let free = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = free.local_addr().expect("its address");
-        let mut config = world.config.clone();
+        let mut config = harness.config.clone();
         config["listen"] = address.to_string().into();
         config["seed"] = format!("{:016x}", n + 1).into();
-        let file = world.file.with_extension(format!("another-{n}"));
+        let file = harness.file.with_extension(format!("another-{n}"));
         fs::write(&file, config.to_string()).expect("written");
         drop(free);
         let program = starts(&file, &config);
@@ -566,19 +573,19 @@
             config["settings"]["guarantees"]["cold-us"] = (WARM_UP.as_micros() as u64).into();
             config["settings"]["specifics"]["kind-streams"] = json!([streams]);
         };
-        with_config(Does::Plays, tweak, |world| async move {
+        with_config(Behavior::Plays, tweak, |harness| async move {
             let mut others = vec![];
             for n in 0..count {
-                others.push(Another::start(&world, n).await);
+                others.push(Another::start(&harness, n).await);
             }
             // They are warm to each other, as they stand.
             sleep(WARM_UP + ms(500)).await;
-            let fresh = Server::start("s-fresh", Does::Plays).await.expect("a server");
+            let fresh = Server::start("s-fresh", Behavior::Plays).await.expect("a server");
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
             let mut start = row(&fresh.word, fresh.address, "ready");
             start["up_since_ms"] = (unix.as_millis() as u64).into();
-            let gone = (0..SERVERS).map(|i| member(&world.servers[i], i, "gone"));
-            world.bus.tell(2, &event(2, false, &gone.chain([start]).collect::<Vec<_>>()), 1);
+            let gone = (0..SERVERS).map(|i| member(&harness.servers[i], i, "gone"));
+            harness.bus.publish(2, &event(2, false, &gone.chain([start]).collect::<Vec<_>>()), 1);
             let begun = Instant::now();
             let mut asked = 0u64;
             while begun.elapsed() < WARM_UP {
@@ -588,7 +595,7 @@
                 spawn_local(async move {
                     let Ok(mut viewer) = Viewer::connect(address).await else { return };
                     viewer.write(&asks(of, "clip", 1500, "")).await;
-                    viewer.hears(ms(2000)).await;
+                    viewer.receive(ms(2000)).await;
                 });
                 asked += 1;
                 if killed > 0 && asked.is_multiple_of(60) && asked / 60 <= killed {
@@ -596,7 +603,7 @@
                 }
                 sleep(Duration::from_secs_f64(1.0 / (3.0 * bears))).await;
             }
-            let mut times: Vec<_> = fresh.of(Kind::SetUp).iter().map(|seen| seen.at).collect();
+            let mut times: Vec<_> = fresh.received(Kind::SetUp).iter().map(|seen| seen.at).collect();
             times.sort();
             let within =
                 |from: &Instant| times.iter().filter(|at| *at >= from && **at < *from + ms(1000)).count();
@@ -617,16 +624,16 @@
 #[test]
 fn restarted_together_nine_in_ten_are_ready_at_once_while_discovery_is_silent() {
     const ALL: usize = 24;
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         // A bus that takes connections and says nothing.
         let silent = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let mut configs = vec![];
         for i in 0..=ALL {
             let free = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-            let mut config = world.config.clone();
+            let mut config = harness.config.clone();
             config["listen"] = free.local_addr().expect("its address").to_string().into();
             config["bus"] = silent.local_addr().expect("its address").to_string().into();
-            let file = world.file.with_extension(format!("ready-{i}"));
+            let file = harness.file.with_extension(format!("ready-{i}"));
             fs::write(&file, config.to_string()).expect("written");
             configs.push((file, config, free));
         }
@@ -636,8 +643,8 @@
             let (begun, program) = (Instant::now(), starts(&file, &config));
             loop {
                 if let Ok(mut test) = Viewer::connect(address).await
-                    && test.says(Kind::Test, Ref(1), Some(0)).await
-                    && test.hears(ms(20_000)).await.is_some_and(|tested| tested.cause == Some(1))
+                    && test.send_signal(Kind::Test, Ref(1), Some(0)).await
+                    && test.receive(ms(20_000)).await.is_some_and(|tested| tested.cause == Some(1))
                 {
                     break;
                 }
@@ -676,34 +683,35 @@
 fn a_drain_told_while_the_process_stood_still_is_heeded_by_what_was_asked_meanwhile() {
     // Whether the drain or the set-up came first.
     for drained_first in [true, false] {
-        with(Does::Plays, |world| async move {
+        with(Behavior::Plays, |harness| async move {
             for i in 0..8 {
-                world.serves(0x60 + i).await;
+                harness.serves(0x60 + i).await;
             }
-            let before: Vec<_> = world.servers.iter().map(|server| server.of(Kind::SetUp).len()).collect();
+            let before: Vec<_> =
+                harness.servers.iter().map(|server| server.received(Kind::SetUp).len()).collect();
             let mut viewers = vec![];
             for _ in 0..12 {
-                viewers.push(world.viewer().await);
+                viewers.push(harness.viewer().await);
             }
-            world.stops().await;
-            let drains = [member(&world.servers[0], 0, "draining"), member(&world.servers[1], 1, "gone")];
+            harness.stops().await;
+            let drains = [member(&harness.servers[0], 0, "draining"), member(&harness.servers[1], 1, "gone")];
             if drained_first {
-                world.bus.tell(2, &event(2, false, &drains), 1);
+                harness.bus.publish(2, &event(2, false, &drains), 1);
             }
             for (i, viewer) in viewers.iter_mut().enumerate() {
                 assert!(viewer.write(&asks(Ref(0x5000 + i as u64), "clip", 3500, "")).await);
             }
             if !drained_first {
-                world.bus.tell(2, &event(2, false, &drains), 1);
+                harness.bus.publish(2, &event(2, false, &drains), 1);
             }
             // The grace is over before the process goes on.
             sleep(ms(500)).await;
-            world.goes_on();
+            harness.goes_on();
             for viewer in &mut viewers {
-                assert_eq!(viewer.hears(ms(2000)).await.map(|came| came.kind), Some(Kind::Answer));
+                assert_eq!(viewer.receive(ms(2000)).await.map(|came| came.kind), Some(Kind::Answer));
             }
-            for (server, before) in world.servers.iter().zip(before).take(2) {
-                let sent = server.of(Kind::SetUp).len() - before;
+            for (server, before) in harness.servers.iter().zip(before).take(2) {
+                let sent = server.received(Kind::SetUp).len() - before;
                 assert_eq!(sent, 0, "server {}, drained first: {drained_first}", server.word);
             }
         });
@@ -712,11 +720,11 @@
 
 #[test]
 fn a_start_waits_for_an_address_that_is_still_held() {
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         let held = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-        let mut config = world.config.clone();
+        let mut config = harness.config.clone();
         config["listen"] = held.local_addr().expect("its address").to_string().into();
-        let file = world.file.with_extension("held");
+        let file = harness.file.with_extension("held");
         fs::write(&file, config.to_string()).expect("written");
         let mut program = starts(&file, &config);
         sleep(ms(300)).await;
@@ -731,8 +739,8 @@
                 Err(error) => panic!("not ready: {error}"),
             }
         };
-        assert!(viewer.says(Kind::Test, Ref(1), Some(0)).await);
-        assert!(viewer.hears(ms(1000)).await.is_some());
+        assert!(viewer.send_signal(Kind::Test, Ref(1), Some(0)).await);
+        assert!(viewer.receive(ms(1000)).await.is_some());
         fs::remove_file(&file).ok();
     });
 }
@@ -740,18 +748,20 @@
 #[test]
 fn a_second_answer_that_takes_back_the_first_ends_the_session_on_both_sides() {
     for cause in [34, 47, 102] {
-        with(Does::Plays, |world| async move {
-            let (mut viewer, of) = (world.viewer().await, Ref(0x70));
+        with(Behavior::Plays, |harness| async move {
+            let (mut viewer, of) = (harness.viewer().await, Ref(0x70));
             assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            let server = world.holder();
-            let connection = server.of(Kind::SetUp)[0].connection;
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            let server = harness.holder();
+            let connection = server.received(Kind::SetUp)[0].connection;
             server.release(connection, of, cause);
-            let came = viewer.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Release, of)), "cause {cause}");
-            waits("its end at the server", || server.of(Kind::Release).iter().any(|seen| seen.of == of))
-                .await;
-            assert_eq!(world.of(Kind::SetUp), 1, "cause {cause}: never set up again");
+            waits("its end at the server", || {
+                server.received(Kind::Release).iter().any(|seen| seen.of == of)
+            })
+            .await;
+            assert_eq!(harness.of(Kind::SetUp), 1, "cause {cause}: never set up again");
         });
     }
 }
@@ -760,47 +770,47 @@
 fn an_answer_that_came_while_the_process_stood_still_counts_before_its_limit() {
     // The package, and how long the process stands still: longer than one tune-in may take, and than the viewer waits.
     for (package, left, still) in [("clip", 3000, 700), ("ticket", 1200, 1300)] {
-        with(Does::Nothing, |world| async move {
-            let (mut viewer, of) = (world.viewer().await, Ref(0x80));
+        with(Behavior::Ignores, |harness| async move {
+            let (mut viewer, of) = (harness.viewer().await, Ref(0x80));
             assert!(viewer.write(&asks(of, package, left, "")).await);
-            waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-            world.stops().await;
-            let server = world.holder();
+            waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+            harness.stops().await;
+            let server = harness.holder();
             let up = binary::write(Kind::Answer, of, &[], None, Some(b"here")).expect("short");
-            server.say(server.of(Kind::SetUp)[0].connection, up);
-            waits("the answer is written", || server.wrote.get() > 0).await;
+            server.send_bytes(server.received(Kind::SetUp)[0].connection, up);
+            waits("the answer is written", || server.written_bytes.get() > 0).await;
             sleep(ms(still)).await;
-            world.goes_on();
-            let came = viewer.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+            harness.goes_on();
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Answer, of)), "{package}");
-            assert_eq!(viewer.hears(ms(300)).await, None, "{package}: one answer only");
-            assert_eq!(world.of(Kind::SetUp), 1, "{package}: no further one");
+            assert_eq!(viewer.receive(ms(300)).await, None, "{package}: one answer only");
+            assert_eq!(harness.of(Kind::SetUp), 1, "{package}: no further one");
         });
     }
 }
 
 #[test]
 fn a_list_that_falls_silent_and_then_replaces_all_is_heeded_at_once() {
-    with(Does::Plays, |world| async move {
-        world.serves(0x90).await;
+    with(Behavior::Plays, |harness| async move {
+        harness.serves(0x90).await;
         let mut fresh = vec![];
         for i in 0..SERVERS {
-            fresh.push(Server::start(&format!("s-new{i}"), Does::Plays).await.expect("a server"));
+            fresh.push(Server::start(&format!("s-new{i}"), Behavior::Plays).await.expect("a server"));
         }
         // The watch stays open and says nothing more; what is told meanwhile is there for whoever asks again.
-        world.bus.comments.set(false);
-        let asked = world.bus.asked.borrow().len();
+        harness.bus.sends_comments.set(false);
+        let asked = harness.bus.requested_after.borrow().len();
         let all: Vec<_> = fresh.iter().enumerate().map(|(i, server)| member(server, i, "ready")).collect();
-        world.bus.tell(2, &event(2, true, &all), 0);
-        waits("asked again after silence", || world.bus.asked.borrow().len() > asked).await;
-        world.bus.comments.set(true);
+        harness.bus.publish(2, &event(2, true, &all), 0);
+        waits("asked again after silence", || harness.bus.requested_after.borrow().len() > asked).await;
+        harness.bus.sends_comments.set(true);
         sleep(ms(200)).await;
-        let before = world.of(Kind::SetUp);
+        let before = harness.of(Kind::SetUp);
         for i in 0..8 {
-            world.serves(0x91 + i).await;
+            harness.serves(0x91 + i).await;
         }
-        assert_eq!(world.of(Kind::SetUp), before, "nothing new to those that are gone");
-        assert_eq!(fresh.iter().map(|server| server.of(Kind::SetUp).len()).sum::<usize>(), 8);
+        assert_eq!(harness.of(Kind::SetUp), before, "nothing new to those that are gone");
+        assert_eq!(fresh.iter().map(|server| server.received(Kind::SetUp).len()).sum::<usize>(), 8);
     });
 }
 
@@ -815,18 +825,18 @@
 }
 
 fn goes_before_its_answer(goes: Goes, first: bool) {
-    with(Does::Nothing, |world| async move {
-        let (mut viewer, of) = (world.viewer().await, Ref(0xa0));
+    with(Behavior::Ignores, |harness| async move {
+        let (mut viewer, of) = (harness.viewer().await, Ref(0xa0));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        waits("a set-up", || world.of(Kind::SetUp) == 1).await;
-        let server = world.holder();
-        let connection = server.of(Kind::SetUp)[0].connection;
-        world.stops().await;
+        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
+        let server = harness.holder();
+        let connection = server.received(Kind::SetUp)[0].connection;
+        harness.stops().await;
         let leaves = || if goes == Goes::Resets { viewer.reset() } else { drop(viewer) };
         let up = binary::write(Kind::Answer, of, &[], None, Some(b"here")).expect("short");
         let answers = async || {
-            server.say(connection, up);
-            waits("the answer is written", || server.wrote.get() > 0).await;
+            server.send_bytes(connection, up);
+            waits("the answer is written", || server.written_bytes.get() > 0).await;
         };
         if first {
             leaves();
@@ -835,16 +845,17 @@
             answers().await;
             leaves();
         }
-        world.goes_on();
-        waits("its end at the server", || server.of(Kind::Release).iter().any(|seen| seen.of == of)).await;
+        harness.goes_on();
+        waits("its end at the server", || server.received(Kind::Release).iter().any(|seen| seen.of == of))
+            .await;
         // Its number is free at once, for another viewer.
-        world.servers.iter().for_each(|server| server.does.set(Does::Plays));
-        let mut viewer = world.viewer().await;
+        harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
+        let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        let came = viewer.hears(ms(1500)).await.map(|came| (came.kind, came.of));
+        let came = viewer.receive(ms(1500)).await.map(|came| (came.kind, came.of));
         assert_eq!(came, Some((Kind::Answer, of)));
-        assert_eq!(viewer.hears(ms(200)).await, None, "one answer only");
-        assert_eq!(world.set_ups(of), 2);
+        assert_eq!(viewer.receive(ms(200)).await, None, "one answer only");
+        assert_eq!(harness.set_ups(of), 2);
     });
 }
 
@@ -852,55 +863,55 @@
 fn an_end_that_crosses_the_viewers_own_is_told_to_nobody_twice() {
     // Which of the two lies first in the sockets.
     for server_first in [true, false] {
-        with(Does::Plays, |world| async move {
-            let (mut viewer, of) = (world.viewer().await, Ref(0xa8));
+        with(Behavior::Plays, |harness| async move {
+            let (mut viewer, of) = (harness.viewer().await, Ref(0xa8));
             assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            let server = world.holder();
-            let connection = server.of(Kind::SetUp)[0].connection;
-            world.stops().await;
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            let server = harness.holder();
+            let connection = server.received(Kind::SetUp)[0].connection;
+            harness.stops().await;
             let ends = async || {
-                let before = server.wrote.get();
+                let before = server.written_bytes.get();
                 server.release(connection, of, 16);
-                waits("its end is written", || server.wrote.get() > before).await;
+                waits("its end is written", || server.written_bytes.get() > before).await;
             };
             if server_first {
                 ends().await;
             }
-            assert!(viewer.says(Kind::Release, of, Some(16)).await);
+            assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
             if !server_first {
                 ends().await;
             }
-            world.goes_on();
+            harness.goes_on();
             let mut releases = 0;
-            while let Some(came) = viewer.hears(ms(300)).await {
+            while let Some(came) = viewer.receive(ms(300)).await {
                 releases += usize::from(came.kind == Kind::Release);
             }
             assert!(releases <= 1, "server first {server_first}: told {releases} times");
-            assert!(server.of(Kind::Release).len() <= 1, "server first {server_first}");
-            world.serves(0xa9).await;
+            assert!(server.received(Kind::Release).len() <= 1, "server first {server_first}");
+            harness.serves(0xa9).await;
         });
     }
 }
 
 #[test]
 fn a_late_second_answer_changes_nothing() {
-    with(Does::Plays, |world| async move {
-        let (mut viewer, of) = (world.viewer().await, Ref(0xb0));
+    with(Behavior::Plays, |harness| async move {
+        let (mut viewer, of) = (harness.viewer().await, Ref(0xb0));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        let server = world.holder();
-        let connection = server.of(Kind::SetUp)[0].connection;
+        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        let server = harness.holder();
+        let connection = server.received(Kind::SetUp)[0].connection;
         let up = binary::write(Kind::Answer, of, &[], None, Some(b"again")).expect("short");
         // Some milliseconds behind the first; then behind the session's end.
-        server.say(connection, up.clone());
-        assert_eq!(viewer.hears(ms(200)).await, None, "one answer only");
-        assert!(viewer.says(Kind::Release, of, Some(16)).await);
-        waits("its end at the server", || server.of(Kind::Release).len() == 1).await;
-        server.say(connection, up);
-        let more = viewer.hears(ms(200)).await.filter(|came| came.kind != Kind::Heard);
+        server.send_bytes(connection, up.clone());
+        assert_eq!(viewer.receive(ms(200)).await, None, "one answer only");
+        assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
+        waits("its end at the server", || server.received(Kind::Release).len() == 1).await;
+        server.send_bytes(connection, up);
+        let more = viewer.receive(ms(200)).await.filter(|came| came.kind != Kind::Heard);
         assert_eq!(more, None, "nothing more");
-        world.serves(0xb1).await;
+        harness.serves(0xb1).await;
     });
 }
 
@@ -942,14 +953,14 @@
 #[test]
 fn a_second_attempt_does_not_reach_a_server_that_has_not_read_the_release_of_the_first() {
     for (late, resets) in [(ms(0), false), (ms(5), false), (ms(200), false), (ms(0), true)] {
-        with(Does::Plays, |world| async move {
+        with(Behavior::Plays, |harness| async move {
             let listener = TcpListener::bind(own_address()).await.expect("a socket");
             let address = listener.local_addr().expect("its address");
             let processed = processes_late(listener, late, resets);
-            world.leaves_only("s-late", address).await;
-            let (mut viewer, of) = (world.viewer().await, Ref(0xc0));
+            harness.leaves_only("s-late", address).await;
+            let (mut viewer, of) = (harness.viewer().await, Ref(0xc0));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
-            let came = viewer.hears(ms(3900)).await.map(|came| (came.kind, came.cause));
+            let came = viewer.receive(ms(3900)).await.map(|came| (came.kind, came.cause));
             assert_eq!(came, Some((Kind::Release, Some(34))), "late {late:?}, resets {resets}");
             let released = || processed.borrow().iter().any(|seen| seen.1 == Kind::Release);
             waits("the release of the first", released).await;
@@ -974,30 +985,30 @@
 fn an_end_that_is_lost_with_one_of_two_connections_is_told_on_the_next() {
     // How the first connection goes with the end that was written on it: behind what can't be read, or reset.
     for spoilt in [true, false] {
-        with(Does::Plays, |world| async move {
-            let server = &world.servers[0];
-            let gone = [member(&world.servers[1], 1, "gone"), member(&world.servers[2], 2, "gone")];
-            world.bus.tell(2, &event(2, false, &gone), 1);
+        with(Behavior::Plays, |harness| async move {
+            let server = &harness.servers[0];
+            let gone = [member(&harness.servers[1], 1, "gone"), member(&harness.servers[2], 2, "gone")];
+            harness.bus.publish(2, &event(2, false, &gone), 1);
             sleep(ms(100)).await;
-            let mut viewer = world.viewer().await;
+            let mut viewer = harness.viewer().await;
             assert!(viewer.write(&asks(Ref(0xd0), "clip", 3500, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             // A set-up that goes unanswered there, paid so that it waits: the next one has a connection of its own.
-            server.does.set(Does::Nothing);
+            server.behavior.set(Behavior::Ignores);
             assert!(viewer.write(&asks(Ref(0xd1), "clip", 3500, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.cause), Some(Some(34)));
-            let mut ticket = world.viewer().await;
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.cause), Some(Some(34)));
+            let mut ticket = harness.viewer().await;
             assert!(ticket.write(&asks(Ref(0xd2), "ticket", 3500, "")).await);
             waits("a second connection", || server.connections() == 2).await;
             if spoilt {
                 let end = binary::write(Kind::Release, Ref(0xd0), &[], Some(16), None).expect("short");
-                server.say(0, [vec![0xff; 64], end].concat());
+                server.send_bytes(0, [vec![0xff; 64], end].concat());
             } else {
                 server.reset(0);
             }
             waits("a connection on which the end can be told again", || server.connections() == 3).await;
             server.release(2, Ref(0xd0), 16);
-            let came = viewer.hears(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Release, Ref(0xd0))), "spoilt {spoilt}");
         });
     }
@@ -1007,25 +1018,25 @@
 fn what_stood_at_a_draining_server_is_ended_when_another_process_has_its_address() {
     // Whether the list tells of the other process under an id of its own, or of nothing.
     for listed in [false, true] {
-        with(Does::Plays, |world| async move {
-            let server = &world.servers[0];
-            let others = [member(&world.servers[1], 1, "gone"), member(&world.servers[2], 2, "gone")];
-            world.bus.tell(2, &event(2, false, &others), 1);
+        with(Behavior::Plays, |harness| async move {
+            let server = &harness.servers[0];
+            let others = [member(&harness.servers[1], 1, "gone"), member(&harness.servers[2], 2, "gone")];
+            harness.bus.publish(2, &event(2, false, &others), 1);
             sleep(ms(100)).await;
-            let (mut viewer, of) = (world.viewer().await, Ref(0xe0));
+            let (mut viewer, of) = (harness.viewer().await, Ref(0xe0));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
-            assert_eq!(viewer.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            world.bus.tell(3, &event(3, false, &[member(server, 0, "draining")]), 1);
+            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            harness.bus.publish(3, &event(3, false, &[member(server, 0, "draining")]), 1);
             sleep(ms(100)).await;
             if listed {
                 let list = [member(server, 0, "gone"), row("s-new", server.address, "ready")];
-                world.bus.tell(4, &event(4, false, &list), 1);
+                harness.bus.publish(4, &event(4, false, &list), 1);
             } else {
-                server.accepts(ivyward_standin::platform::Accepts::Refuses);
+                server.set_accept_mode(ivyward_standin::platform::AcceptMode::Refuse);
                 sleep(ms(400)).await;
-                server.accepts(ivyward_standin::platform::Accepts::All);
+                server.set_accept_mode(ivyward_standin::platform::AcceptMode::All);
             }
-            let came = viewer.hears(ms(7000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(7000)).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Release, of)), "listed {listed}");
         });
     }
@@ -1035,19 +1046,22 @@
 fn requests_on_open_connections_are_answered_before_the_kill_that_follows_a_shutdown() {
     // The longest deadline is taken as 3 s, and 0.7 s more pass before SIGKILL.
     const KILL: Duration = Duration::from_millis(3700);
-    with(Does::Plays, |world| async move {
+    with(Behavior::Plays, |harness| async move {
         // A session that stands keeps the process.
-        let mut stays = world.viewer().await;
+        let mut stays = harness.viewer().await;
         assert!(stays.write(&asks(Ref(0xef), "clip", 3000, "")).await);
-        assert_eq!(stays.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        world.servers.iter().for_each(|server| server.does.set(Does::Nothing));
+        assert_eq!(stays.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Ignores));
         let mut viewers = vec![];
         for _ in 0..3 {
-            let mut viewer = world.viewer().await;
-            assert!(viewer.says(Kind::Test, Ref(2), Some(0)).await && viewer.hears(ms(1000)).await.is_some());
+            let mut viewer = harness.viewer().await;
+            assert!(
+                viewer.send_signal(Kind::Test, Ref(2), Some(0)).await
+                    && viewer.receive(ms(1000)).await.is_some()
+            );
             viewers.push(viewer);
         }
-        world.signal("-TERM");
+        harness.signal("-TERM");
         let told = Instant::now();
         for (i, (viewer, after)) in viewers.iter_mut().zip([1000, 2500, 3550]).enumerate() {
             sleep((told + ms(after)).saturating_duration_since(Instant::now())).await;
@@ -1055,7 +1069,7 @@
         }
         for (i, viewer) in viewers.iter_mut().enumerate() {
             let left = (told + KILL).saturating_duration_since(Instant::now());
-            let came = viewer.hears(left).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(left).await.map(|came| (came.kind, came.of));
             assert_eq!(came, Some((Kind::Release, Ref(0xf0 + i as u64))), "request {i}");
         }
     });
@@ -1065,34 +1079,34 @@
 fn an_end_told_on_a_connection_that_its_client_is_closing_is_told_again() {
     // What lies first in the sockets: the server's end, or the close.
     for end_first in [true, false] {
-        with(Does::Plays, |world| async move {
-            let (mut first, of) = (world.viewer().await, Ref(0x110));
+        with(Behavior::Plays, |harness| async move {
+            let (mut first, of) = (harness.viewer().await, Ref(0x110));
             assert!(first.write(&asks(of, "clip", 3500, "")).await);
-            assert_eq!(first.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            let server = world.holder();
+            assert_eq!(first.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            let server = harness.holder();
             // The session's own connection is over; another viewer's is there.
             drop(first);
-            let mut second = world.viewer().await;
+            let mut second = harness.viewer().await;
             assert!(second.write(&asks(Ref(0x111), "clip", 3500, "")).await);
-            assert_eq!(second.hears(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            assert_eq!(second.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             sleep(ms(100)).await;
-            world.stops().await;
-            let before = server.wrote.get();
+            harness.stops().await;
+            let before = server.written_bytes.get();
             if end_first {
                 server.release(0, of, 16);
-                waits("its end is written", || server.wrote.get() > before).await;
+                waits("its end is written", || server.written_bytes.get() > before).await;
             }
             drop(second);
             if !end_first {
                 server.release(0, of, 16);
-                waits("its end is written", || server.wrote.get() > before).await;
+                waits("its end is written", || server.written_bytes.get() > before).await;
             }
-            world.goes_on();
+            harness.goes_on();
             sleep(ms(300)).await;
-            let mut third = world.viewer().await;
+            let mut third = harness.viewer().await;
             assert!(third.write(&asks(Ref(0x112), "clip", 3500, "")).await);
             let mut came = vec![];
-            while let Some(signal) = third.hears(ms(500)).await {
+            while let Some(signal) = third.receive(ms(500)).await {
                 came.push((signal.kind, signal.of));
             }
             assert!(came.contains(&(Kind::Release, of)), "end first {end_first}: {came:?}");
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,7 +1,8 @@
 //! A viewing's whole way on sockets while what it relies on changes: keys, clocks, the manager itself, its players.
 
-mod world;
+mod harness;
 
+use harness::{Harness, get, looked_through, ms, places, set_ups, with};
 use hyper::StatusCode;
 use ivyward_fleet::ServerNo;
 use ivyward_standin::What;
@@ -11,7 +12,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use world::{World, get, looked_through, ms, places, set_ups, with};
 
 const KEYS: &str = r#"key { id: "trial" secret: "for trying only, not for any service" }"#;
 const NEXT: &str = r#"key { id: "next" secret: "the one that comes after the trial's" }"#;
@@ -21,29 +21,29 @@
 }
 
 /// Settings with other keys, of which `signs` signs.
-fn keyed(world: &World, keys: &str, signs: &str) -> String {
-    world.text.replace(KEYS, keys).replace("signs: \"trial\"", &format!("signs: \"{signs}\""))
+fn keyed(harness: &Harness, keys: &str, signs: &str) -> String {
+    harness.text.replace(KEYS, keys).replace("signs: \"trial\"", &format!("signs: \"{signs}\""))
 }
 
 /// The manager and the servers are given other keys.
-async fn change(world: &World, keys: &str, signs: &str) {
-    let text = keyed(world, keys, signs);
+async fn change(harness: &Harness, keys: &str, signs: &str) {
+    let text = keyed(harness, keys, signs);
     let settings = ivyward_daemon::read(&text).expect("settings that fit");
-    world.standins.keys(ivyward_daemon::setup::keys(&settings.one("tokens")).expect("keys"));
-    world.texts.send(text).expect("a manager");
+    harness.standins.keys(ivyward_daemon::setup::keys(&settings.one("tokens")).expect("keys"));
+    harness.texts.send(text).expect("a manager");
     sleep(ms(150)).await;
 }
 
 #[test]
 fn a_key_changes_while_a_viewing_plays() {
-    with(plain, |world| async move {
-        let old = world.token(2, "clip");
-        let mut page = world.ask(1, "clip").await;
+    with(plain, |harness| async move {
+        let old = harness.token(2, "clip");
+        let mut page = harness.ask(1, "clip").await;
         let (first, mut again) = places(&page);
         for (keys, signs) in
             [(format!("{KEYS} {NEXT}"), "trial"), (format!("{KEYS} {NEXT}"), "next"), (NEXT.into(), "next")]
         {
-            change(&world, &keys, signs).await;
+            change(&harness, &keys, signs).await;
             let next = get(&again).await;
             assert_eq!(next.status, StatusCode::OK, "{signs} signs: {:?}", next.refused);
             looked_through(&next, Some(&page));
@@ -52,14 +52,14 @@
             assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::OK, "{signs} signs");
             page = next;
         }
-        assert_eq!(set_ups(&world.records()).len(), 1, "it stayed one viewing at one server");
+        assert_eq!(set_ups(&harness.records()).len(), 1, "it stayed one viewing at one server");
         // What only the old key speaks for is taken no more, by the manager and by the server.
-        let page = get(&world.url(&old)).await;
+        let page = get(&harness.url(&old)).await;
         assert_eq!((page.status.as_u16(), page.refused.as_deref()), (401, Some("unknown-key")));
         let page = get(&format!("{first}r0/1.m4s")).await;
         assert_eq!((page.status.as_u16(), page.refused.as_deref()), (401, Some("unknown-key")));
         // Settings that can't be taken change nothing.
-        world.texts.send("tokens { key {".into()).expect("a manager");
+        harness.texts.send("tokens { key {".into()).expect("a manager");
         sleep(ms(100)).await;
         assert_eq!(get(&again).await.status, StatusCode::OK);
     });
@@ -75,8 +75,8 @@
             .replace("join_target_s: 1 patience_s: 5", "join_target_s: 0.9 patience_s: 1")
             .replace("patience_s: 4", "patience_s: 1")
     };
-    with(short, |world| async move {
-        let first = world.ask(1, "ticket").await;
+    with(short, |harness| async move {
+        let first = harness.ask(1, "ticket").await;
         assert_eq!(first.status, StatusCode::OK);
         let (base, again) = places(&first);
         let mut refused = None;
@@ -90,53 +90,53 @@
         }
         assert_eq!(refused.as_deref(), Some("expired"), "the server turns it away and says why");
         assert_eq!(get(&again).await.refused.as_deref(), Some("expired"));
-        let page = world.ask(1, "ticket").await;
+        let page = harness.ask(1, "ticket").await;
         assert_eq!(page.status, StatusCode::OK, "the app's new token");
         looked_through(&page, Some(&first));
         let (base, _) = places(&page);
         assert_eq!(get(&format!("{base}r0/2.m4s")).await.status, StatusCode::OK);
-        assert_eq!(set_ups(&world.records()).len(), 1, "paid, and never set up again");
+        assert_eq!(set_ups(&harness.records()).len(), 1, "paid, and never set up again");
     });
 }
 
 #[test]
 fn a_copied_token_serves_one_player_and_a_revoked_one_none() {
-    with(plain, |world| async move {
-        let token = world.token(1, "clip");
-        let (_, again) = places(&get(&world.url(&token)).await);
+    with(plain, |harness| async move {
+        let token = harness.token(1, "clip");
+        let (_, again) = places(&get(&harness.url(&token)).await);
         // Both ask with copies of one token; the second to go on from there is turned away.
         let (_, mine) = places(&get(&again).await);
         let (_, theirs) = places(&get(&again).await);
         let (base, mine) = places(&get(&mine).await);
-        for copy in [&theirs, &again, &world.url(&token)] {
+        for copy in [&theirs, &again, &harness.url(&token)] {
             let page = get(copy).await;
             assert_eq!((page.status.as_u16(), page.refused.as_deref()), (401, Some("replayed")), "{copy}");
         }
         assert_eq!(get(&mine).await.status, StatusCode::OK, "the first goes on");
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::OK);
-        let text = world.text.replace("signs:", &format!("revoked: \"{:032x}\" signs:", 1));
-        world.texts.send(text).expect("a manager");
-        world.until("its stream ends", |w| w.streams() == 0).await;
-        for url in [mine, world.url(&world.token(1, "clip"))] {
+        let text = harness.text.replace("signs:", &format!("revoked: \"{:032x}\" signs:", 1));
+        harness.texts.send(text).expect("a manager");
+        harness.until("its stream ends", |w| w.streams() == 0).await;
+        for url in [mine, harness.url(&harness.token(1, "clip"))] {
             assert_eq!(get(&url).await.refused.as_deref(), Some("revoked"));
         }
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::NOT_FOUND);
-        assert_eq!(world.ask(2, "clip").await.status, StatusCode::OK, "others are as before");
+        assert_eq!(harness.ask(2, "clip").await.status, StatusCode::OK, "others are as before");
     });
 }
 
 #[test]
 fn clocks_that_jump_by_an_hour_turn_nobody_away() {
-    with(plain, |world| async move {
+    with(plain, |harness| async move {
         // The servers' dates have been heard by then.
         for session in 1..=6 {
-            assert_eq!(world.ask(session, "clip").await.status, StatusCode::OK);
+            assert_eq!(harness.ask(session, "clip").await.status, StatusCode::OK);
         }
         sleep(ms(5500)).await;
-        let page = world.ask(7, "clip").await;
+        let page = harness.ask(7, "clip").await;
         let (_, mut again) = places(&page);
         for ahead in [3600, -3600, 0] {
-            world.ahead.store(ahead, Ordering::Relaxed);
+            harness.ahead.store(ahead, Ordering::Relaxed);
             let next = get(&again).await;
             assert_eq!(next.status, StatusCode::OK, "{ahead} s ahead: {:?}", next.refused);
             looked_through(&next, Some(&page));
@@ -144,7 +144,7 @@
             (base, again) = places(&next);
             let segment = get(&format!("{base}r0/1.m4s")).await;
             assert_eq!(segment.status, StatusCode::OK, "{ahead} s ahead: {:?}", segment.refused);
-            let new = world.ask(100 + u128::from(ahead.unsigned_abs()), "clip").await;
+            let new = harness.ask(100 + u128::from(ahead.unsigned_abs()), "clip").await;
             assert_eq!(new.status, StatusCode::OK, "{ahead} s ahead: {:?}", new.refused);
         }
     });
@@ -153,33 +153,33 @@
 #[test]
 fn a_server_whose_clock_jumps_gets_nothing_until_it_goes_right_again() {
     for ahead in [3600, -3600] {
-        with(plain, |world| async move {
+        with(plain, |harness| async move {
             for session in 1..=8 {
-                assert_eq!(world.ask(session, "clip").await.status, StatusCode::OK);
+                assert_eq!(harness.ask(session, "clip").await.status, StatusCode::OK);
             }
             sleep(ms(5500)).await;
             let off = ServerNo(1);
-            world.standins.clock(off, ahead);
-            world
+            harness.standins.clock(off, ahead);
+            harness
                 .until("what played there is over", |w| w.standins.model(|fleet| fleet.streams(off)) == 0)
                 .await;
-            world.records();
+            harness.records();
             for session in 20..40 {
-                let (base, _) = places(&world.ask(session, "clip").await);
+                let (base, _) = places(&harness.ask(session, "clip").await);
                 let segment = get(&format!("{base}r0/1.m4s")).await;
                 assert_eq!(segment.status, StatusCode::OK, "{:?}", segment.refused);
             }
-            assert!(set_ups(&world.records()).iter().all(|(at, ..)| *at != off), "nothing new goes there");
-            world.standins.clock(off, 0);
+            assert!(set_ups(&harness.records()).iter().all(|(at, ..)| *at != off), "nothing new goes there");
+            harness.standins.clock(off, 0);
             let mut session = 100;
             let begun = Instant::now();
-            while world.standins.model(|fleet| fleet.streams(off)) == 0 {
+            while harness.standins.model(|fleet| fleet.streams(off)) == 0 {
                 assert!(
                     begun.elapsed() < Duration::from_secs(40),
                     "it gets nothing, though its clock goes right"
                 );
                 session += 1;
-                world.ask(session, "clip").await;
+                harness.ask(session, "clip").await;
                 sleep(ms(200)).await;
             }
         });
@@ -189,24 +189,24 @@
 #[test]
 fn a_manager_that_comes_back_goes_on_with_what_plays() {
     let held = |text: String| text.replace("lease_s: 1", "lease_s: 30");
-    with(held, |world| async move {
+    with(held, |harness| async move {
         let (mut again, mut pages) = (vec![], vec![]);
         for session in 0..12 {
-            let page = world.ask(session, if session % 3 == 0 { "ticket" } else { "clip" }).await;
+            let page = harness.ask(session, if session % 3 == 0 { "ticket" } else { "clip" }).await;
             assert_eq!(page.status, StatusCode::OK);
             again.push(places(&page).1);
             pages.push(page);
         }
         // Dates are whole seconds: a begin that moved is seen.
         sleep(ms(1100)).await;
-        let old = world.address.to_string();
-        let (address, end, ended) = world.again().await;
-        world.records();
+        let old = harness.address.to_string();
+        let (address, end, ended) = harness.again().await;
+        harness.records();
         // Players ask the new start at once, some before it has heard from their servers.
         for (session, (url, before)) in again.iter().zip(&pages).enumerate() {
             // Some come with a new token of the app's instead.
-            let new =
-                world.url(&world.token(session as u128, if session % 3 == 0 { "ticket" } else { "clip" }));
+            let new = harness
+                .url(&harness.token(session as u128, if session % 3 == 0 { "ticket" } else { "clip" }));
             let url = if session % 4 == 3 { &new } else { url };
             let page = get(&url.replace(&old, &address.to_string())).await;
             assert_eq!(page.status, StatusCode::OK, "{:?}", page.refused);
@@ -214,7 +214,11 @@
             let (base, _) = places(&page);
             assert_eq!(get(&format!("{base}r0/2.m4s")).await.status, StatusCode::OK);
         }
-        assert_eq!((set_ups(&world.records()).len(), world.streams()), (0, 12), "nothing was set up again");
+        assert_eq!(
+            (set_ups(&harness.records()).len(), harness.streams()),
+            (0, 12),
+            "nothing was set up again"
+        );
         end.send(()).expect("a manager");
         let came = loop {
             match ended.try_recv() {
@@ -234,33 +238,33 @@
         text.replace("lease_s: 1", "lease_s: 30")
             .replace("listen:", &format!("state_dir: \"{kept}\" listen:"))
     };
-    with(tweak, |mut world| async move {
+    with(tweak, |mut harness| async move {
         // One plays on, one is frozen with its server, one is over: all three come again with new tokens of the app's.
         let mut at = vec![];
         for session in 1..=3 {
-            let page = world.ask(session, "ticket").await;
+            let page = harness.ask(session, "ticket").await;
             assert_eq!(page.status, StatusCode::OK);
-            let sent = world.records();
+            let sent = harness.records();
             at.extend(set_ups(&sent).first().map(|(at, ..)| *at));
             if session == 3 {
                 let (base, _) = places(&page);
                 assert_eq!(get(&format!("{base}r0/10.m4s")).await.status, StatusCode::OK);
-                world.until("its end", |w| w.streams() == 2).await;
+                harness.until("its end", |w| w.streams() == 2).await;
             }
         }
-        world.standins.freeze(at[1]);
-        let old = world.address.to_string();
-        world.end().await.0.expect("a good end");
-        let (address, end, _) = world.again().await;
-        world.records();
+        harness.standins.freeze(at[1]);
+        let old = harness.address.to_string();
+        harness.end().await.0.expect("a good end");
+        let (address, end, _) = harness.again().await;
+        harness.records();
         for session in 1..=3 {
-            let url = world.url(&world.token(session, "ticket")).replace(&old, &address.to_string());
+            let url = harness.url(&harness.token(session, "ticket")).replace(&old, &address.to_string());
             let page = timeout(ms(9000), get(&url)).await.expect("an answer in time");
             let wanted = if at[session as usize - 1] != at[1] && session == 1 { 200 } else { 502 };
             assert_eq!(page.status.as_u16(), wanted, "session {session}");
         }
-        assert_eq!(set_ups(&world.records()), [], "nothing paid was set up again");
-        let url = world.url(&world.token(9, "ticket")).replace(&old, &address.to_string());
+        assert_eq!(set_ups(&harness.records()), [], "nothing paid was set up again");
+        let url = harness.url(&harness.token(9, "ticket")).replace(&old, &address.to_string());
         assert_eq!(get(&url).await.status, StatusCode::OK, "a new one is");
         end.send(()).ok();
     });
@@ -269,26 +273,26 @@
 
 #[test]
 fn what_a_killed_manager_left_at_a_frozen_server_never_runs() {
-    with(plain, |world| async move {
-        for at in world.all() {
-            world.standins.freeze(at);
+    with(plain, |harness| async move {
+        for at in harness.all() {
+            harness.standins.freeze(at);
         }
         let asked: Vec<_> = (0..4_u128)
             .map(|session| {
-                let url = world.url(&world.token(session, "clip"));
+                let url = harness.url(&harness.token(session, "clip"));
                 spawn_local(async move { timeout(ms(8000), get(&url)).await })
             })
             .collect();
-        world.until("set-ups are out", |w| w.sent() >= 4).await;
-        let (_, end, _) = world.again().await;
+        harness.until("set-ups are out", |w| w.sent() >= 4).await;
+        let (_, end, _) = harness.again().await;
         sleep(ms(300)).await;
-        for at in world.all() {
-            world.standins.thaw(at);
+        for at in harness.all() {
+            harness.standins.thaw(at);
         }
         // The new start has made itself known before what the old one sent gets its turn, or its lease ends it.
-        world.until("nothing is held for nobody", |w| w.streams() <= 4).await;
+        harness.until("nothing is held for nobody", |w| w.streams() <= 4).await;
         sleep(ms(2500)).await;
-        assert_eq!(world.streams(), 0, "no place is held longer than the lease");
+        assert_eq!(harness.streams(), 0, "no place is held longer than the lease");
         for task in asked {
             assert!(task.await.expect("a task").is_ok(), "each has its answer");
         }
@@ -299,12 +303,12 @@
 #[test]
 fn readers_that_never_read_are_cut_off() {
     let quick = |text: String| text.replace("listen:", "head_within_s: 8.5 listen:");
-    with(quick, |world| async move {
+    with(quick, |harness| async move {
         let request = format!(
             "GET /mpd/how-to-charge.mpd?token={} HTTP/1.1\r\nhost: a\r\n\r\n",
-            world.token(1, "clip")
+            harness.token(1, "clip")
         );
-        let mut stream = TcpStream::connect(world.address).await.expect("a connection");
+        let mut stream = TcpStream::connect(harness.address).await.expect("a connection");
         let begun = Instant::now();
         let cut = async {
             loop {
@@ -318,7 +322,7 @@
             }
         };
         assert!(timeout(ms(40_000), cut).await.is_ok(), "it stays connected after {:?}", begun.elapsed());
-        assert_eq!(world.ask(2, "clip").await.status, StatusCode::OK, "others are answered");
+        assert_eq!(harness.ask(2, "clip").await.status, StatusCode::OK, "others are answered");
     });
 }
 
@@ -328,20 +332,21 @@
         text.replace("limits {", "limits { connections: 4")
             .replace("ration { span_s: 5 free: 5 share: 0.2 }", "")
     };
-    with(bound, |world| async move {
-        for at in world.all() {
-            world.standins.freeze(at);
+    with(bound, |harness| async move {
+        for at in harness.all() {
+            harness.standins.freeze(at);
         }
         let begun = Instant::now();
         let asked: Vec<_> = (0..80_u128)
             .map(|session| {
-                let url = world.url(&world.token(session, "clip"));
+                let url = harness.url(&harness.token(session, "clip"));
                 spawn_local(async move { get(&url).await.status })
             })
             .collect();
         let mut most = 0;
         while asked.iter().any(|task| !task.is_finished()) {
-            most = most.max(world.all().into_iter().map(|at| world.standins.open_at(at)).max().unwrap_or(0));
+            most =
+                most.max(harness.all().into_iter().map(|at| harness.standins.open_at(at)).max().unwrap_or(0));
             sleep(ms(5)).await;
             assert!(begun.elapsed() < Duration::from_secs(20), "some request was never answered");
         }
@@ -366,7 +371,7 @@
         b"HTTP/1.1 100 Continue\r\n\r\n",
         b"HTTP/1.1 201 Created\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
     ];
-    with(plain, |world| async move {
+    with(plain, |harness| async move {
         // A manager whose only servers answer like this.
         for bytes in odd {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
@@ -382,14 +387,14 @@
                     });
                 }
             });
-            let lines = world.text.lines().filter(|line| !line.starts_with("list_address"));
+            let lines = harness.text.lines().filter(|line| !line.starts_with("list_address"));
             let text = lines.collect::<Vec<_>>().join("\n");
             let text = format!("{text}\nserver {{ address: \"{address}\" cell: 3 }}\n");
-            let (rogue, end, ended) = world.start_with(text).await;
+            let (rogue, end, ended) = harness.start_with(text).await;
             for (session, package) in [(1, "clip"), (2, "ticket"), (3, "replay")] {
-                let url = world
-                    .url(&world.token(session, package))
-                    .replace(&world.address.to_string(), &rogue.to_string());
+                let url = harness
+                    .url(&harness.token(session, package))
+                    .replace(&harness.address.to_string(), &rogue.to_string());
                 let page = timeout(ms(9000), get(&url)).await.expect("an answer in time");
                 assert!(
                     [200, 502, 503].contains(&page.status.as_u16()),
@@ -408,6 +413,6 @@
             assert_eq!(came.map(|ended| ended.breaches), Ok(0), "{}", bytes.escape_ascii());
             serving.abort();
         }
-        assert_eq!(world.records().iter().filter(|r| matches!(r.what, What::SetUp { .. })).count(), 0);
+        assert_eq!(harness.records().iter().filter(|r| matches!(r.what, What::SetUp { .. })).count(), 0);
     });
 }
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -1,12 +1,13 @@
 //! Several managers, each a process of the program, with paths between them that are cut, held back and reset, and
 //! processes that are killed, stopped and started anew. What happened is judged by what the stand-in servers saw.
 
-mod world;
+mod harness;
 
+use harness::{Page, get, ms, standins, token};
 use hyper::StatusCode;
 use ivyward_between::{Does, Path};
 use ivyward_daemon::setup;
-use ivyward_fleet::Over;
+use ivyward_fleet::StreamEnd;
 use ivyward_standin::{Standins, What};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -20,7 +21,6 @@
 use tokio::process::{Child, Command};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
-use world::{Page, get, ms, standins, token};
 
 const MEMBERS: usize = 3;
 const PAID: &str = "ticket";
@@ -197,7 +197,9 @@
 
     /// Streams that a manager had its server end.
     fn released(&self) -> usize {
-        self.standins.records().count(|what| matches!(what, What::StreamOver { why: Over::Released, .. }))
+        self.standins
+            .records()
+            .count(|what| matches!(what, What::StreamOver { why: StreamEnd::Released, .. }))
     }
 
     async fn page(&self, i: usize) -> Value {
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -1,7 +1,8 @@
 //! A manager on sockets, through what goes wrong with servers and viewers.
 
-mod world;
+mod harness;
 
+use harness::{Harness, free, get, ms, places, set_ups, with};
 use hyper::StatusCode;
 use ivyward_fleet::ServerNo;
 use ivyward_standin::{SetUpEnd, Standing, What};
@@ -14,7 +15,6 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
-use world::{World, free, get, ms, places, set_ups, with};
 
 fn plain(text: String) -> String {
     text
@@ -25,16 +25,16 @@
     text.replace("ration { span_s: 5 free: 5 share: 0.2 }", "")
 }
 
-fn freeze_all(world: &World, on: bool) {
-    for at in world.all() {
-        if on { world.standins.freeze(at) } else { world.standins.thaw(at) }
+fn freeze_all(harness: &Harness, on: bool) {
+    for at in harness.all() {
+        if on { harness.standins.freeze(at) } else { harness.standins.thaw(at) }
     }
 }
 
 #[test]
 fn a_viewing_goes_from_token_to_manifest_to_segments_to_its_end() {
-    with(plain, |world| async move {
-        let page = world.ask(1, "clip").await;
+    with(plain, |harness| async move {
+        let page = harness.ask(1, "clip").await;
         assert_eq!(page.status, StatusCode::OK);
         let (base, again) = places(&page);
         for (segment, status) in [("r0/init.mp4", 200), ("r0/1.m4s", 200), ("r9/1.m4s", 403), ("r0/x", 404)] {
@@ -43,29 +43,29 @@
         // A refresh is the same viewing at the same server.
         let (base, _) = places(&get(&again).await);
         assert_eq!(get(&format!("{base}r0/10.m4s")).await.status, StatusCode::OK);
-        world.until("its end after the last segment", |w| w.streams() == 0).await;
+        harness.until("its end after the last segment", |w| w.streams() == 0).await;
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::NOT_FOUND);
-        assert_eq!(set_ups(&world.records()).len(), 1);
+        assert_eq!(set_ups(&harness.records()).len(), 1);
     });
 }
 
 #[test]
 fn requests_that_are_no_viewing_are_turned_away_before_one_is_taken() {
-    with(plain, |world| async move {
-        let good = world.token(1, "clip");
-        let expired = world.token_for(1, "clip", "how-to-charge", ms(0));
+    with(plain, |harness| async move {
+        let good = harness.token(1, "clip");
+        let expired = harness.token_for(1, "clip", "how-to-charge", ms(0));
         sleep(ms(2100)).await;
-        let other = world.token_for(1, "clip", "bay-4-evening", ms(9000));
-        let package = world.token_for(1, "nothing", "how-to-charge", ms(9000));
+        let other = harness.token_for(1, "clip", "bay-4-evening", ms(9000));
+        let package = harness.token_for(1, "nothing", "how-to-charge", ms(9000));
         let cases = [
-            (world.url(&expired), 401, Some("expired")),
-            (world.url(&format!("{good}x")), 401, Some("forged")),
-            (world.url("a.b.c"), 401, Some("malformed")),
-            (world.url(""), 401, Some("malformed")),
-            (world.url(&other), 403, Some("foreign-title")),
-            (world.url(&package), 403, None),
-            (world.url(&good).replace("how-to-charge", "nothing"), 404, None),
-            (world.url(&good).replace("/mpd/", "/"), 404, None),
+            (harness.url(&expired), 401, Some("expired")),
+            (harness.url(&format!("{good}x")), 401, Some("forged")),
+            (harness.url("a.b.c"), 401, Some("malformed")),
+            (harness.url(""), 401, Some("malformed")),
+            (harness.url(&other), 403, Some("foreign-title")),
+            (harness.url(&package), 403, None),
+            (harness.url(&good).replace("how-to-charge", "nothing"), 404, None),
+            (harness.url(&good).replace("/mpd/", "/"), 404, None),
         ];
         for (url, status, refused) in cases {
             let page = get(&url).await;
@@ -82,25 +82,25 @@
             ("\r\n\r\nnothing of the kind\r\n\r\n".into(), "400"),
         ];
         for (head, status) in heads {
-            let came = world.raw(&[(head.as_bytes(), ms(0))]).await;
+            let came = harness.raw(&[(head.as_bytes(), ms(0))]).await;
             assert!(came.starts_with(&format!("HTTP/1.1 {status}")), "{:.60}: {came:.60}", head);
         }
-        assert_eq!(set_ups(&world.records()), [], "none of these was a viewing");
-        assert_eq!(world.ask(1, "clip").await.status, StatusCode::OK);
+        assert_eq!(set_ups(&harness.records()), [], "none of these was a viewing");
+        assert_eq!(harness.ask(1, "clip").await.status, StatusCode::OK);
     });
 }
 
 #[test]
 fn slow_writers_are_cut_off_and_keep_nobody_waiting() {
     let quick = |text: String| text.replace("listen:", "head_within_s: 8.5 listen:");
-    with(quick, |world| async move {
+    with(quick, |harness| async move {
         let mut slow = vec![];
         for _ in 0..50 {
-            let mut stream = TcpStream::connect(world.address).await.expect("a connection");
+            let mut stream = TcpStream::connect(harness.address).await.expect("a connection");
             stream.write_all(b"GET /mpd/how").await.expect("written");
             slow.push(stream);
         }
-        assert_eq!(world.ask(1, "clip").await.status, StatusCode::OK);
+        assert_eq!(harness.ask(1, "clip").await.status, StatusCode::OK);
         sleep(ms(8800)).await;
         for stream in &mut slow {
             let mut rest = vec![];
@@ -116,23 +116,23 @@
 fn a_server_that_thaws_after_its_viewing_went_elsewhere_keeps_nothing_of_it() {
     with(
         |text| text.replace("lease_s: 1", "lease_s: 60"),
-        |world| async move {
+        |harness| async move {
             // All but one stand still: some viewings are tried there first.
             for at in 0..3 {
-                world.standins.freeze(ServerNo(at));
+                harness.standins.freeze(ServerNo(at));
             }
             let mut answers = vec![];
             for session in 0..12 {
-                answers.push(world.ask(session, "clip").await.status);
+                answers.push(harness.ask(session, "clip").await.status);
             }
             let played = answers.iter().filter(|status| **status == StatusCode::OK).count();
-            let waiting = set_ups(&world.records()).iter().filter(|(at, ..)| *at != ServerNo(3)).count();
+            let waiting = set_ups(&harness.records()).iter().filter(|(at, ..)| *at != ServerNo(3)).count();
             assert!(played >= 6 && waiting >= 1, "{answers:?}, {waiting} at frozen servers");
-            assert_eq!(world.streams(), played);
-            (0..3).for_each(|at| world.standins.thaw(ServerNo(at)));
+            assert_eq!(harness.streams(), played);
+            (0..3).for_each(|at| harness.standins.thaw(ServerNo(at)));
             sleep(ms(300)).await;
             let frozen =
-                (0..3).map(|at| world.standins.model(|fleet| fleet.streams(ServerNo(at)))).sum::<usize>();
+                (0..3).map(|at| harness.standins.model(|fleet| fleet.streams(ServerNo(at)))).sum::<usize>();
             assert_eq!(frozen, 0, "what was given up on plays nothing");
         },
     );
@@ -140,17 +140,17 @@
 
 #[test]
 fn a_tune_in_that_times_out_as_its_answer_is_on_the_way_has_one_answer() {
-    with(unrationed, |world| async move {
+    with(unrationed, |harness| async move {
         // The limit is two fifths of the join target: thaws round it fall on either side.
         for (session, thaw) in (0..10).zip([380, 390, 395, 398, 400, 402, 405, 410, 420, 430]) {
-            freeze_all(&world, true);
-            let standins = world.standins.clone();
-            let all = world.all();
+            freeze_all(&harness, true);
+            let standins = harness.standins.clone();
+            let all = harness.all();
             spawn_local(async move {
                 sleep(ms(thaw)).await;
                 all.into_iter().for_each(|at| standins.thaw(at));
             });
-            let page = world.ask(session, "clip").await;
+            let page = harness.ask(session, "clip").await;
             assert_eq!(page.status, StatusCode::OK, "thawed after {thaw} ms");
             let (base, _) = places(&page);
             assert_eq!(
@@ -159,7 +159,7 @@
                 "thawed after {thaw} ms"
             );
             sleep(ms(150)).await;
-            world.until("one stream a viewing", |w| w.streams() <= session as usize + 1).await;
+            harness.until("one stream a viewing", |w| w.streams() <= session as usize + 1).await;
         }
     });
 }
@@ -168,26 +168,26 @@
 fn paid_set_ups_that_break_are_neither_sent_again_nor_turned_down() {
     // On a fresh connection, and on one that served another viewing before.
     for used in [false, true] {
-        with(plain, |world| async move {
+        with(plain, |harness| async move {
             if used {
                 for session in 0..24 {
-                    assert_eq!(world.ask(session, "clip").await.status, StatusCode::OK);
+                    assert_eq!(harness.ask(session, "clip").await.status, StatusCode::OK);
                 }
             }
-            world.records();
-            world
+            harness.records();
+            harness
                 .all()
                 .into_iter()
-                .for_each(|at| world.standins.fault(at, "break", true, |f| f.breaks = true));
-            let token = world.token(99, "ticket");
-            assert_eq!(get(&world.url(&token)).await.status, StatusCode::BAD_GATEWAY, "used: {used}");
+                .for_each(|at| harness.standins.fault(at, "break", true, |f| f.breaks = true));
+            let token = harness.token(99, "ticket");
+            assert_eq!(get(&harness.url(&token)).await.status, StatusCode::BAD_GATEWAY, "used: {used}");
             // The app asks again with the same token, now that all is well.
-            world
+            harness
                 .all()
                 .into_iter()
-                .for_each(|at| world.standins.fault(at, "break", false, |f| f.breaks = false));
-            assert_eq!(get(&world.url(&token)).await.status, StatusCode::BAD_GATEWAY);
-            let records = world.records();
+                .for_each(|at| harness.standins.fault(at, "break", false, |f| f.breaks = false));
+            assert_eq!(get(&harness.url(&token)).await.status, StatusCode::BAD_GATEWAY);
+            let records = harness.records();
             assert_eq!(set_ups(&records).len(), 1, "used: {used}");
             let broke = |what: &What| matches!(what, What::SetUpOver { how: SetUpEnd::Broke, .. });
             assert!(records.iter().any(|record| broke(&record.what)));
@@ -197,17 +197,17 @@
 
 #[test]
 fn an_idle_connection_that_its_server_closed_is_no_tune_in() {
-    with(plain, |world| async move {
+    with(plain, |harness| async move {
         for session in 0..16 {
-            world.ask(session, "clip").await;
+            harness.ask(session, "clip").await;
         }
-        world.records();
+        harness.records();
         // All die and come back at their old addresses: idle connections are dead, streams are gone.
-        for at in world.all() {
-            world.standins.crash(at);
-            world.standins.start(at);
+        for at in harness.all() {
+            harness.standins.crash(at);
+            harness.standins.start(at);
         }
-        world
+        harness
             .until("all are listed again", |w| {
                 w.all().into_iter().all(|at| w.standins.model(|fleet| fleet.up(at)))
             })
@@ -215,74 +215,76 @@
         sleep(ms(900)).await;
         for session in 100..104 {
             assert_eq!(
-                world.ask(session, "ticket").await.status,
+                harness.ask(session, "ticket").await.status,
                 StatusCode::OK,
                 "a server's new birth takes it"
             );
         }
         let firsts: BTreeSet<_> =
-            set_ups(&world.records()).into_iter().map(|(_, session, n)| (session, n)).collect();
+            set_ups(&harness.records()).into_iter().map(|(_, session, n)| (session, n)).collect();
         assert_eq!(firsts.len(), 4, "each went out once");
     });
 }
 
 #[test]
 fn tokens_of_a_server_before_its_restart_open_nothing() {
-    with(plain, |world| async move {
-        let page = world.ask(1, "clip").await;
+    with(plain, |harness| async move {
+        let page = harness.ask(1, "clip").await;
         let (base, again) = places(&page);
-        for at in world.all() {
-            world.standins.crash(at);
-            world.standins.start(at);
+        for at in harness.all() {
+            harness.standins.crash(at);
+            harness.standins.start(at);
         }
-        world.until("all are up", |w| w.all().into_iter().all(|at| w.standins.model(|f| f.up(at)))).await;
+        harness.until("all are up", |w| w.all().into_iter().all(|at| w.standins.model(|f| f.up(at)))).await;
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::NOT_FOUND);
         sleep(ms(900)).await;
         // Its player asks again and is set up anew, for its package may be.
         let (base, _) = places(&get(&again).await);
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::OK);
-        assert_eq!(world.streams(), 1);
+        assert_eq!(harness.streams(), 1);
     });
 }
 
 #[test]
 fn viewers_that_close_or_never_come_leave_no_place_taken() {
-    with(plain, |world| async move {
-        freeze_all(&world, true);
+    with(plain, |harness| async move {
+        freeze_all(&harness, true);
         let mut viewers = vec![];
         for session in 0..8 {
-            let url = world.url(&world.token(session, "clip"));
-            let path =
-                url.split_once(&world.address.to_string()).map(|(_, path)| path.to_string()).expect("a path");
-            let mut stream = TcpStream::connect(world.address).await.expect("a connection");
+            let url = harness.url(&harness.token(session, "clip"));
+            let path = url
+                .split_once(&harness.address.to_string())
+                .map(|(_, path)| path.to_string())
+                .expect("a path");
+            let mut stream = TcpStream::connect(harness.address).await.expect("a connection");
             stream
                 .write_all(format!("GET {path} HTTP/1.1\r\nhost: a\r\n\r\n").as_bytes())
                 .await
                 .expect("written");
             viewers.push(stream);
         }
-        world.until("set-ups went out", |w| w.sent() >= 4).await;
+        harness.until("set-ups went out", |w| w.sent() >= 4).await;
         drop(viewers);
         sleep(ms(100)).await;
-        freeze_all(&world, false);
+        freeze_all(&harness, false);
         sleep(ms(400)).await;
-        assert_eq!(world.streams(), 0, "closed before the answer");
+        assert_eq!(harness.streams(), 0, "closed before the answer");
         // These get their answers and never come for a segment.
         for session in 10..14 {
-            assert_eq!(world.ask(session, "clip").await.status, StatusCode::OK);
+            assert_eq!(harness.ask(session, "clip").await.status, StatusCode::OK);
         }
-        assert_eq!(world.streams(), 4);
-        world.until("the leases' end", |w| w.streams() == 0).await;
+        assert_eq!(harness.streams(), 4);
+        harness.until("the leases' end", |w| w.streams() == 0).await;
     });
 }
 
 #[test]
 fn hundreds_of_requests_in_one_turn_get_an_answer_each() {
-    with(plain, |world| async move {
+    with(plain, |harness| async move {
         // Each session asks twice, as apps that resend do.
         let tasks: Vec<_> = (0..300_u128)
             .map(|i| {
-                let url = world.url(&world.token(i / 2, if i % 6 < 2 { "ticket" } else { "clip" }));
+                let url = harness.url(&harness.token(i / 2, if i % 6 < 2 { "ticket" } else { "clip" }));
                 spawn_local(async move { get(&url).await })
             })
             .collect();
@@ -299,7 +301,7 @@
         }
         assert!(plays > 60, "{plays}");
         assert!(servers.iter().all(|at| at.len() <= 1), "both requests of a session are sent to one server");
-        let records = world.records();
+        let records = harness.records();
         let sent = set_ups(&records);
         let once: BTreeSet<_> = sent.iter().map(|(_, session, n)| (*session, *n)).collect();
         assert_eq!(sent.len(), once.len(), "no tune-in went out twice");
@@ -308,38 +310,39 @@
 
 #[test]
 fn nothing_goes_to_a_server_after_its_drain_was_told() {
-    with(plain, |world| async move {
-        (0..3).for_each(|at| world.standins.drain(ServerNo(at)));
+    with(plain, |harness| async move {
+        (0..3).for_each(|at| harness.standins.drain(ServerNo(at)));
         let drained = |what: &What| matches!(what, What::Told { standing: Standing::Draining, .. });
-        world.until("the list told of it", |w| w.standins.records().count(drained) == 3).await;
+        harness.until("the list told of it", |w| w.standins.records().count(drained) == 3).await;
         sleep(ms(250)).await;
-        world.records();
+        harness.records();
         for session in 0..10 {
-            world.ask(session, "clip").await;
+            harness.ask(session, "clip").await;
         }
-        let sent = set_ups(&world.records());
+        let sent = set_ups(&harness.records());
         assert!(sent.len() >= 10 && sent.iter().all(|(at, ..)| *at == ServerNo(3)), "{sent:?}");
     });
 }
 
 #[test]
 fn it_ends_in_time_with_every_viewing_answered() {
-    with(plain, |mut world| async move {
-        assert_eq!(world.ask(50, "clip").await.status, StatusCode::OK);
-        freeze_all(&world, true);
+    with(plain, |mut harness| async move {
+        assert_eq!(harness.ask(50, "clip").await.status, StatusCode::OK);
+        freeze_all(&harness, true);
         let tasks: Vec<_> = (0..20_u128)
             .map(|session| {
-                let url = world.url(&world.token(session, if session % 4 == 0 { "ticket" } else { "clip" }));
+                let url =
+                    harness.url(&harness.token(session, if session % 4 == 0 { "ticket" } else { "clip" }));
                 spawn_local(async move { get(&url).await })
             })
             .collect();
         // Probes have failed by then.
-        world.until("set-ups are out", |w| w.sent() > 6).await;
-        let (came, took) = world.end().await;
+        harness.until("set-ups are out", |w| w.sent() > 6).await;
+        let (came, took) = harness.end().await;
         assert_eq!(came.map(|ended| ended.breaches), Ok(0), "no assertion of a rule failed");
         assert!(took < Duration::from_secs(5), "{took:?}");
         let sent: BTreeSet<_> =
-            set_ups(&world.records()).into_iter().map(|(_, session, _)| session).collect();
+            set_ups(&harness.records()).into_iter().map(|(_, session, _)| session).collect();
         let paid = sent.iter().filter(|session| **session % 4 == 0 && **session < 20).count();
         assert!(paid > 0, "{sent:?}");
         for (session, task) in (0..20_u128).zip(tasks) {
@@ -348,7 +351,7 @@
             let wanted = if session % 4 == 0 && sent.contains(&session) { 502 } else { 503 };
             assert_eq!(page.status.as_u16(), wanted, "session {session}");
         }
-        assert!(TcpStream::connect(world.address).await.is_err(), "nothing listens any more");
+        assert!(TcpStream::connect(harness.address).await.is_err(), "nothing listens any more");
     });
 }
 
@@ -357,8 +360,8 @@
     let console = free();
     let with_console =
         move |text: String| text.replacen("manager {", &format!("manager {{ console: \"{console}\""), 1);
-    with(with_console, |world| async move {
-        let (_, again) = places(&world.ask(1, "clip").await);
+    with(with_console, |harness| async move {
+        let (_, again) = places(&harness.ask(1, "clip").await);
         // In the query, then in a header; what can't be read is counted by kind and costs nothing else.
         let query = get(&format!("{again}&CMCD=sn%3D1%2Cbsd%3D300%2C%25%2Cnor%3D7")).await;
         assert_eq!(query.status, StatusCode::OK);
@@ -366,7 +369,7 @@
             .split_once("/mpd")
             .map(|(_, path)| (format!("/mpd{path}"), "CMCD-Status: sn=2,bsd=100"))
             .expect("a path");
-        let came = world
+        let came = harness
             .raw(&[(
                 format!("GET {rest} HTTP/1.1\r\nhost: a\r\n{head}\r\nconnection: close\r\n\r\n").as_bytes(),
                 ms(0),
@@ -386,17 +389,17 @@
     // Warm after two seconds, in which a server bears 13.6 set-ups a second. A request comes every 40 ms.
     let (warm_up, every) = (ms(2000), ms(40));
     let warm = |text: String| unrationed(text).replace("warm_up_s: 0.2", "warm_up_s: 2");
-    with(warm, |world| async move {
-        let world = Rc::new(world);
+    with(warm, |harness| async move {
+        let harness = Rc::new(harness);
         let asked: Rc<RefCell<Vec<(Instant, bool)>>> = Rc::default();
-        let (world_asks, all) = (world.clone(), asked.clone());
+        let (world_asks, all) = (harness.clone(), asked.clone());
         spawn_local(async move {
             loop {
                 let session = all.borrow().len();
                 all.borrow_mut().push((Instant::now(), false));
-                let (world, all) = (world_asks.clone(), all.clone());
+                let (harness, all) = (world_asks.clone(), all.clone());
                 spawn_local(async move {
-                    let page = world.ask(session as u128, "clip").await;
+                    let page = harness.ask(session as u128, "clip").await;
                     all.borrow_mut()[session].1 = page.status == StatusCode::OK;
                 });
                 sleep(every).await;
@@ -413,13 +416,13 @@
             assert!(before >= 0.95, "before: {before:.2} play");
         }
         let down = Instant::now();
-        world.all().into_iter().for_each(|at| world.standins.refuse(at));
+        harness.all().into_iter().for_each(|at| harness.standins.refuse(at));
         sleep(lasts).await;
         let meanwhile = asked.borrow().iter().filter(|(at, played)| *at > down + ms(100) && *played).count();
         assert_eq!(meanwhile, 0, "played meanwhile");
-        let (up, reached) = (Instant::now(), world.sent());
-        world.all().into_iter().for_each(|at| world.standins.accept(at));
-        world.until("a set-up", |w| w.sent() > reached).await;
+        let (up, reached) = (Instant::now(), harness.sent());
+        harness.all().into_iter().for_each(|at| harness.standins.accept(at));
+        harness.until("a set-up", |w| w.sent() > reached).await;
         let first = up.elapsed();
         sleep(warm_up * 2 + ms(3000)).await;
         let mut steps = (0..40).map(|i| ms(100) * i);
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::token::{Given, Keys, Pass, Refusal};
+use crate::token::{GrantedTuneIn, Keys, Refusal, TokenClaims};
 use crate::{check, manifest};
 use base64::prelude::{BASE64_URL_SAFE_NO_PAD, Engine as _};
 use proptest::prelude::*;
@@ -14,9 +14,16 @@
     Duration::from_secs(seconds)
 }
 
-fn pass(given: Option<Given>) -> Pass {
+fn token_claims(granted: Option<GrantedTuneIn>) -> TokenClaims {
     let text = String::from;
-    Pass { session: 7 << 100, title: text("a"), package: text("p"), top: 2, tenant: text("t"), given }
+    TokenClaims {
+        session: 7 << 100,
+        title: text("a"),
+        package: text("p"),
+        top: 2,
+        tenant: text("t"),
+        granted,
+    }
 }
 
 fn keys(signs: &str) -> Keys {
@@ -31,21 +38,32 @@
 fn what_is_minted_is_read_by_any_key_in_force() {
     for signs in ["old", "new", "ed"] {
         let server = ([127, 0, 0, 1], 80).into();
-        let given =
-            Given { manager: "m".into(), birth: u64::MAX, vw: 7, n: 3, server, turn: 9, began: s(99) };
-        for given in [None, Some(given)] {
-            let pass = pass(given);
-            let token = keys(signs).mint(&pass, s(100), s(10)).expect("signed");
-            assert_eq!(keys("old").check(&token, s(105), s(1)), Ok((pass, (s(100), s(110)))), "{signs}");
+        let granted = GrantedTuneIn {
+            manager: "m".into(),
+            birth: u64::MAX,
+            vw: 7,
+            n: 3,
+            server,
+            turn: 9,
+            began: s(99),
+        };
+        for granted in [None, Some(granted)] {
+            let token_claims = token_claims(granted);
+            let token = keys(signs).mint(&token_claims, s(100), s(10)).expect("signed");
+            assert_eq!(
+                keys("old").check(&token, s(105), s(1)),
+                Ok((token_claims, (s(100), s(110)))),
+                "{signs}"
+            );
         }
     }
 }
 
 #[test]
 fn refusals_are_told_apart() {
-    let token = keys("old").mint(&pass(None), s(100), s(10)).expect("signed");
+    let token = keys("old").mint(&token_claims(None), s(100), s(10)).expect("signed");
     let parts: Vec<_> = token.split('.').collect();
-    let other = keys("ed").mint(&pass(None), s(100), s(10)).expect("signed");
+    let other = keys("ed").mint(&token_claims(None), s(100), s(10)).expect("signed");
     let put = |header: &str, claims: &str| {
         let [header, claims] = [header, claims].map(|text| BASE64_URL_SAFE_NO_PAD.encode(text));
         format!("{header}.{claims}.{}", parts[2])
@@ -112,7 +130,7 @@
     assert_eq!(keys.add_secret("k", "short"), Err("is 5 bytes long, under 32".into()));
     assert!(keys.add_ed25519("k", "%", None).is_err_and(|e| e.contains("base64")));
     assert_eq!(keys.add_ed25519("k", "AAAA", None), Err("is 3 bytes long, not 32".into()));
-    assert!(!keys.can_sign() && keys.mint(&pass(None), s(0), s(1)).is_err());
+    assert!(!keys.can_sign() && keys.mint(&token_claims(None), s(0), s(1)).is_err());
     keys.add_ed25519("k", PUBLIC, None).expect("a public key");
     assert!(!keys.can_sign(), "a public key signs nothing");
 }
@@ -145,7 +163,7 @@
     #[test]
     fn no_token_is_taken_that_was_not_minted(at in any::<prop::sample::Index>(), to in any::<u8>(), text in ".{0,300}") {
         let keys = keys("new");
-        let token = keys.mint(&pass(None), s(100), s(10)).expect("signed");
+        let token = keys.mint(&token_claims(None), s(100), s(10)).expect("signed");
         let mut spoilt = token.clone().into_bytes();
         let at = at.index(spoilt.len());
         spoilt[at] = to;
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// No token of ours is longer; longer ones are not looked at.
-const LONGEST: usize = 2048;
+const MAX_TOKEN_BYTES: usize = 2048;
 
 /// Why a token is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
 
 /// What a token entitles to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct TokenClaims {
     /// The session.
     pub session: u128,
     pub title: String,
@@ -59,14 +59,14 @@
     pub top: usize,
     pub tenant: String,
     /// What it was given for; none from the app.
-    pub given: Option<Given>,
+    pub granted: Option<GrantedTuneIn>,
 }
 
 /// What a manager's token was given for: the manager and its start, the viewing there and the tune-in, the server that
 /// it plays at, the token's turn among the viewing's tokens, and the date at which its manifests say that it began, in
 /// whole seconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct GrantedTuneIn {
     pub manager: String,
     pub birth: u64,
     pub vw: u32,
@@ -76,10 +76,10 @@
     pub began: Duration,
 }
 
-impl Given {
+impl GrantedTuneIn {
     /// Whether both are for one tune-in, whatever their turns.
-    pub fn same_tune_in(&self, other: &Given) -> bool {
-        let of = |given: &Given| (given.birth, given.vw, given.n, given.server);
+    pub fn same_tune_in(&self, other: &GrantedTuneIn) -> bool {
+        let of = |granted: &GrantedTuneIn| (granted.birth, granted.vw, granted.n, granted.server);
         self.manager == other.manager && of(self) == of(other)
     }
 }
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// No key signs.
-    pub fn mint(&self, pass: &Pass, now: Duration, life: Duration) -> Result<String, String> {
+    pub fn mint(&self, token_claims: &TokenClaims, now: Duration, life: Duration) -> Result<String, String> {
         let key = self.keys.get(&self.signs).ok_or_else(|| format!("no key {:?}", self.signs))?;
         let signs = key.signs.as_ref().ok_or_else(|| format!("key {:?} can't sign", self.signs))?;
         let mut header = Header::new(key.algorithm);
@@ -158,10 +158,10 @@
         // Dates are whole seconds (RFC 7519, 2); a part of a second more is not life lost.
         let ends = (now + life).as_millis().div_ceil(1000) as u64;
         let mut claims = json!({
-            "vw": format!("{:032x}", pass.session), "title": pass.title, "pkg": pass.package, "top": pass.top,
-            "tenant": pass.tenant, "nbf": now.as_secs(), "exp": ends,
+            "vw": format!("{:032x}", token_claims.session), "title": token_claims.title, "pkg": token_claims.package, "top": token_claims.top,
+            "tenant": token_claims.tenant, "nbf": now.as_secs(), "exp": ends,
         });
-        if let Some(Given { manager, birth, vw, n, server, turn, began }) = &pass.given {
+        if let Some(GrantedTuneIn { manager, birth, vw, n, server, turn, began }) = &token_claims.granted {
             claims["tin"] = json!([manager, birth, vw, n, server.to_string(), turn, began.as_secs()]);
         }
         encode(&header, &claims, signs).map_err(|e| e.to_string())
@@ -173,8 +173,8 @@
     /// Why it is not taken. Dates are looked at only of what is signed.
     pub fn check(
         &self, token: &str, now: Duration, skew: Duration,
-    ) -> Result<(Pass, (Duration, Duration)), Refusal> {
-        if token.len() > LONGEST {
+    ) -> Result<(TokenClaims, (Duration, Duration)), Refusal> {
+        if token.len() > MAX_TOKEN_BYTES {
             return Err(Refusal::Malformed);
         }
         let header = decode_header(token).map_err(|_| Refusal::Malformed)?;
@@ -197,17 +197,17 @@
         if now >= until + skew {
             return Err(Refusal::Expired);
         }
-        let pass = pass(&claims).ok_or(Refusal::Malformed)?;
-        Ok((pass, (from, until)))
+        let token_claims = parse_token_claims(&claims).ok_or(Refusal::Malformed)?;
+        Ok((token_claims, (from, until)))
     }
 }
 
-fn pass(claims: &Value) -> Option<Pass> {
+fn parse_token_claims(claims: &Value) -> Option<TokenClaims> {
     let text = |name: &str| claims[name].as_str().map(String::from);
     let session = text("vw").filter(|vw| vw.len() == 32)?;
-    let given = match &claims["tin"] {
+    let granted = match &claims["tin"] {
         Value::Null => None,
-        tin => Some(Given {
+        tin => Some(GrantedTuneIn {
             manager: tin[0].as_str()?.to_string(),
             birth: tin[1].as_u64()?,
             vw: u32::try_from(tin[2].as_u64()?).ok()?,
@@ -217,12 +217,12 @@
             began: Duration::from_secs(tin[6].as_u64()?),
         }),
     };
-    Some(Pass {
+    Some(TokenClaims {
         session: u128::from_str_radix(&session, 16).ok()?,
         title: text("title")?,
         package: text("pkg")?,
         top: usize::try_from(claims["top"].as_u64()?).ok()?,
         tenant: text("tenant")?,
-        given,
+        granted,
     })
 }
