--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,7 +5,7 @@
 mod notes;
 
 pub use cold::Cold;
-pub use notes::{Note, Notes};
+pub use notes::{LoadNote, LoadNotes};
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -23,7 +23,7 @@
 
 /// A tune-in, as its manager names it: the manager and its start, the viewing there, and the tune-in's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct TuneInKey {
     pub manager: ManagerNo,
     pub birth: u64,
     pub vw: u32,
@@ -32,7 +32,7 @@
 
 /// What a set-up comes to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SetUp {
+pub enum SetUpOutcome {
     /// It ran; the answer goes out after the span.
     Plays(Duration),
     /// Turned away before it ran: full, draining, or older than what is known of its viewing.
@@ -49,7 +49,7 @@
 
 /// Why a stream is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum StreamEnd {
     /// Its last segment was fetched.
     Ended,
     /// Nobody came for it within its lease.
@@ -62,13 +62,13 @@
 
 /// Whether a segment is given.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fetch {
+pub enum FetchOutcome {
     /// Given, this late because of what else is asked of the link and uplink.
-    Given(Duration),
+    Served(Duration),
     /// Nothing plays here by that name.
     Unknown,
     /// Over the rung in force.
-    Over(usize),
+    AboveRung(usize),
 }
 
 /// What may be wrong with a server.
@@ -103,7 +103,7 @@
     born: Option<Duration>,
     birth: u64,
     faults: Faults,
-    streams: BTreeMap<Key, Stream>,
+    streams: BTreeMap<TuneInKey, Stream>,
     /// The latest start of each manager, and the tune-ins that were released up to which number.
     births: BTreeMap<ManagerNo, u64>,
     released: BTreeMap<(ManagerNo, u64, u32), (u16, Duration)>,
@@ -119,7 +119,7 @@
     places: usize,
     guard: f64,
     set_up: Duration,
-    notes: Notes,
+    notes: LoadNotes,
     /// Servers that fell over since they were last asked for.
     fallen: Vec<ServerNo>,
 }
@@ -131,7 +131,7 @@
     /// never; `set_up`: how long one takes.
     pub fn new(
         seed: u64, servers: usize, (cells, racks): (usize, usize), (link, uplink, uneven): (f64, f64, f64),
-        (places, guard, set_up): (usize, f64, Duration), cold: Cold, notes: Notes,
+        (places, guard, set_up): (usize, f64, Duration), cold: Cold, notes: LoadNotes,
     ) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut vary = |kb: f64| kb * (1.0 + uneven * (2.0 * chance.random::<f64>() - 1.0));
@@ -233,10 +233,10 @@
 
     /// A server runs a set-up. `rates`: kB a second of each rung of the title, `lease`: how long it is held for nobody.
     pub fn set_up(
-        &mut self, now: Duration, at: ServerNo, key: Key, rates: &[f64], rung: usize, lease: Duration,
-    ) -> SetUp {
+        &mut self, now: Duration, at: ServerNo, key: TuneInKey, rates: &[f64], rung: usize, lease: Duration,
+    ) -> SetUpOutcome {
         if !self.servers[at.0].up {
-            return SetUp::Breaks;
+            return SetUpOutcome::Breaks;
         }
         let full = self.guard > 0.0 && self.full(now, at) >= self.guard;
         let (places, slow) = (self.places, self.set_up);
@@ -249,22 +249,22 @@
             || released.is_some_and(|(n, _)| key.n <= *n)
             || server.streams.contains_key(&key)
         {
-            return SetUp::Stale;
+            return SetUpOutcome::Stale;
         }
         if server.draining {
-            return SetUp::Draining;
+            return SetUpOutcome::Draining;
         }
         server.set_ups.push_back((now, key.manager));
         if self.cold.falls(now, server.born, places, &mut server.set_ups) {
             self.fallen.push(at);
             self.die(at);
-            return SetUp::Breaks;
+            return SetUpOutcome::Breaks;
         }
         if full || server.streams.len() >= places {
-            return SetUp::Full;
+            return SetUpOutcome::Full;
         }
         if server.faults.errors > 0.0 && self.chance.random::<f64>() < server.faults.errors {
-            return SetUp::Error;
+            return SetUpOutcome::Error;
         }
         let mut takes = slow.mul_f64(server.faults.slow.max(1.0));
         takes = takes.mul_f64(0.7 + 0.6 * self.chance.random::<f64>());
@@ -277,19 +277,19 @@
         };
         server.streams.insert(key, stream);
         match &server.faults {
-            faults if faults.answer_lost => SetUp::AnswerLost,
-            faults if faults.breaks => SetUp::Breaks,
-            _ => SetUp::Plays(takes),
+            faults if faults.answer_lost => SetUpOutcome::AnswerLost,
+            faults if faults.breaks => SetUpOutcome::Breaks,
+            _ => SetUpOutcome::Plays(takes),
         }
     }
 
-    pub fn rung(&mut self, at: ServerNo, key: Key, rung: usize) -> bool {
+    pub fn rung(&mut self, at: ServerNo, key: TuneInKey, rung: usize) -> bool {
         let stream = self.servers[at.0].streams.get_mut(&key);
         stream.map(|stream| stream.rung = rung.min(stream.rates.len() - 1)).is_some()
     }
 
     /// Ends what there is of a tune-in, and whatever of it comes later. Whether it ran here.
-    pub fn release(&mut self, now: Duration, at: ServerNo, key: Key, keep: Duration) -> bool {
+    pub fn release(&mut self, now: Duration, at: ServerNo, key: TuneInKey, keep: Duration) -> bool {
         let server = &mut self.servers[at.0];
         server.released.retain(|_, (_, until)| *until > now);
         let released = server.released.entry((key.manager, key.birth, key.vw)).or_insert((key.n, now));
@@ -299,29 +299,29 @@
 
     /// A player fetches a segment of `span`; the last one ends the stream after its time.
     pub fn fetch(
-        &mut self, now: Duration, at: ServerNo, key: Key, rung: usize, last: bool, span: Duration,
-    ) -> Fetch {
+        &mut self, now: Duration, at: ServerNo, key: TuneInKey, rung: usize, last: bool, span: Duration,
+    ) -> FetchOutcome {
         let share = self.share(now, at);
-        let Some(stream) = self.servers[at.0].streams.get_mut(&key) else { return Fetch::Unknown };
+        let Some(stream) = self.servers[at.0].streams.get_mut(&key) else { return FetchOutcome::Unknown };
         if rung > stream.rung {
-            return Fetch::Over(stream.rung);
+            return FetchOutcome::AboveRung(stream.rung);
         }
         stream.until = now + stream.lease;
         if last {
             stream.ends = Some(now + span);
         }
         // A segment comes in a quarter of its time where the link gives all that is asked.
-        Fetch::Given(span.mul_f64(0.25 / share.max(0.05)))
+        FetchOutcome::Served(span.mul_f64(0.25 / share.max(0.05)))
     }
 
     /// How long ago a player last fetched of a stream that plays.
-    pub fn quiet(&self, now: Duration, at: ServerNo, key: Key) -> Option<Duration> {
+    pub fn quiet(&self, now: Duration, at: ServerNo, key: TuneInKey) -> Option<Duration> {
         let stream = self.servers[at.0].streams.get(&key)?;
         Some((now + stream.lease).saturating_sub(stream.until))
     }
 
     /// The rung in force.
-    pub fn rung_of(&self, at: ServerNo, key: Key) -> Option<usize> {
+    pub fn rung_of(&self, at: ServerNo, key: TuneInKey) -> Option<usize> {
         self.servers[at.0].streams.get(&key).map(|stream| stream.rung)
     }
 
@@ -334,8 +334,8 @@
     }
 
     /// What a manager has there, from that start and from those before it.
-    pub fn playing(&self, at: ServerNo, manager: ManagerNo, birth: u64) -> Vec<Key> {
-        let ours = |key: &&Key| key.manager == manager && key.birth <= birth;
+    pub fn playing(&self, at: ServerNo, manager: ManagerNo, birth: u64) -> Vec<TuneInKey> {
+        let ours = |key: &&TuneInKey| key.manager == manager && key.birth <= birth;
         self.servers[at.0].streams.keys().filter(ours).copied().collect()
     }
 
@@ -351,12 +351,12 @@
     }
 
     /// Streams whose lease ran out or whose title ended. A server that stands still ends nothing.
-    pub fn expire(&mut self, now: Duration) -> Vec<(ServerNo, Key, Over)> {
+    pub fn expire(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, StreamEnd)> {
         let mut over = vec![];
         for (i, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.up && !s.faults.frozen) {
             server.streams.retain(|key, stream| {
                 let ended = stream.ends.is_some_and(|ends| ends <= now);
-                let why = if ended { Over::Ended } else { Over::Lease };
+                let why = if ended { StreamEnd::Ended } else { StreamEnd::Lease };
                 let stays = !ended && stream.until > now;
                 over.extend((!stays).then_some((ServerNo(i), *key, why)));
                 stays
@@ -366,7 +366,7 @@
     }
 
     /// The process dies with all that it had.
-    pub fn die(&mut self, at: ServerNo) -> Vec<Key> {
+    pub fn die(&mut self, at: ServerNo) -> Vec<TuneInKey> {
         let server = &mut self.servers[at.0];
         server.up = false;
         (server.draining, server.faults) = (false, Faults::default());
@@ -392,7 +392,7 @@
     }
 
     /// Notes that are due, each for one tune-in of a manager.
-    pub fn notes(&mut self, now: Duration) -> Vec<(ServerNo, Key, Note)> {
+    pub fn notes(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, LoadNote)> {
         let mut due = vec![];
         for at in self.boxes().filter(|at| self.servers[at.0].up && !self.servers[at.0].faults.frozen) {
             let seen = (self.share(now, at), self.full(now, at), self.full_up(at));
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -1,6 +1,6 @@
 //! Late notes to managers: the share delivered while it is short, and how full links and uplinks are.
 
-use crate::{Key, ManagerNo, ServerNo};
+use crate::{ManagerNo, ServerNo, TuneInKey};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 /// A note, on one of a manager's tune-ins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum LoadNote {
     Share(f64),
     Link(f64),
     Uplink(f64),
@@ -21,7 +21,7 @@
 type Seen = (Duration, (f64, f64, f64));
 
 /// How late notes are and how often they come, and what is still to be told.
-pub struct Notes {
+pub struct LoadNotes {
     seen: Duration,
     told: Duration,
     uplinks: bool,
@@ -31,15 +31,15 @@
     last: BTreeMap<(ServerNo, ManagerNo), (Option<Duration>, Duration)>,
 }
 
-impl Notes {
+impl LoadNotes {
     /// `uplinks`: whether servers tell of their uplinks too.
     pub fn new(seen: Duration, told: Duration, uplinks: bool) -> Self {
-        Notes { seen, told, uplinks, late: Duration::ZERO, past: BTreeMap::new(), last: BTreeMap::new() }
+        LoadNotes { seen, told, uplinks, late: Duration::ZERO, past: BTreeMap::new(), last: BTreeMap::new() }
     }
 
     pub(crate) fn due(
-        &mut self, now: Duration, at: ServerNo, seen: (f64, f64, f64), keys: &BTreeMap<ManagerNo, Key>,
-    ) -> Vec<(Key, Note)> {
+        &mut self, now: Duration, at: ServerNo, seen: (f64, f64, f64), keys: &BTreeMap<ManagerNo, TuneInKey>,
+    ) -> Vec<(TuneInKey, LoadNote)> {
         let past = self.past.entry(at).or_default();
         past.push_back((now, seen));
         let late = self.seen + self.late;
@@ -55,13 +55,13 @@
             let was = short.is_some();
             if (share < FULL && short.is_none_or(|last| now >= last + SHORT_EVERY)) || (was && share >= FULL)
             {
-                due.push((*key, Note::Share(share)));
+                due.push((*key, LoadNote::Share(share)));
                 *short = (share < FULL).then_some(now);
             }
             if now >= *told + self.told {
                 *told = now;
-                due.push((*key, Note::Link(full)));
-                due.extend(self.uplinks.then_some((*key, Note::Uplink(full_up))));
+                due.push((*key, LoadNote::Link(full)));
+                due.extend(self.uplinks.then_some((*key, LoadNote::Uplink(full_up))));
             }
         }
         due
--- a/crates/hints/src/lib.rs
+++ b/crates/hints/src/lib.rs
@@ -1,5 +1,5 @@
 //! CMCD (CTA-5004, and version 2's report mode, CTA-5004-A): what a player says of itself. Each key that is understood goes
-//! straight to whoever listens, as a [`Said`]; what can't be read is skipped and counted by kind, so that one odd key never
+//! straight to whoever listens, as a [`ReportItem`]; what can't be read is skipped and counted by kind, so that one odd key never
 //! costs a report. Values are structured fields (RFC 9651) in queries, headers and reports, and plain JSON in the JSON form.
 
 use percent_encoding::percent_decode_str;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// No report is longer, and no text in one.
-pub const LONGEST: usize = 4096;
-const LONGEST_TEXT: usize = 64;
+pub const MAX_REPORT_BYTES: usize = 4096;
+const MAX_TEXT_BYTES: usize = 64;
 /// Members of a report that are looked at.
-const MOST_KEYS: usize = 64;
+const MAX_KEY_COUNT: usize = 64;
 
 /// The headers that carry keys (CTA-5004, 2.2).
 pub const HEADERS: [&str; 4] = ["cmcd-object", "cmcd-request", "cmcd-session", "cmcd-status"];
@@ -33,7 +33,7 @@
 
 /// One thing that a report says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Said<'a> {
+pub enum ReportItem<'a> {
     /// `sid`, the player's session; `cid`, its content.
     Session(&'a str),
     Content(&'a str),
@@ -60,7 +60,7 @@
 
 /// Why a member was skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Skipped {
+pub enum SkippedKey {
     /// Not a member of a dictionary.
     Malformed,
     /// A key that is known with a value of another kind or out of range.
@@ -72,32 +72,32 @@
 }
 
 /// Reads one dictionary of members: a header's value, or a line of a report.
-pub fn read(text: &str, hear: &mut dyn FnMut(Said), skip: &mut dyn FnMut(Skipped)) {
-    if text.len() > LONGEST {
-        return skip(Skipped::TooMany);
+pub fn read(text: &str, on_item: &mut dyn FnMut(ReportItem), on_skipped: &mut dyn FnMut(SkippedKey)) {
+    if text.len() > MAX_REPORT_BYTES {
+        return on_skipped(SkippedKey::TooMany);
     }
     for (i, member) in members(text).enumerate() {
-        if i == MOST_KEYS {
-            return skip(Skipped::TooMany);
+        if i == MAX_KEY_COUNT {
+            return on_skipped(SkippedKey::TooMany);
         }
         // Each by itself: one that is malformed doesn't take the others with it.
         let parsed: Result<Dictionary, _> = Parser::new(member.as_bytes()).parse();
         let Ok(parsed) = parsed else {
-            skip(Skipped::Malformed);
+            on_skipped(SkippedKey::Malformed);
             continue;
         };
         for (key, entry) in &parsed {
-            let said = match entry {
-                ListEntry::Item(item) => item_says(key.as_str(), &item.bare_item),
+            let report_item = match entry {
+                ListEntry::Item(item) => parse_structured_item(key.as_str(), &item.bare_item),
                 // Lists of version 2 carry one value a rendition type; the last is the latest.
                 ListEntry::InnerList(list) => {
                     let last = list.items.last().map(|item| &item.bare_item);
-                    last.map_or(Err(Skipped::Value), |item| item_says(key.as_str(), item))
+                    last.map_or(Err(SkippedKey::Value), |item| parse_structured_item(key.as_str(), item))
                 }
             };
-            match said {
-                Ok(said) => hear(said),
-                Err(why) => skip(why),
+            match report_item {
+                Ok(report_item) => on_item(report_item),
+                Err(why) => on_skipped(why),
             }
         }
     }
@@ -111,26 +111,26 @@
 }
 
 /// Reads a JSON object of keys (CTA-5004, 2.2).
-pub fn read_json(text: &str, hear: &mut dyn FnMut(Said), skip: &mut dyn FnMut(Skipped)) {
-    let parsed = if text.len() > LONGEST { None } else { serde_json::from_str(text).ok() };
-    let Some(Value::Object(keys)) = parsed else { return skip(Skipped::Malformed) };
+pub fn read_json(text: &str, on_item: &mut dyn FnMut(ReportItem), on_skipped: &mut dyn FnMut(SkippedKey)) {
+    let parsed = if text.len() > MAX_REPORT_BYTES { None } else { serde_json::from_str(text).ok() };
+    let Some(Value::Object(keys)) = parsed else { return on_skipped(SkippedKey::Malformed) };
     for (i, (key, value)) in keys.iter().enumerate() {
-        if i == MOST_KEYS {
-            return skip(Skipped::TooMany);
+        if i == MAX_KEY_COUNT {
+            return on_skipped(SkippedKey::TooMany);
         }
         let last = value.as_array().and_then(|list| list.last()).unwrap_or(value);
-        let said = match last {
+        let report_item = match last {
             Value::Number(number) => match number.as_f64() {
-                Some(x) => says(key, Given::Number(x)),
-                None => Err(Skipped::Value),
+                Some(x) => parse_item(key, RawValue::Number(x)),
+                None => Err(SkippedKey::Value),
             },
-            Value::String(text) => says(key, Given::Text(text)),
-            Value::Bool(truth) => says(key, Given::Truth(*truth)),
-            _ => Err(Skipped::Value),
+            Value::String(text) => parse_item(key, RawValue::Text(text)),
+            Value::Bool(truth) => parse_item(key, RawValue::Flag(*truth)),
+            _ => Err(SkippedKey::Value),
         };
-        match said {
-            Ok(said) => hear(said),
-            Err(why) => skip(why),
+        match report_item {
+            Ok(report_item) => on_item(report_item),
+            Err(why) => on_skipped(why),
         }
     }
 }
@@ -154,54 +154,56 @@
     text.split(split).map(str::trim).filter(|member| !member.is_empty())
 }
 
-enum Given<'a> {
+enum RawValue<'a> {
     Number(f64),
     Text(&'a str),
-    Truth(bool),
+    Flag(bool),
 }
 
-fn item_says<'a>(key: &str, item: &'a BareItem) -> Result<Said<'a>, Skipped> {
+fn parse_structured_item<'a>(key: &str, item: &'a BareItem) -> Result<ReportItem<'a>, SkippedKey> {
     match item {
-        BareItem::Integer(x) => says(key, Given::Number(i64::from(*x) as f64)),
-        BareItem::Decimal(x) => says(key, Given::Number(f64::from(*x))),
-        BareItem::String(text) => says(key, Given::Text(text.as_str())),
-        BareItem::Token(text) => says(key, Given::Text(text.as_str())),
-        BareItem::Boolean(truth) => says(key, Given::Truth(*truth)),
+        BareItem::Integer(x) => parse_item(key, RawValue::Number(i64::from(*x) as f64)),
+        BareItem::Decimal(x) => parse_item(key, RawValue::Number(f64::from(*x))),
+        BareItem::String(text) => parse_item(key, RawValue::Text(text.as_str())),
+        BareItem::Token(text) => parse_item(key, RawValue::Text(text.as_str())),
+        BareItem::Boolean(truth) => parse_item(key, RawValue::Flag(*truth)),
         // A date (RFC 9651, 3.3.7) counts in seconds, `ts` in milliseconds.
-        BareItem::Date(date) => says(key, Given::Number(i64::from(date.unix_seconds()) as f64 * 1000.0)),
-        _ => Err(Skipped::Value),
+        BareItem::Date(date) => {
+            parse_item(key, RawValue::Number(i64::from(date.unix_seconds()) as f64 * 1000.0))
+        }
+        _ => Err(SkippedKey::Value),
     }
 }
 
-fn says<'a>(key: &str, given: Given<'a>) -> Result<Said<'a>, Skipped> {
+fn parse_item<'a>(key: &str, raw_value: RawValue<'a>) -> Result<ReportItem<'a>, SkippedKey> {
     /// Whole numbers up to what a structured field can hold (RFC 9651, 3.3.1).
     const MOST: f64 = 999_999_999_999_999.0;
-    let number = |given: &Given| match given {
-        Given::Number(x) if (0.0..=MOST).contains(x) => Ok(*x as u64),
-        _ => Err(Skipped::Value),
+    let number = |raw_value: &RawValue| match raw_value {
+        RawValue::Number(x) if (0.0..=MOST).contains(x) => Ok(*x as u64),
+        _ => Err(SkippedKey::Value),
     };
-    let ms = |given: &Given| number(given).map(Duration::from_millis);
-    let text = |given: &Given<'a>| match given {
-        Given::Text(text) if text.len() <= LONGEST_TEXT => Ok(*text),
-        _ => Err(Skipped::Value),
+    let ms = |raw_value: &RawValue| number(raw_value).map(Duration::from_millis);
+    let text = |raw_value: &RawValue<'a>| match raw_value {
+        RawValue::Text(text) if text.len() <= MAX_TEXT_BYTES => Ok(*text),
+        _ => Err(SkippedKey::Value),
     };
     Ok(match key {
-        "sid" => Said::Session(text(&given)?),
-        "cid" => Said::Content(text(&given)?),
-        "sn" => Said::Sequence(number(&given)?),
-        "ts" => Said::Sent(ms(&given)?),
-        "msd" => Said::StartUp(ms(&given)?),
-        "bsd" => Said::Stalled(ms(&given)?),
-        "bsda" => Said::StalledInAll(ms(&given)?),
-        "bsa" => Said::Stalls(number(&given)?),
-        "bl" => Said::Buffer(ms(&given)?),
-        "br" => Said::Rate(number(&given)?),
-        "mtp" => Said::Throughput(number(&given)?),
-        "bs" => match given {
-            Given::Truth(true) => Said::Starved,
-            _ => return Err(Skipped::Value),
+        "sid" => ReportItem::Session(text(&raw_value)?),
+        "cid" => ReportItem::Content(text(&raw_value)?),
+        "sn" => ReportItem::Sequence(number(&raw_value)?),
+        "ts" => ReportItem::Sent(ms(&raw_value)?),
+        "msd" => ReportItem::StartUp(ms(&raw_value)?),
+        "bsd" => ReportItem::Stalled(ms(&raw_value)?),
+        "bsda" => ReportItem::StalledInAll(ms(&raw_value)?),
+        "bsa" => ReportItem::Stalls(number(&raw_value)?),
+        "bl" => ReportItem::Buffer(ms(&raw_value)?),
+        "br" => ReportItem::Rate(number(&raw_value)?),
+        "mtp" => ReportItem::Throughput(number(&raw_value)?),
+        "bs" => match raw_value {
+            RawValue::Flag(true) => ReportItem::Starved,
+            _ => return Err(SkippedKey::Value),
         },
-        "sta" => Said::State(match text(&given)? {
+        "sta" => ReportItem::State(match text(&raw_value)? {
             "s" => State::Starting,
             "p" => State::Playing,
             "k" => State::Seeking,
@@ -212,9 +214,9 @@
             "f" => State::Failed,
             "q" => State::Quit,
             "d" => State::Preloading,
-            _ => return Err(Skipped::Value),
+            _ => return Err(SkippedKey::Value),
         }),
-        _ => return Err(Skipped::Unknown),
+        _ => return Err(SkippedKey::Unknown),
     })
 }
 
--- a/crates/hints/src/tests.rs
+++ b/crates/hints/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::{Said, Skipped, State, in_query, read, read_json};
+use crate::{ReportItem, SkippedKey, State, in_query, read, read_json};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -7,7 +7,9 @@
 }
 
 /// What was heard, as text, and what was skipped.
-fn heard(with: impl Fn(&mut dyn FnMut(Said), &mut dyn FnMut(Skipped))) -> (Vec<String>, Vec<Skipped>) {
+fn heard(
+    with: impl Fn(&mut dyn FnMut(ReportItem), &mut dyn FnMut(SkippedKey)),
+) -> (Vec<String>, Vec<SkippedKey>) {
     let (mut heard, mut skipped) = (vec![], vec![]);
     with(&mut |said| heard.push(format!("{said:?}")), &mut |why| skipped.push(why));
     (heard, skipped)
@@ -15,32 +17,37 @@
 
 #[test]
 fn keys_are_heard_in_their_order_and_odd_ones_skipped_by_kind() {
-    use Skipped::*;
-    type Case<'a> = (&'a str, &'a [Said<'a>], &'a [Skipped]);
+    use SkippedKey::*;
+    type Case<'a> = (&'a str, &'a [ReportItem<'a>], &'a [SkippedKey]);
     let cases: [Case; 14] = [
         (
             "sid=\"a\",sn=7,ts=1700000000123",
-            &[Said::Session("a"), Said::Sequence(7), Said::Sent(ms(1_700_000_000_123))],
+            &[ReportItem::Session("a"), ReportItem::Sequence(7), ReportItem::Sent(ms(1_700_000_000_123))],
             &[],
         ),
         (
             "msd=840 , bsda=1200,bsa=2,br=3200",
-            &[Said::StartUp(ms(840)), Said::StalledInAll(ms(1200)), Said::Stalls(2), Said::Rate(3200)],
+            &[
+                ReportItem::StartUp(ms(840)),
+                ReportItem::StalledInAll(ms(1200)),
+                ReportItem::Stalls(2),
+                ReportItem::Rate(3200),
+            ],
             &[],
         ),
-        ("sta=r,bs", &[Said::State(State::Rebuffering), Said::Starved], &[]),
-        ("bs=?0,bl=1500.0", &[Said::Buffer(ms(1500))], &[Value]),
+        ("sta=r,bs", &[ReportItem::State(State::Rebuffering), ReportItem::Starved], &[]),
+        ("bs=?0,bl=1500.0", &[ReportItem::Buffer(ms(1500))], &[Value]),
         // A list of one value a rendition type; a comma in a list or in a text parts nothing.
         (
             "br=(200 900),bsd=(10 20);x=1,cid=\"a,b\"",
-            &[Said::Rate(900), Said::Stalled(ms(20)), Said::Content("a,b")],
+            &[ReportItem::Rate(900), ReportItem::Stalled(ms(20)), ReportItem::Content("a,b")],
             &[],
         ),
-        ("sid=\"a\\\"),b\",sn=1", &[Said::Session("a\"),b"), Said::Sequence(1)], &[]),
-        ("ts=@1700000000", &[Said::Sent(ms(1_700_000_000_000))], &[]),
+        ("sid=\"a\\\"),b\",sn=1", &[ReportItem::Session("a\"),b"), ReportItem::Sequence(1)], &[]),
+        ("ts=@1700000000", &[ReportItem::Sent(ms(1_700_000_000_000))], &[]),
         // One odd member doesn't take the others with it.
-        ("sid=,sn=3", &[Said::Sequence(3)], &[Malformed]),
-        ("SID=\"a\",sn=3", &[Said::Sequence(3)], &[Malformed]),
+        ("sid=,sn=3", &[ReportItem::Sequence(3)], &[Malformed]),
+        ("SID=\"a\",sn=3", &[ReportItem::Sequence(3)], &[Malformed]),
         ("sid=\"unended,sn=3", &[], &[Malformed]),
         ("sn=-1,sn=\"x\",sta=z,msd=?1", &[], &[Value, Value, Value, Value]),
         ("com.example-own=1,su,ot=v", &[], &[Unknown, Unknown, Unknown]),
@@ -70,13 +77,13 @@
     // A JSON object has no order.
     said.sort();
     wanted.sort();
-    assert_eq!((said, skipped), (wanted, vec![Skipped::Value]));
+    assert_eq!((said, skipped), (wanted, vec![SkippedKey::Value]));
     assert_eq!(in_query("token=t"), None);
     for odd in ["", "[]", "7", "{", "{\"sid\":"] {
-        assert_eq!(heard(|hear, skip| read_json(odd, hear, skip)).1, [Skipped::Malformed], "{odd}");
+        assert_eq!(heard(|hear, skip| read_json(odd, hear, skip)).1, [SkippedKey::Malformed], "{odd}");
     }
     let odd = in_query("CMCD=%ff").expect("a dictionary");
-    assert_eq!(heard(|hear, skip| read(&odd, hear, skip)).1, [Skipped::Malformed]);
+    assert_eq!(heard(|hear, skip| read(&odd, hear, skip)).1, [SkippedKey::Malformed]);
 }
 
 proptest! {
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -9,7 +9,9 @@
 };
 use ivyward_daemon::setup;
 use ivyward_edge::Shown;
-use ivyward_fleet::{Fetch, Fleet, Key, ManagerNo, Note, Over as Ends, ServerNo, SetUp};
+use ivyward_fleet::{
+    FetchOutcome, Fleet, LoadNote, ManagerNo, ServerNo, SetUpOutcome, StreamEnd as Ends, TuneInKey,
+};
 use ivyward_rules::{Asked, Came, History, Life, Record, SetUpEnd, Terms, What};
 use ivyward_session::{
     Answer, Birth, Breach, Decides, Effects, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
@@ -150,7 +152,7 @@
 /// A set-up on its way: who sent it, and what it says.
 #[derive(Clone)]
 struct Sent {
-    key: Key,
+    key: TuneInKey,
     session: SessionId,
     package: usize,
     title: u64,
@@ -162,11 +164,11 @@
 type About = (SessionId, usize, u64, usize);
 
 /// What a viewer wants: session, package, title, until when, and what it watches already.
-type Plan = (SessionId, usize, u64, Duration, Option<(ServerNo, Key)>);
+type Plan = (SessionId, usize, u64, Duration, Option<(ServerNo, TuneInKey)>);
 
-type Job = Box<dyn FnOnce(&mut World)>;
+type Job = Box<dyn FnOnce(&mut Harness)>;
 
-pub struct World {
+pub struct Harness {
     now: Duration,
     jobs: BTreeMap<(Duration, u64), Job>,
     order: u64,
@@ -179,9 +181,9 @@
     rows: Vec<Option<Row>>,
     /// Jobs that wait for a server which stands still.
     still: BTreeMap<ServerNo, Vec<Job>>,
-    abouts: BTreeMap<(ServerNo, Key), About>,
+    abouts: BTreeMap<(ServerNo, TuneInKey), About>,
     /// Set-ups whose connection stands: at which server, and whether it was read there.
-    out: BTreeMap<Key, (ServerNo, bool)>,
+    out: BTreeMap<TuneInKey, (ServerNo, bool)>,
     list_lost: bool,
     history: History,
     breaches: u64,
@@ -205,7 +207,7 @@
     let day = crate::day::read(DAY).expect("the history's own settings");
     let (settings, fleet) = (day.one("settings"), day.one("fleet"));
     let terms = terms_of(&day);
-    let mut world = World {
+    let mut harness = Harness {
         now: START,
         jobs: BTreeMap::new(),
         order: 0,
@@ -225,20 +227,20 @@
         plans: BTreeMap::new(),
         once: false,
     };
-    world.run();
-    let streams: usize = world.fleet.boxes().map(|at| world.fleet.streams(at)).sum();
-    let held = world.managers.iter().filter_map(|m| m.front.as_ref());
+    harness.run();
+    let streams: usize = harness.fleet.boxes().map(|at| harness.fleet.streams(at)).sum();
+    let held = harness.managers.iter().filter_map(|m| m.front.as_ref());
     let left = streams + held.map(|front| front.live() + front.waiting()).sum::<usize>();
-    let lives = world.managers.iter().enumerate().map(|(i, m)| {
+    let lives = harness.managers.iter().enumerate().map(|(i, m)| {
         let gaps = m.gaps.iter().map(|(from, until)| (*from, *until)).collect();
         Life { no: Some(ManagerNo(i as u32)), gaps }
     });
-    world.history.managers = lives.collect();
-    world.history.asked.sort_by_key(|ask| ask.at);
-    Played { terms: world.terms, history: world.history, breaches: world.breaches, left }
+    harness.history.managers = lives.collect();
+    harness.history.asked.sort_by_key(|ask| ask.at);
+    Played { terms: harness.terms, history: harness.history, breaches: harness.breaches, left }
 }
 
-impl World {
+impl Harness {
     fn run(&mut self) {
         let cells = self.settings.one("network").count("places");
         for at in self.fleet.boxes().collect::<Vec<_>>() {
@@ -298,7 +300,7 @@
         waiting.for_each(|ask| ask.came_at = now);
     }
 
-    fn after(&mut self, span: Duration, job: impl FnOnce(&mut World) + 'static) {
+    fn after(&mut self, span: Duration, job: impl FnOnce(&mut Harness) + 'static) {
         self.order += 1;
         self.jobs.insert((self.now + span, self.order), Box::new(job));
     }
@@ -327,7 +329,7 @@
     }
 
     fn does(&mut self, manager: usize, birth: u64, did: Did) {
-        let key = |birth: Birth, vw: ViewingId, n: TuneIn| Key {
+        let key = |birth: Birth, vw: ViewingId, n: TuneIn| TuneInKey {
             manager: ManagerNo(manager as u32),
             birth: birth.0,
             vw: vw.0,
@@ -387,7 +389,7 @@
     }
 
     /// Something that reaches a server: one that stands still comes to it when it goes on; a dead one never.
-    fn at_server(&mut self, server: ServerNo, job: impl FnOnce(&mut World) + 'static) {
+    fn at_server(&mut self, server: ServerNo, job: impl FnOnce(&mut Harness) + 'static) {
         if self.fleet.frozen(server) {
             self.still.entry(server).or_default().push(Box::new(job));
         } else if self.fleet.up(server) {
@@ -452,7 +454,7 @@
             self.settings.one("ladder").list("rung").iter().map(|r| r.number("rate_kb")).collect();
         let lease = self.settings.one("limits").span("lease_s");
         let came = self.fleet.set_up(now, server, key, &rates, sent.rung, lease);
-        if matches!(came, SetUp::Plays(_) | SetUp::AnswerLost | SetUp::Breaks) {
+        if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost | SetUpOutcome::Breaks) {
             self.abouts.insert((server, key), (sent.session, sent.package, sent.title, sent.top));
         }
         if !self.fleet.fallen().is_empty() {
@@ -460,13 +462,13 @@
             self.gone(server, &[]);
         }
         let (how, what, span) = match came {
-            SetUp::Plays(span) => (SetUpEnd::Plays, Happened::Plays, span),
-            SetUp::Full | SetUp::Draining | SetUp::Stale => {
+            SetUpOutcome::Plays(span) => (SetUpEnd::Plays, Happened::Plays, span),
+            SetUpOutcome::Full | SetUpOutcome::Draining | SetUpOutcome::Stale => {
                 (SetUpEnd::Refused, Happened::Refused, Duration::ZERO)
             }
-            SetUp::Error => (SetUpEnd::Errored, Happened::Errored, Duration::ZERO),
-            SetUp::Breaks => (SetUpEnd::Broke, Happened::Broke, Duration::ZERO),
-            SetUp::AnswerLost => return,
+            SetUpOutcome::Error => (SetUpEnd::Errored, Happened::Errored, Duration::ZERO),
+            SetUpOutcome::Breaks => (SetUpEnd::Broke, Happened::Broke, Duration::ZERO),
+            SetUpOutcome::AnswerLost => return,
         };
         self.after(span, move |w| {
             w.at_server(server, move |w| {
@@ -479,12 +481,12 @@
         });
     }
 
-    fn over(&mut self, server: ServerNo, key: Key, how: SetUpEnd) {
+    fn over(&mut self, server: ServerNo, key: TuneInKey, how: SetUpEnd) {
         self.record(What::SetUpOver { server, key, how });
     }
 
     /// The manager hears what became of a set-up.
-    fn happened(&mut self, manager: usize, key: Key, what: Happened) {
+    fn happened(&mut self, manager: usize, key: TuneInKey, what: Happened) {
         let Some((server, _)) = self.out.remove(&key) else { return };
         let load = self.load(server);
         let never_ran = matches!(what, Happened::Refused | Happened::NotWritten);
@@ -496,13 +498,13 @@
     }
 
     /// The manager closes the connection of a set-up.
-    fn closes_set_up(&mut self, key: Key) {
+    fn closes_set_up(&mut self, key: TuneInKey) {
         if let Some((server, true)) = self.out.remove(&key) {
             self.over(server, key, SetUpEnd::Closed);
         }
     }
 
-    fn releases(&mut self, server: ServerNo, key: Key) {
+    fn releases(&mut self, server: ServerNo, key: TuneInKey) {
         if self.fleet.release(self.now, server, key, Duration::from_secs(60)) {
             self.abouts.remove(&(server, key));
             self.record(What::StreamOver { server, key, why: Ends::Released });
@@ -512,7 +514,7 @@
     /// A viewer asks a manager. `given`: its last token, and what it watched; `ends`: when it has seen enough. The request's number.
     fn ask(
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
-        given: Option<(Shown, (ServerNo, Key))>, ends: Duration,
+        given: Option<(Shown, (ServerNo, TuneInKey))>, ends: Duration,
     ) -> usize {
         let (at, up) = (self.now, self.managers[manager].front.is_some());
         let number = self.history.asked.len();
@@ -577,7 +579,8 @@
         let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
         match answer {
             Answer::Plays { server, birth, vw, tune_in, turn, .. } => {
-                let key = Key { manager: ManagerNo(manager as u32), birth: birth.0, vw: vw.0, n: tune_in.0 };
+                let key =
+                    TuneInKey { manager: ManagerNo(manager as u32), birth: birth.0, vw: vw.0, n: tune_in.0 };
                 let shown = Shown::Manager { birth: birth.0, server, turn };
                 // What plays no more is taken as another viewing when its player asks again.
                 self.history.asked[number].new = before != Some((no(server), key));
@@ -599,16 +602,16 @@
     /// A viewer fetches a segment, and every second one asks for its manifest again.
     fn watches(
         &mut self, (manager, session, package, title): (usize, SessionId, usize, u64),
-        (server, key): (ServerNo, Key), shown: Shown, ends: Duration, n: u32,
+        (server, key): (ServerNo, TuneInKey), shown: Shown, ends: Duration, n: u32,
     ) {
         let last = self.now >= ends;
         let fetched = if self.fleet.up(server) && !self.fleet.frozen(server) {
             self.fleet.fetch(self.now, server, key, 0, last, SEGMENT)
         } else {
-            Fetch::Unknown
+            FetchOutcome::Unknown
         };
         let next = (manager, session, package, title);
-        if n.is_multiple_of(2) || fetched == Fetch::Unknown && !last {
+        if n.is_multiple_of(2) || fetched == FetchOutcome::Unknown && !last {
             // The manifest tells where it goes on.
             if self.managers[manager].front.is_some() {
                 self.ask(manager, session, package, title, Some((shown, (server, key))), ends);
@@ -776,13 +779,13 @@
                     return;
                 }
                 let keys = w.fleet.playing(at, ManagerNo(manager as u32), birth);
-                let rungs = |key: &Key| w.fleet.rung_of(at, *key).unwrap_or_default();
+                let rungs = |key: &TuneInKey| w.fleet.rung_of(at, *key).unwrap_or_default();
                 let rows: Vec<_> = keys
                     .iter()
                     .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
                     .collect();
                 w.turn(manager, birth, move |front, hands, now| {
-                    let of = |key: &Key| (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n));
+                    let of = |key: &TuneInKey| (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n));
                     let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
                     front.still(hands, now, id(at), &ids);
                     for (key, (session, package, title, top), rung) in rows {
@@ -807,17 +810,18 @@
         }
         for (at, key, note) in self.fleet.notes(self.now) {
             let news = match note {
-                Note::Share(x) => News::Share(x),
-                Note::Link(x) => News::Link(x),
-                Note::Uplink(x) => News::Uplink(x),
+                LoadNote::Share(x) => News::Share(x),
+                LoadNote::Link(x) => News::Link(x),
+                LoadNote::Uplink(x) => News::Uplink(x),
             };
             self.notes(at, key, move |f, _, now| f.news(now, id(at), ViewingId(key.vw), news));
         }
-        self.after(TICK, World::tick);
+        self.after(TICK, Harness::tick);
     }
 
     fn notes(
-        &mut self, at: ServerNo, key: Key, tell: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static,
+        &mut self, at: ServerNo, key: TuneInKey,
+        tell: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static,
     ) {
         let (manager, way) = (key.manager.0 as usize, self.way());
         let m = &self.managers[manager];
@@ -828,7 +832,7 @@
     }
 
     /// What a server had is gone: its connections break, and managers that come back find nobody.
-    fn gone(&mut self, at: ServerNo, keys: &[Key]) {
+    fn gone(&mut self, at: ServerNo, keys: &[TuneInKey]) {
         for key in keys {
             self.abouts.remove(&(at, *key));
             self.record(What::StreamOver { server: at, key: *key, why: Ends::Died });
@@ -956,7 +960,7 @@
             let part: f64 = self.chance.random();
             let kind = self.chance.random_range(0..12);
             self.after(from, move |w| {
-                let turned = |w: &mut World,
+                let turned = |w: &mut Harness,
                               on: fn(&mut ivyward_fleet::Faults, f64),
                               off: fn(&mut ivyward_fleet::Faults)| {
                     on(w.fleet.faults(at), part);
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use ivyward_daemon::{date, setup};
 use ivyward_dash::manifest;
-use ivyward_dash::token::{Given, Keys, Pass};
+use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_settings::Part;
 use ivyward_standin::Standins;
 use std::cell::{Cell, RefCell};
@@ -180,8 +180,9 @@
             session += 1;
             let (title, package) = (title.clone(), package.clone());
             let about = format!("http://{address}/mpd/{title}.mpd?token=");
-            let pass = Pass { session, title, package, top: 3, tenant: "lab".into(), given: None };
-            Ok(about + &keys.mint(&pass, date(), Duration::from_secs(600))?)
+            let token_claims =
+                TokenClaims { session, title, package, top: 3, tenant: "lab".into(), granted: None };
+            Ok(about + &keys.mint(&token_claims, date(), Duration::from_secs(600))?)
         };
         (0..count).map(one).collect()
     };
@@ -217,13 +218,13 @@
 
 /// Where the time goes: each part by itself, in a loop.
 fn parts(keys: &Keys) {
-    let pass = Pass {
+    let token_claims = TokenClaims {
         session: 7,
         title: "a".into(),
         package: "p".into(),
         top: 3,
         tenant: "lab".into(),
-        given: Some(Given {
+        granted: Some(GrantedTuneIn {
             manager: "m1".into(),
             birth: 1,
             vw: 1,
@@ -233,7 +234,7 @@
             began: Duration::ZERO,
         }),
     };
-    let token = keys.mint(&pass, date(), Duration::from_secs(600)).unwrap_or_default();
+    let token = keys.mint(&token_claims, date(), Duration::from_secs(600)).unwrap_or_default();
     let time = |name: &str, part: &mut dyn FnMut()| {
         let begun = Instant::now();
         (0..TURNS).for_each(|_| part());
@@ -243,7 +244,7 @@
         let _ = black_box(keys.check(&token, date(), Duration::ZERO));
     });
     time("token minted", &mut || {
-        let _ = black_box(keys.mint(&pass, date(), Duration::from_secs(600)));
+        let _ = black_box(keys.mint(&token_claims, date(), Duration::from_secs(600)));
     });
     time("manifest written", &mut || drop(black_box(fixed())));
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -151,7 +151,7 @@
     stopped: Option<Duration>,
 }
 
-pub struct World {
+pub struct Simulation {
     terms: Terms,
     group: Group,
     chance: Pcg64Mcg,
@@ -183,12 +183,12 @@
     usize::from(member.0)
 }
 
-impl World {
+impl Simulation {
     /// Nobody is up yet; all have an empty memory.
-    pub fn new(terms: Terms) -> World {
+    pub fn new(terms: Terms) -> Simulation {
         let members = (0..terms.members).map(|i| (format!("m{:05}", i + 1), zone(i) as u8)).collect();
         let hollow = |_| Hollow { disk: Disk { whole: true, ..Disk::default() }, ..Hollow::default() };
-        World {
+        Simulation {
             terms,
             group: Group::new(members, KEEPERS),
             chance: Pcg64Mcg::seed_from_u64(terms.seed),
@@ -342,7 +342,7 @@
     }
 
     /// Lets time pass until that holds, so long at most; how long it took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&World) -> bool) -> Option<Duration> {
+    pub fn until(&mut self, most: Duration, holds: impl Fn(&Simulation) -> bool) -> Option<Duration> {
         let begun = self.now;
         while !holds(self) {
             if self.now - begun >= most {
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -8,7 +8,7 @@
 use ivyward_daemon::pool::Connection;
 use ivyward_daemon::{date, setup};
 use ivyward_dash::manifest;
-use ivyward_dash::token::{Keys, Pass};
+use ivyward_dash::token::{Keys, TokenClaims};
 use ivyward_settings::Part;
 use ivyward_standin::Standins;
 use std::cell::{Cell, RefCell};
@@ -199,8 +199,8 @@
             let title = self.titles[session as usize % self.titles.len()].clone();
             let about = format!("http://{at}/mpd/{title}.mpd?token=");
             let (package, tenant) = (package.to_string(), "lab".to_string());
-            let pass = Pass { session, title, package, top: 3, tenant, given: None };
-            Ok(about + &self.keys.mint(&pass, date(), Duration::from_secs(3600))?)
+            let token_claims = TokenClaims { session, title, package, top: 3, tenant, granted: None };
+            Ok(about + &self.keys.mint(&token_claims, date(), Duration::from_secs(3600))?)
         };
         (0..count).map(one).collect()
     }
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -39,7 +39,7 @@
 ];
 
 pub struct Client {
-    world: Shared,
+    harness: Shared,
     addresses: Vec<SocketAddr>,
     manager: usize,
     habit: Habit,
@@ -69,11 +69,12 @@
 
 impl Client {
     pub fn new(
-        world: &Shared, addresses: Vec<SocketAddr>, (manager, habit): (usize, Habit), number: u64, most: u64,
+        harness: &Shared, addresses: Vec<SocketAddr>, (manager, habit): (usize, Habit), number: u64,
+        most: u64,
     ) -> Client {
-        let chance = Pcg64Mcg::seed_from_u64(world.plan.seed.wrapping_mul(1000).wrapping_add(number));
+        let chance = Pcg64Mcg::seed_from_u64(harness.plan.seed.wrapping_mul(1000).wrapping_add(number));
         Client {
-            world: world.clone(),
+            harness: harness.clone(),
             addresses,
             manager,
             habit,
@@ -87,7 +88,7 @@
 
     pub async fn lives(mut self) {
         sleep(Duration::from_millis(self.chance.random_range(0..400))).await;
-        while self.world.now() < ASKING_ENDS && self.asked < self.most {
+        while self.harness.now() < ASKING_ENDS && self.asked < self.most {
             let Some(session) = self.connects().await else {
                 // Whoever finds nobody comes to another at once.
                 self.manager = (self.manager + 1) % self.addresses.len();
@@ -100,22 +101,22 @@
                 Habit::Silent => is_silent(session).await,
                 _ => self.converses(session).await,
             }
-            let now = self.world.now();
-            self.world.seen.borrow_mut().viewer_connections[record].3 = Some(now);
+            let now = self.harness.now();
+            self.harness.seen.borrow_mut().viewer_connections[record].3 = Some(now);
         }
     }
 
     async fn connects(&mut self) -> Option<Session> {
-        let now = self.world.now();
-        let life = self.world.seen.borrow().lives[self.manager].last().cloned()?;
+        let now = self.harness.now();
+        let life = self.harness.seen.borrow().lives[self.manager].last().cloned()?;
         let late = life.terminated.is_some_and(|at| now > at + NEW_AFTER_TERM);
         if life.ready.is_none() || late || life.killed.is_some() || life.ended.is_some() {
             return None;
         }
         let stream = timeout(CONNECT, TcpStream::connect(self.addresses[self.manager])).await.ok()?.ok()?;
         stream.set_nodelay(true).ok();
-        let process = self.world.process(self.manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let process = self.harness.process(self.manager);
+        let mut seen = self.harness.seen.borrow_mut();
         seen.viewer_connections.push((self.manager, process, now, None));
         Some(Session {
             stream,
@@ -139,7 +140,7 @@
             }
         }
         loop {
-            let asking = self.world.now() < ASKING_ENDS && self.asked < self.most;
+            let asking = self.harness.now() < ASKING_ENDS && self.asked < self.most;
             let quiet = session.open.is_empty() && session.standing.is_empty();
             if quiet && (!asking || session.used.elapsed() >= IDLE) {
                 return;
@@ -189,11 +190,11 @@
 
     fn draws_request(&mut self, session: &Session) -> Ref {
         self.asked += 1;
-        let of = Ref((self.world.plan.seed << 44) | (self.number << 24) | self.asked);
-        let class = self.chance.random_range(0..self.world.plan.classes.len());
+        let of = Ref((self.harness.plan.seed << 44) | (self.number << 24) | self.asked);
+        let class = self.chance.random_range(0..self.harness.plan.classes.len());
         let patience = match self.habit {
             Habit::Hurried => Duration::from_millis(self.chance.random_range(2..40)),
-            _ => self.world.plan.classes[class].patience,
+            _ => self.harness.plan.classes[class].patience,
         };
         let request = Request {
             manager: self.manager,
@@ -207,14 +208,14 @@
             released: None,
             ended_by_client: None,
         };
-        self.world.seen.borrow_mut().requests.insert(of, request);
+        self.harness.seen.borrow_mut().requests.insert(of, request);
         of
     }
 
     /// Whether the connection took it whole.
     async fn writes(&mut self, session: &mut Session, of: Ref) -> bool {
         let text = {
-            let (seen, plan) = (self.world.seen.borrow(), &self.world.plan);
+            let (seen, plan) = (self.harness.seen.borrow(), &self.harness.plan);
             let request = &seen.requests[&of];
             let left = request.patience.as_millis().to_string();
             let extras = format!(
@@ -239,15 +240,15 @@
             if self.habit == Habit::Pieces { self.chance.random_range(1..60) } else { text.len().max(1) };
         for piece in text.chunks(size) {
             if session.stream.write_all(piece).await.is_err() {
-                self.world.seen.borrow_mut().requests.remove(&of);
+                self.harness.seen.borrow_mut().requests.remove(&of);
                 return false;
             }
             if self.habit == Habit::Pieces {
                 sleep(Duration::from_millis(self.chance.random_range(0..3))).await;
             }
         }
-        let (now, manager) = (self.world.now(), self.manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let (now, manager) = (self.harness.now(), self.manager);
+        let mut seen = self.harness.seen.borrow_mut();
         if let Some(request) = seen.requests.get_mut(&of) {
             (request.sent, request.manager, request.process, request.cut) =
                 (now, manager, session.process, None);
@@ -272,9 +273,9 @@
             match signal {
                 Ok(signal) => self.answered(session, &signal, next),
                 Err(wrong) => {
-                    let now = self.world.now();
+                    let now = self.harness.now();
                     let line = format!("lost: client {} got what can't be read: {wrong}", self.number);
-                    self.world.seen.borrow_mut().breaches.push((now, line));
+                    self.harness.seen.borrow_mut().breaches.push((now, line));
                     return true;
                 }
             }
@@ -282,10 +283,10 @@
     }
 
     fn answered(&mut self, session: &mut Session, signal: &Signal, next: &mut Instant) {
-        let (of, now) = (signal.of, self.world.now());
+        let (of, now) = (signal.of, self.harness.now());
         session.used = Instant::now();
         session.leaves.remove(&of);
-        let mut seen = self.world.seen.borrow_mut();
+        let mut seen = self.harness.seen.borrow_mut();
         let Some(request) = seen.requests.get_mut(&of) else { return };
         match signal.kind {
             Kind::Answer => {
@@ -328,8 +329,8 @@
             session.leaves.remove(of);
             let stood = session.standing.remove(of).is_some();
             session.open.remove(of);
-            let at = self.world.now();
-            if let Some(request) = self.world.seen.borrow_mut().requests.get_mut(of) {
+            let at = self.harness.now();
+            if let Some(request) = self.harness.seen.borrow_mut().requests.get_mut(of) {
                 let when = if stood { &mut request.ended_by_client } else { &mut request.left };
                 when.get_or_insert(at);
             }
@@ -348,8 +349,8 @@
         }
         let (open, standing) = (session.open.clone(), session.standing.clone());
         drop(session);
-        let now = self.world.now();
-        let mut seen = self.world.seen.borrow_mut();
+        let now = self.harness.now();
+        let mut seen = self.harness.seen.borrow_mut();
         for of in open.keys().chain(standing.keys()) {
             if let Some(request) = seen.requests.get_mut(of) {
                 request.left.get_or_insert(now);
@@ -359,8 +360,8 @@
 
     /// The connection ended: what was open on it is sent again where it crossed the close.
     fn cut(&mut self, session: &Session) {
-        let now = self.world.now();
-        let mut seen = self.world.seen.borrow_mut();
+        let now = self.harness.now();
+        let mut seen = self.harness.seen.borrow_mut();
         let killed = seen.lives[self.manager].get(session.process).is_some_and(|life| life.killed.is_some());
         for (of, written) in &session.open {
             let Some(request) = seen.requests.get_mut(of) else { continue };
@@ -374,9 +375,9 @@
 
     async fn is_rude(&mut self, mut session: Session) {
         let bytes = RUDE[self.chance.random_range(0..RUDE.len())];
-        let begun = self.world.now();
+        let begun = self.harness.now();
         let number = {
-            let mut seen = self.world.seen.borrow_mut();
+            let mut seen = self.harness.seen.borrow_mut();
             seen.rude.push((begun, None));
             seen.rude.len() - 1
         };
@@ -384,9 +385,9 @@
         self.asked += 1;
         let mut piece = [0; 4096];
         let answered = timeout(Duration::from_secs(4), session.stream.read(&mut piece)).await.is_ok();
-        let now = self.world.now();
+        let now = self.harness.now();
         if answered {
-            self.world.seen.borrow_mut().rude[number].1 = Some(now);
+            self.harness.seen.borrow_mut().rude[number].1 = Some(now);
         }
         sleep(Duration::from_millis(self.chance.random_range(50..600))).await;
     }
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -51,7 +51,7 @@
 
 pub struct Discovery {
     manager: usize,
-    world: Shared,
+    harness: Shared,
     pub address: Cell<SocketAddr>,
     serves: watch::Sender<Serves>,
     events: RefCell<Vec<Event>>,
@@ -66,11 +66,11 @@
 impl Discovery {
     /// # Errors
     /// No socket is to be had.
-    pub async fn start(world: &Shared, manager: usize) -> std::io::Result<Rc<Discovery>> {
+    pub async fn start(harness: &Shared, manager: usize) -> std::io::Result<Rc<Discovery>> {
         let listener = TcpListener::bind(own_address()).await?;
         let discovery = Rc::new(Discovery {
             manager,
-            world: world.clone(),
+            harness: harness.clone(),
             address: Cell::new(listener.local_addr()?),
             serves: watch::Sender::new(Serves::All),
             events: RefCell::default(),
@@ -122,7 +122,7 @@
             return;
         }
         let mut text = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_vec();
-        let (now, mut told) = (self.world.now(), vec![]);
+        let (now, mut told) = (self.harness.now(), vec![]);
         for event in self.events.borrow().iter().filter(|event| event.number > last.unwrap_or_default()) {
             text.extend(event.text.as_bytes());
             told.extend(&event.changes);
@@ -158,8 +158,8 @@
     }
 
     fn counts_as_told(&self, change: usize, at: Duration) {
-        let process = self.world.process(self.manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let process = self.harness.process(self.manager);
+        let mut seen = self.harness.seen.borrow_mut();
         let told = seen.changes[change].told.entry((self.manager, process)).or_insert(at);
         *told = (*told).min(at);
     }
@@ -181,7 +181,7 @@
     }
 
     fn tell_event(&self, members: &[Value], changes: &[usize], complete: bool) {
-        let now = self.world.now();
+        let now = self.harness.now();
         let number = self.events.borrow().last().map_or(2, |event| event.number + 1);
         let event = super::event(number, complete, members);
         let text = format!("id: {number}\ndata: {event}\n\n");
@@ -219,7 +219,7 @@
         self.serves.send_replace(Serves::All);
         self.broke.set(None);
         let all: Vec<_> = self.events.borrow().iter().flat_map(|event| event.changes.clone()).collect();
-        let at = self.world.now() + AFTER_FAILURE;
+        let at = self.harness.now() + AFTER_FAILURE;
         all.into_iter().for_each(|change| self.counts_as_told(change, at));
     }
 
@@ -228,7 +228,7 @@
     }
 
     pub fn falls_silent(&self) {
-        let now = self.world.now();
+        let now = self.harness.now();
         for reader in self.readers.borrow_mut().iter_mut() {
             reader.silent.get_or_insert(now);
         }
@@ -238,7 +238,7 @@
         let half = b"id: 9\ndata: {\"offset\":9,".to_vec();
         self.readers.borrow().iter().for_each(|reader| drop(reader.out.send(half.clone())));
         if *self.serves.borrow() == Serves::All {
-            self.broke.set(Some(self.world.now()));
+            self.broke.set(Some(self.harness.now()));
         }
         self.ends_watches();
     }
@@ -258,6 +258,6 @@
 
     /// The manager was told of the move by now.
     pub fn move_told(&self) {
-        self.moved.set(Some(self.world.now()));
+        self.moved.set(Some(self.harness.now()));
     }
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -16,7 +16,7 @@
 use process::Process;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
-use seen::{Change, Seen, Shared, World};
+use seen::{Change, Harness, Seen, Shared};
 use serde_json::{Value, json};
 use server::{Carries, Listening, Server};
 use std::cell::{Cell, RefCell};
@@ -75,7 +75,7 @@
 
 /// Plays the faults of a trial.
 struct Director {
-    world: Shared,
+    harness: Shared,
     servers: Vec<Rc<Server>>,
     processes: Vec<Rc<Process>>,
     rows: RefCell<Vec<Row>>,
@@ -100,9 +100,9 @@
     /// Discovery learns of a server's standing, and tells all managers.
     fn tell(&self, server: usize, phase: &'static str) {
         self.rows.borrow_mut()[server].phase = phase;
-        let at = self.world.now();
+        let at = self.harness.now();
         let number = {
-            let mut seen = self.world.seen.borrow_mut();
+            let mut seen = self.harness.seen.borrow_mut();
             let told = Default::default();
             seen.changes.push(Change { at, server, ready: phase == "ready", told });
             seen.changes.len() - 1
@@ -113,8 +113,8 @@
     }
 
     fn troubled(&self, manager: Option<usize>, server: usize, span: Duration) {
-        let now = self.world.now();
-        let mut seen = self.world.seen.borrow_mut();
+        let now = self.harness.now();
+        let mut seen = self.harness.seen.borrow_mut();
         let managers = 0..self.processes.len();
         let of = managers.filter(|of| manager.is_none_or(|manager| manager == *of));
         of.for_each(|manager| seen.troubled.push((manager, server, now, now + span)));
@@ -141,8 +141,8 @@
             }
             Fault::Stall { server, span } => {
                 self.troubled(None, server, span);
-                let now = self.world.now();
-                self.world.seen.borrow_mut().stalled.push((server, now, now + span));
+                let now = self.harness.now();
+                self.harness.seen.borrow_mut().stalled.push((server, now, now + span));
                 self.servers[server].stall(true);
                 sleep(span).await;
                 self.servers[server].stall(false);
@@ -273,20 +273,20 @@
             *of.word.borrow_mut() = word.clone();
             self.rows.borrow_mut()[server].word = word;
         }
-        let now = self.world.now();
-        self.world.seen.borrow_mut().births.push((server, now));
+        let now = self.harness.now();
+        self.harness.seen.borrow_mut().births.push((server, now));
         self.tell(server, "ready");
     }
 
     async fn starts(&self, manager: usize) {
         let members = self.members(manager);
         if let Err(error) = self.processes[manager].starts(&members).await {
-            let now = self.world.now();
-            self.world.seen.borrow_mut().breaches.push((now, format!("crash: manager {manager}: {error}")));
+            let now = self.harness.now();
+            self.harness.seen.borrow_mut().breaches.push((now, format!("crash: manager {manager}: {error}")));
         }
         // What it was handed at its start counts as told.
-        let process = self.world.process(manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let process = self.harness.process(manager);
+        let mut seen = self.harness.seen.borrow_mut();
         let now = seen.lives[manager].last().map(|life| life.started).unwrap_or_default();
         for change in &mut seen.changes {
             change.told.entry((manager, process)).or_insert(now.max(change.at));
@@ -299,7 +299,7 @@
             let number = self.crowd.get() + 1;
             self.crowd.set(number);
             let at = (number as usize % addresses.len(), plan::Habit::Plain);
-            spawn_local(Client::new(&self.world, addresses.clone(), at, 1000 + number, 1).lives());
+            spawn_local(Client::new(&self.harness, addresses.clone(), at, 1000 + number, 1).lives());
             sleep(Duration::from_secs(1) / clients as u32).await;
         }
     }
@@ -325,21 +325,21 @@
 async fn trial(plan: Plan, program: &Path, (folder, keep): (&Path, bool)) -> Result<Trial, String> {
     let lives = vec![vec![]; plan.managers];
     let seen = RefCell::new(Seen { lives, ..Seen::default() });
-    let world: Shared = Rc::new(World { plan, begun: Instant::now(), seen });
-    let plan = &world.plan;
+    let harness: Shared = Rc::new(Harness { plan, begun: Instant::now(), seen });
+    let plan = &harness.plan;
     let (mut servers, mut processes) = (vec![], vec![]);
     for index in 0..plan.servers {
         let chance = Pcg64Mcg::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(index as u64));
-        servers.push(Server::start(&world, index, chance).await.map_err(|e| e.to_string())?);
+        servers.push(Server::start(&harness, index, chance).await.map_err(|e| e.to_string())?);
     }
     for manager in 0..plan.managers {
-        let process = Process::new(&world, manager, program, (folder, keep)).await;
+        let process = Process::new(&harness, manager, program, (folder, keep)).await;
         processes.push(process.map_err(|e| e.to_string())?);
     }
     let rows =
         servers.iter().map(|server| Row { word: server.word.borrow().clone(), phase: "ready" }).collect();
     let director = Rc::new(Director {
-        world: world.clone(),
+        harness: harness.clone(),
         servers,
         processes,
         rows: RefCell::new(rows),
@@ -350,25 +350,25 @@
     for manager in 0..plan.managers {
         director.starts(manager).await;
     }
-    spawn_local(measures_lateness(world.clone()));
-    spawn_local(measures_starving(world.clone(), director.processes.clone()));
+    spawn_local(measures_lateness(harness.clone()));
+    spawn_local(measures_starving(harness.clone(), director.processes.clone()));
     let addresses: Vec<_> = director.processes.iter().map(|process| process.address).collect();
     for (number, at) in plan.clients.iter().enumerate() {
-        spawn_local(Client::new(&world, addresses.clone(), *at, number as u64 + 1, u64::MAX).lives());
+        spawn_local(Client::new(&harness, addresses.clone(), *at, number as u64 + 1, u64::MAX).lives());
     }
     for (at, fault) in plan.faults.clone() {
-        sleep_until(world.begun + at).await;
+        sleep_until(harness.begun + at).await;
         spawn_local(director.clone().play(fault));
     }
-    sleep_until(world.begun + LENGTH).await;
+    sleep_until(harness.begun + LENGTH).await;
     for process in &director.processes {
         if process.has_crashed() {
-            let now = world.now();
+            let now = harness.now();
             let line = format!("crash: manager {} ended unasked", process.manager);
-            world.seen.borrow_mut().breaches.push((now, line));
+            harness.seen.borrow_mut().breaches.push((now, line));
         }
     }
-    let seen = world.seen.borrow();
+    let seen = harness.seen.borrow();
     let served =
         |request: &&seen::Request| matches!(request.answers.first(), Some((_, seen::Final::Served(_))));
     Ok(Trial {
@@ -381,14 +381,14 @@
     })
 }
 
-async fn measures_lateness(world: Shared) {
+async fn measures_lateness(harness: Shared) {
     loop {
         let due = Instant::now() + TICK;
         sleep_until(due).await;
         let late = due.elapsed();
         if late >= NOTED {
-            let now = world.now();
-            world.seen.borrow_mut().late.push((now, late));
+            let now = harness.now();
+            harness.seen.borrow_mut().late.push((now, late));
         }
     }
 }
@@ -399,7 +399,7 @@
     text.split_whitespace().nth(1)?.parse().ok()
 }
 
-async fn measures_starving(world: Shared, processes: Vec<Rc<Process>>) {
+async fn measures_starving(harness: Shared, processes: Vec<Rc<Process>>) {
     let mut before = vec![None; processes.len()];
     loop {
         sleep(SAMPLE).await;
@@ -410,8 +410,8 @@
             {
                 let span = Duration::from_nanos(waited.saturating_sub(earlier));
                 if span >= NOTED {
-                    let at = world.now();
-                    world.seen.borrow_mut().starved.push((at, process.manager, span));
+                    let at = harness.now();
+                    harness.seen.borrow_mut().starved.push((at, process.manager, span));
                 }
             }
             *before = now;
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -27,7 +27,7 @@
     pub manager: usize,
     pub address: SocketAddr,
     pub discovery: Rc<Discovery>,
-    world: Shared,
+    harness: Shared,
     program: PathBuf,
     file: PathBuf,
     log: Option<PathBuf>,
@@ -42,15 +42,15 @@
     /// # Errors
     /// No socket is to be had.
     pub async fn new(
-        world: &Shared, manager: usize, program: &Path, (folder, keep): (&Path, bool),
+        harness: &Shared, manager: usize, program: &Path, (folder, keep): (&Path, bool),
     ) -> std::io::Result<Rc<Process>> {
         let address = TcpListener::bind(own_address()).await?.local_addr()?;
-        let name = format!("{}-m{manager}", world.plan.seed);
+        let name = format!("{}-m{manager}", harness.plan.seed);
         Ok(Rc::new(Process {
             manager,
             address,
-            discovery: Discovery::start(world, manager).await?,
-            world: world.clone(),
+            discovery: Discovery::start(harness, manager).await?,
+            harness: harness.clone(),
             program: program.into(),
             file: folder.join(format!("{name}.json")),
             log: keep.then(|| folder.join(format!("{name}.log"))),
@@ -61,14 +61,14 @@
     }
 
     fn config(&self, members: &[Value]) -> Value {
-        let process = self.world.seen.borrow().lives[self.manager].len();
+        let process = self.harness.seen.borrow().lives[self.manager].len();
         json!({
             "name": format!("n{}", self.manager), "listen": self.address.to_string(),
-            "seed": format!("{:016x}", self.world.plan.seed * 100 + (self.manager * 10 + process) as u64),
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.world.plan.descriptors},
+            "seed": format!("{:016x}", self.harness.plan.seed * 100 + (self.manager * 10 + process) as u64),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.harness.plan.descriptors},
             "bus": self.discovery.address.get().to_string(),
             "known": {"offset": 1, "batch": [super::event(1, true, members)]},
-            "settings": self.world.plan.settings(),
+            "settings": self.harness.plan.settings(),
         })
     }
 
@@ -87,7 +87,7 @@
         let child = Command::new("sh")
             .args(["-c", "ulimit -n $1; exec \"$0\" node \"$2\""])
             .arg(&self.program)
-            .arg(self.world.plan.descriptors.to_string())
+            .arg(self.harness.plan.descriptors.to_string())
             .arg(&self.file)
             .env("IVYWARD_LOG", level)
             .env("RUST_LOG", level)
@@ -99,11 +99,11 @@
         self.id.set(child.id());
         *self.child.borrow_mut() = Some(child);
         *self.ending.borrow_mut() = false;
-        let started = self.world.now();
-        self.world.seen.borrow_mut().lives[self.manager].push(Life { started, ..Life::default() });
+        let started = self.harness.now();
+        self.harness.seen.borrow_mut().lives[self.manager].push(Life { started, ..Life::default() });
         if self.passes_test().await {
-            let now = self.world.now();
-            if let Some(life) = self.world.seen.borrow_mut().lives[self.manager].last_mut() {
+            let now = self.harness.now();
+            if let Some(life) = self.harness.seen.borrow_mut().lives[self.manager].last_mut() {
                 life.ready = Some(now);
             }
         }
@@ -114,8 +114,8 @@
         let until = Instant::now() + READY;
         while Instant::now() < until {
             if let Ok(mut viewer) = Viewer::connect(self.address).await
-                && viewer.says(Kind::Test, Ref(1), Some(0)).await
-                && viewer.hears(READY).await.is_some_and(|tested| tested.cause == Some(1))
+                && viewer.send_signal(Kind::Test, Ref(1), Some(0)).await
+                && viewer.receive(READY).await.is_some_and(|tested| tested.cause == Some(1))
             {
                 return true;
             }
@@ -131,7 +131,7 @@
     /// Whether it runs and no end of it is under way; takes the right to end it.
     pub fn may_end(&self) -> bool {
         let ready =
-            self.world.seen.borrow().lives[self.manager].last().is_some_and(|life| life.ready.is_some());
+            self.harness.seen.borrow().lives[self.manager].last().is_some_and(|life| life.ready.is_some());
         ready && self.id().is_some() && !std::mem::replace(&mut *self.ending.borrow_mut(), true)
     }
 
@@ -143,7 +143,7 @@
     }
 
     fn life(&self, change: impl FnOnce(&mut Life)) {
-        if let Some(life) = self.world.seen.borrow_mut().lives[self.manager].last_mut() {
+        if let Some(life) = self.harness.seen.borrow_mut().lives[self.manager].last_mut() {
             change(life);
         }
     }
@@ -155,17 +155,17 @@
         }
         self.signals("TERM").await;
         let told = Instant::now();
-        let now = self.world.now();
+        let now = self.harness.now();
         self.life(|life| life.terminated = Some(now));
         if hangup {
             self.signals("HUP").await;
         }
         let mut child = self.child.borrow_mut().take();
         let Some(process) = child.as_mut() else { return };
-        let left = self.world.plan.shutdown().saturating_sub(told.elapsed());
+        let left = self.harness.plan.shutdown().saturating_sub(told.elapsed());
         match timeout(left, process.wait()).await {
             Ok(ended) => {
-                let (now, well) = (self.world.now(), ended.is_ok_and(|status| status.success()));
+                let (now, well) = (self.harness.now(), ended.is_ok_and(|status| status.success()));
                 self.id.set(None);
                 self.life(|life| life.ended = Some((now, well)));
             }
@@ -183,7 +183,7 @@
     }
 
     async fn killed(&self, process: &mut Child) {
-        let now = self.world.now();
+        let now = self.harness.now();
         self.life(|life| life.killed = Some(now));
         self.id.set(None);
         process.kill().await.ok();
--- a/crates/lab/src/soak/seen.rs
+++ b/crates/lab/src/soak/seen.rs
@@ -120,15 +120,15 @@
 }
 
 /// A trial as its parts share it.
-pub struct World {
+pub struct Harness {
     pub plan: Plan,
     pub begun: Instant,
     pub seen: RefCell<Seen>,
 }
 
-pub type Shared = Rc<World>;
+pub type Shared = Rc<Harness>;
 
-impl World {
+impl Harness {
     pub fn now(&self) -> Duration {
         self.begun.elapsed()
     }
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -96,7 +96,7 @@
     pub addresses: Vec<SocketAddr>,
     /// Milliseconds of the Unix clock at which its process started late, or 0.
     pub up_since: Cell<u64>,
-    world: Shared,
+    harness: Shared,
     chance: RefCell<Pcg64Mcg>,
     state: RefCell<State>,
     listening: watch::Sender<Listening>,
@@ -108,9 +108,9 @@
 impl Server {
     /// # Errors
     /// No socket is to be had.
-    pub async fn start(world: &Shared, index: usize, chance: Pcg64Mcg) -> std::io::Result<Rc<Server>> {
+    pub async fn start(harness: &Shared, index: usize, chance: Pcg64Mcg) -> std::io::Result<Rc<Server>> {
         let mut listeners = vec![];
-        for _ in 0..world.plan.managers {
+        for _ in 0..harness.plan.managers {
             listeners.push(TcpListener::bind(own_address()).await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
@@ -120,13 +120,13 @@
             word: RefCell::new(format!("s-{index:08x}")),
             addresses,
             up_since: Cell::new(0),
-            world: world.clone(),
+            harness: harness.clone(),
             chance: RefCell::new(chance),
             state: RefCell::default(),
             listening: watch::Sender::new(Listening::All),
             hangs: watch::Sender::new(false),
             stalls: watch::Sender::new(false),
-            paths: (0..world.plan.managers).map(|_| watch::Sender::new(open)).collect(),
+            paths: (0..harness.plan.managers).map(|_| watch::Sender::new(open)).collect(),
         });
         for (manager, listener) in listeners.into_iter().enumerate() {
             spawn_local(server.clone().listens(manager, listener));
@@ -224,7 +224,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
                 Err(_) => break,
             };
-            let now = self.world.now();
+            let now = self.harness.now();
             messages.push(&piece[..read]);
             while let Ok(Some(message)) = messages.cut() {
                 let first_byte = begun.take().unwrap_or(now);
@@ -246,7 +246,7 @@
 
     /// Whether a connection is reset while only a part of a message has come.
     fn resets_under_request(&self) -> bool {
-        let badness = self.world.plan.badness[self.index];
+        let badness = self.harness.plan.badness[self.index];
         self.chance.borrow_mut().random_bool(badness / 4.0)
     }
 
@@ -255,8 +255,8 @@
         (first_byte, last_byte): (Duration, Duration),
     ) -> Option<usize> {
         let signal = binary::read(bytes).ok()?;
-        let process = self.world.process(manager);
-        let mut seen = self.world.seen.borrow_mut();
+        let process = self.harness.process(manager);
+        let mut seen = self.harness.seen.borrow_mut();
         match signal.kind {
             Kind::SetUp => {
                 seen.attempts.push(Attempt {
@@ -291,7 +291,7 @@
     }
 
     fn withdrawn_by_close(&self, connection: usize) {
-        let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
+        let (now, mut seen) = (self.harness.now(), self.harness.seen.borrow_mut());
         let of = |attempt: &&mut Attempt| (attempt.server, attempt.connection) == (self.index, connection);
         for attempt in seen.attempts.iter_mut().filter(of) {
             attempt.withdrawn.get_or_insert(now);
@@ -303,7 +303,7 @@
         (number, manager, generation): (usize, usize, u32), lag: Duration,
     ) {
         let (mut hangs, mut path) = (self.hangs.subscribe(), self.paths[manager].subscribe());
-        let idle = self.world.plan.keep_alive;
+        let idle = self.harness.plan.keep_alive;
         loop {
             let Ok(message) = timeout(idle, came.recv()).await else {
                 if self.is_unused(number) {
@@ -371,7 +371,7 @@
                     sleep(Duration::from_micros(300)).await;
                 }
             }
-            let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
+            let (now, mut seen) = (self.harness.now(), self.harness.seen.borrow_mut());
             answer_of.into_iter().for_each(|of| seen.attempts[of].answered = Some(now));
             if let Some(of) = end_of {
                 seen.attempts[of].end_written.get_or_insert(now);
@@ -404,7 +404,7 @@
     }
 
     fn took_set_up(self: &Rc<Self>, connection: usize, of: Ref, attempt: usize) {
-        let now = self.world.now();
+        let now = self.harness.now();
         let mut state = self.state.borrow_mut();
         if state.connections[connection].useless {
             return;
@@ -412,14 +412,14 @@
         if let Some(before) = state.latest.insert(of, attempt) {
             let line =
                 format!("duplicate: {:016x} reached server {} beside attempt {before}", of.0, self.index);
-            self.world.seen.borrow_mut().breaches.push((now, line));
+            self.harness.seen.borrow_mut().breaches.push((now, line));
         }
         state.open.insert((connection, of), attempt);
         drop(state);
-        self.world.seen.borrow_mut().attempts[attempt].taken = Some(now);
+        self.harness.seen.borrow_mut().attempts[attempt].taken = Some(now);
         let (outcome, took) = {
             let mut chance = self.chance.borrow_mut();
-            let outcome = Plan::outcome(&mut chance, self.world.plan.badness[self.index]);
+            let outcome = Plan::outcome(&mut chance, self.harness.plan.badness[self.index]);
             let took = Duration::from_millis(chance.random_range(2..25));
             let late =
                 if let Outcome::Late(late) = outcome { Duration::from_millis(late) } else { Duration::ZERO };
@@ -488,7 +488,7 @@
         if outcome == Outcome::Ahead {
             self.say(connection, answer(Ref(!of.0)));
         }
-        self.world.seen.borrow_mut().attempts[attempt].text = text.clone();
+        self.harness.seen.borrow_mut().attempts[attempt].text = text.clone();
         self.send(connection, Out::Bytes { bytes: answer(of), answer_of: Some(attempt), end_of: None });
         if let Outcome::Twice(after) = outcome {
             let (server, again) = (self.clone(), answer(of));
@@ -546,7 +546,7 @@
         if state.latest.get(&of) == Some(&attempt) {
             state.latest.remove(&of);
         }
-        let (now, mut seen) = (self.world.now(), self.world.seen.borrow_mut());
+        let (now, mut seen) = (self.harness.now(), self.harness.seen.borrow_mut());
         let end = &mut seen.attempts[attempt].end;
         let first = end.is_none();
         end.get_or_insert((now, how));
@@ -585,7 +585,7 @@
             let standing: Vec<_> = self.state.borrow().standing.iter().copied().collect();
             for attempt in standing {
                 let (of, connection) = {
-                    let seen = self.world.seen.borrow();
+                    let seen = self.harness.seen.borrow();
                     (seen.attempts[attempt].of, seen.attempts[attempt].connection)
                 };
                 let fields = [(Field::Note, "asked"), (Field::Figure, "0.4")];
@@ -624,14 +624,14 @@
 
     /// Its process ends: all that ran here is over, and nothing of it is remembered.
     pub fn process_ends(&self) {
-        let now = self.world.now();
+        let now = self.harness.now();
         let mut state = self.state.borrow_mut();
         state.generation += 1;
         let running: BTreeSet<_> = state.latest.values().chain(&state.standing).copied().collect();
         (state.open, state.latest, state.standing) = Default::default();
         state.again.clear();
         drop(state);
-        let mut seen = self.world.seen.borrow_mut();
+        let mut seen = self.harness.seen.borrow_mut();
         for attempt in running {
             seen.attempts[attempt].end.get_or_insert((now, AttemptEnd::Over));
         }
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -3,7 +3,7 @@
 use crate::trouble::Played;
 use crate::verdict::judge;
 use ivyward_daemon::Ended;
-use ivyward_fleet::{Cold, Key, ManagerNo, ServerNo};
+use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
 use ivyward_rules::{History, Package, Record, SetUpEnd, Terms, What};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
         let ended = breaches.map(|breaches| Ended { breaches, ..Default::default() });
         assert_eq!(judge(&terms, &History::default(), &[], &[ended], &[]).kept(), kept, "{breaches:?}");
     }
-    let (server, key) = (ServerNo(0), |vw| Key { manager: ManagerNo(0), birth: 1, vw, n: 0 });
+    let (server, key) = (ServerNo(0), |vw| TuneInKey { manager: ManagerNo(0), birth: 1, vw, n: 0 });
     let set_up = |vw| What::SetUp {
         server,
         key: key(vw),
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode};
 use ivyward_daemon::pool::Connection;
 use ivyward_daemon::{date, setup};
-use ivyward_dash::token::{Given, Keys, Pass};
+use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_rules::{Asked, Came};
 use ivyward_settings::Part;
@@ -280,23 +280,23 @@
     }
 
     fn token(&self, viewer: &Viewer) -> Result<String, String> {
-        let pass = Pass {
+        let token_claims = TokenClaims {
             session: viewer.session,
             title: self.titles[viewer.title].name.clone(),
             package: self.packages[viewer.package].0.clone(),
             top: viewer.top,
             tenant: "lab".into(),
-            given: None,
+            granted: None,
         };
         let changed = self.changed.as_ref().is_some_and(|(at, _)| self.now() >= *at);
         let keys = self.changed.as_ref().filter(|_| changed).map_or(&self.keys, |(_, keys)| keys);
-        keys.mint(&pass, date(), self.life)
+        keys.mint(&token_claims, date(), self.life)
     }
 
     /// The tune-in that a manifest's segments are fetched by.
-    fn given(&self, base: &str) -> Option<Given> {
+    fn given(&self, base: &str) -> Option<GrantedTuneIn> {
         let token = base.trim_end_matches('/').rsplit('/').next()?;
-        self.keys.check(token, date(), self.life).ok()?.0.given
+        self.keys.check(token, date(), self.life).ok()?.0.granted
     }
 
     /// Looks through a manifest; `before`: the one before it, if it is of the same tune-in.
--- a/crates/overlay/src/tests.rs
+++ b/crates/overlay/src/tests.rs
@@ -17,17 +17,17 @@
 }
 
 /// Members in virtual time that only ask each other; who is up and reaches whom is the world's.
-struct World {
+struct Harness {
     overlays: Vec<Overlay>,
     now: Duration,
     asked: usize,
 }
 
-impl World {
-    fn new(members: u16) -> World {
+impl Harness {
+    fn new(members: u16) -> Harness {
         let group = group(members);
         let overlays = group.members().map(|me| Overlay::new(&group, me, TURN)).collect();
-        World { overlays, now: Duration::ZERO, asked: 0 }
+        Harness { overlays, now: Duration::ZERO, asked: 0 }
     }
 
     /// A turn of all. `reaches`: whether two hear each other; `refused`: whether one that doesn't is told so.
@@ -70,8 +70,8 @@
     // Members, and the steps within which a word told on by all comes to each.
     for (members, most) in [(1, 0), (2, 1), (3, 1), (7, 2), (30, 4), (100, 5), (300, 6), (580, 7), (1160, 8)]
     {
-        let world = World::new(members);
-        for (at, overlay) in world.overlays.iter().enumerate() {
+        let harness = Harness::new(members);
+        for (at, overlay) in harness.overlays.iter().enumerate() {
             let found = overlay.neighbours();
             let apart: BTreeSet<_> = found.iter().collect();
             assert_eq!(apart.len(), found.len(), "{members}");
@@ -81,12 +81,12 @@
             );
             // Each way there is one back.
             for to in found {
-                let back = world.overlays[usize::from(to.0)].neighbours();
+                let back = harness.overlays[usize::from(to.0)].neighbours();
                 assert!(back.contains(&Member(at as u16)), "{members}: m{at} and {to:?}");
             }
         }
         let steps = (0..members).step_by(37).map(|from| {
-            let (known, steps) = world.reached(Member(from), |_, _| true);
+            let (known, steps) = harness.reached(Member(from), |_, _| true);
             assert_eq!(known.len(), usize::from(members));
             steps
         });
@@ -112,29 +112,30 @@
         for (what, reaches, both) in &cuts {
             for refused in [true, false] {
                 let case = format!("{members} members, {what}, refused {refused}");
-                let mut world = World::new(members);
+                let mut harness = Harness::new(members);
                 // Each neighbour is asked until it counts as silent, and those behind it.
                 let found = usize::from(RING_COUNT) * 2 * (MAX_UNANSWERED_COUNT as usize + 2);
-                (0..3 * found).for_each(|_| world.turn(reaches, refused));
+                (0..3 * found).for_each(|_| harness.turn(reaches, refused));
                 for from in [Member(0), Member(members - 1)] {
                     if !both && !reaches(from, from) {
                         continue;
                     }
-                    let (known, _) = world.reached(from, reaches);
-                    let side = world.overlays.iter().enumerate();
+                    let (known, _) = harness.reached(from, reaches);
+                    let side = harness.overlays.iter().enumerate();
                     let side = side.filter(|(at, _)| reaches(from, Member(*at as u16))).count();
                     assert_eq!(known.len(), side, "{case}: from {from:?}");
                 }
-                let before = world.asked;
-                world.turn(reaches, refused);
-                assert!(world.asked - before <= usize::from(members), "{case}: more than one each");
+                let before = harness.asked;
+                harness.turn(reaches, refused);
+                assert!(harness.asked - before <= usize::from(members), "{case}: more than one each");
                 // All are neighbours as they were, by the last pause and two turns for each of those passed over.
-                let passed = world.overlays.iter().map(Overlay::unreachable_count).max().unwrap_or_default();
+                let passed =
+                    harness.overlays.iter().map(Overlay::unreachable_count).max().unwrap_or_default();
                 let turns = RETRY_DELAY_TICKS[1] as usize + 2 * passed;
-                (0..turns).for_each(|_| world.turn(|_, _| true, false));
-                let fresh = World::new(members);
+                (0..turns).for_each(|_| harness.turn(|_, _| true, false));
+                let fresh = Harness::new(members);
                 let same = |(a, b): &(&Overlay, &Overlay)| a.neighbours() == b.neighbours();
-                let back = world.overlays.iter().zip(&fresh.overlays).filter(same).count();
+                let back = harness.overlays.iter().zip(&fresh.overlays).filter(same).count();
                 assert_eq!(back, usize::from(members), "{case}");
             }
         }
@@ -144,13 +145,13 @@
 #[test]
 fn what_is_lost_by_chance_parts_nobody() {
     for lost in [1, 10] {
-        let mut world = World::new(580);
+        let mut harness = Harness::new(580);
         let mut chance = Pcg64Mcg::seed_from_u64(4711);
         for turn in 0..60 {
             let gone: BTreeSet<_> = (0..580).filter(|_| chance.random_ratio(lost, 100)).collect();
-            world.turn(|from, _| !gone.contains(&from.0), false);
+            harness.turn(|from, _| !gone.contains(&from.0), false);
             if turn % 10 == 9 {
-                let (known, _) = world.reached(Member(0), |_, _| true);
+                let (known, _) = harness.reached(Member(0), |_, _| true);
                 assert_eq!(known.len(), 580, "{lost} in a hundred, turn {turn}");
             }
         }
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -57,7 +57,7 @@
 
 /// What was said stays on the wire: it comes at any time, as often as the world likes, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct Harness {
     nodes: Vec<Node>,
     wire: BTreeSet<(Member, Member, Message)>,
     /// Claims granted and neither sent nor given up, and those sent.
@@ -164,12 +164,12 @@
     Node { acceptor, proposer: Proposer::new(group(members), me, birth), birth, disk, unsynced: vec![] }
 }
 
-impl World {
+impl Harness {
     /// How often each member may ask, how often one may be killed, how often it loses its memory with that.
-    fn new(asks: &[u8], kills: u8, forgets: u8) -> World {
+    fn new(asks: &[u8], kills: u8, forgets: u8) -> Harness {
         let whole = Disk { whole: true, ..Disk::default() };
         let members = asks.len() as u16;
-        World {
+        Harness {
             nodes: (0..members).map(|i| node(Member(i), members, Birth(1), whole.clone())).collect(),
             wire: BTreeSet::new(),
             granted: BTreeSet::new(),
@@ -289,11 +289,11 @@
         }
     }
 
-    fn next(&self, defect: Defect) -> Vec<World> {
+    fn next(&self, defect: Defect) -> Vec<Harness> {
         let step = |act| {
-            let mut world = self.clone();
-            world.does(act, defect);
-            (world != *self).then_some(world)
+            let mut harness = self.clone();
+            harness.does(act, defect);
+            (harness != *self).then_some(harness)
         };
         self.may().into_iter().filter_map(step).collect()
     }
@@ -306,21 +306,21 @@
 
 /// Goes through all states in order of their distance, up to so many: states and steps gone through, whether that was
 /// all, and the length of the way to one with two live claims.
-fn explore(world: World, defect: Defect, most: usize) -> (usize, usize, bool, Option<usize>) {
-    let print = |world: &World| {
+fn explore(harness: Harness, defect: Defect, most: usize) -> (usize, usize, bool, Option<usize>) {
+    let print = |harness: &Harness| {
         let mut hasher = DefaultHasher::new();
-        world.hash(&mut hasher);
+        harness.hash(&mut hasher);
         hasher.finish()
     };
-    let mut seen = HashSet::from([print(&world)]);
-    let (mut now, mut steps, mut deep) = (vec![world], 0, 0);
+    let mut seen = HashSet::from([print(&harness)]);
+    let (mut now, mut steps, mut deep) = (vec![harness], 0, 0);
     while !now.is_empty() {
         let mut later = vec![];
-        for world in now {
-            if world.live() > 1 {
+        for harness in now {
+            if harness.live() > 1 {
                 return (seen.len(), steps, false, Some(deep));
             }
-            for next in world.next(defect) {
+            for next in harness.next(defect) {
                 steps += 1;
                 if seen.insert(print(&next)) {
                     later.push(next);
@@ -336,14 +336,14 @@
 }
 
 /// One way through a world by chance, of so many steps at most: after how many there were two live claims.
-fn walk(mut world: World, defect: Defect, chance: &mut Pcg64Mcg, most: usize) -> Option<usize> {
+fn walk(mut harness: Harness, defect: Defect, chance: &mut Pcg64Mcg, most: usize) -> Option<usize> {
     for step in 1..=most {
-        let may = world.may();
+        let may = harness.may();
         if may.is_empty() {
             return None;
         }
-        world.does(may[chance.random_range(0..may.len())], defect);
-        if world.live() > 1 {
+        harness.does(may[chance.random_range(0..may.len())], defect);
+        if harness.live() > 1 {
             return Some(step);
         }
     }
@@ -365,13 +365,13 @@
 fn no_order_of_events_sets_a_paid_session_up_twice() {
     for (kills, forgets) in WORLDS {
         let (states, steps, all, broken) =
-            explore(World::new(&ASKS, kills, forgets), Defect::None, size(20_000));
+            explore(Harness::new(&ASKS, kills, forgets), Defect::None, size(20_000));
         println!("kills {kills}, forgets {forgets}: {states} states, {steps} steps, all of them: {all}");
         assert_eq!(broken, None, "two live claims: kills {kills}, forgets {forgets}");
         let ways = size(8_000);
         for seed in 0..ways as u64 {
             let mut chance = Pcg64Mcg::seed_from_u64(seed);
-            let broken = walk(World::new(&[2, 2, 1], kills, forgets), Defect::None, &mut chance, STEPS);
+            let broken = walk(Harness::new(&[2, 2, 1], kills, forgets), Defect::None, &mut chance, STEPS);
             assert_eq!(broken, None, "two live claims: kills {kills}, forgets {forgets}, seed {seed}");
         }
     }
@@ -383,7 +383,7 @@
         let ways = size(300_000) as u64;
         let found = (0..ways).find_map(|seed| {
             let mut chance = Pcg64Mcg::seed_from_u64(seed);
-            walk(World::new(&ASKS, kills, forgets), defect, &mut chance, STEPS).map(|steps| (seed, steps))
+            walk(Harness::new(&ASKS, kills, forgets), defect, &mut chance, STEPS).map(|steps| (seed, steps))
         });
         println!("{defect:?}: found by way and after steps {found:?}");
         assert!(found.is_some(), "{defect:?} was not found on {ways} ways");
@@ -401,14 +401,14 @@
         (Defect::StartsNotStored, true, 2),
         (Defect::StartsNotStored, false, 1),
     ] {
-        let mut world = World::new(&[1, 1, 0], 1, 1);
+        let mut harness = Harness::new(&[1, 1, 0], 1, 1);
         let [zero, one, two] = [0, 1, 2].map(Member);
-        let come = |world: &mut World, from, to, what: fn(&Message) -> bool| {
+        let come = |harness: &mut Harness, from, to, what: fn(&Message) -> bool| {
             let fits = |m: &&(Member, Member, Message)| m.0 == from && m.1 == to && what(&m.2);
-            let all: Vec<_> = world.wire.iter().filter(fits).cloned().collect();
+            let all: Vec<_> = harness.wire.iter().filter(fits).cloned().collect();
             for (from, to, message) in all {
-                world.comes(from, to, &message, defect);
-                world.syncs(to, defect);
+                harness.comes(from, to, &message, defect);
+                harness.syncs(to, defect);
             }
         };
         // Whoever dies loses what it was granted, so it asks second.
@@ -416,32 +416,32 @@
         let other = if dies { zero } else { one };
         let claim: fn(&Message) -> bool = |message| matches!(message, Message::Claim(_));
         let accepted: fn(&Message) -> bool = |message| matches!(message, Message::Accepted(..));
-        world.does(Act::Asks(first), defect);
-        come(&mut world, first, two, claim);
-        world.does(Act::Forgets(two), defect);
+        harness.does(Act::Asks(first), defect);
+        come(&mut harness, first, two, claim);
+        harness.does(Act::Forgets(two), defect);
         for member in [zero, one] {
-            come(&mut world, two, member, |message| matches!(message, Message::RequestRecovery(_)));
-            come(&mut world, member, two, |message| {
+            come(&mut harness, two, member, |message| matches!(message, Message::RequestRecovery(_)));
+            come(&mut harness, member, two, |message| {
                 matches!(message, Message::RecoveryEntry(..) | Message::RecoveryDone(..))
             });
         }
         if dies {
             // Who keeps the first claim beside member 2 comes back in between.
-            world.does(Act::Dies(other), defect);
-            come(&mut world, first, other, claim);
-            come(&mut world, other, first, accepted);
+            harness.does(Act::Dies(other), defect);
+            come(&mut harness, first, other, claim);
+            come(&mut harness, other, first, accepted);
         } else {
-            come(&mut world, first, first, claim);
-            come(&mut world, first, first, accepted);
+            come(&mut harness, first, first, claim);
+            come(&mut harness, first, first, accepted);
         }
-        come(&mut world, two, first, accepted);
+        come(&mut harness, two, first, accepted);
         // The other majority: member 2 as it is now, and member 1, which has not heard of the first claim.
-        world.does(Act::Asks(other), defect);
+        harness.does(Act::Asks(other), defect);
         for acceptor in [two, one] {
-            come(&mut world, other, acceptor, claim);
-            come(&mut world, acceptor, other, accepted);
+            come(&mut harness, other, acceptor, claim);
+            come(&mut harness, acceptor, other, accepted);
         }
-        assert_eq!(world.live(), live, "{defect:?}, dies {dies}");
+        assert_eq!(harness.live(), live, "{defect:?}, dies {dies}");
     }
 }
 
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -8,7 +8,7 @@
 pub use record::{Asked, Came, Record, SetUpEnd, Standing, What};
 pub use text::{read, write};
 
-use ivyward_fleet::{Cold, Key, ManagerNo, ServerNo};
+use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -178,7 +178,7 @@
     let ends = ends(records);
     let (mut looked, mut broken) = (0, vec![]);
     // Per session the last set-up: its key, when it ended, and whether any so far may have run.
-    let mut last: BTreeMap<u128, (Key, Option<Duration>, Option<Duration>)> = BTreeMap::new();
+    let mut last: BTreeMap<u128, (TuneInKey, Option<Duration>, Option<Duration>)> = BTreeMap::new();
     // By session and manager, when the first ran that may have.
     let mut ran_by: BTreeMap<(u128, ManagerNo), Duration> = BTreeMap::new();
     for record in records {
@@ -233,7 +233,7 @@
 
 /// When and how each set-up ended on its socket first: one that was refused never ran, though its server died before the
 /// refusal had come through.
-fn ends(records: &[Record]) -> BTreeMap<(ServerNo, Key), (Duration, SetUpEnd)> {
+fn ends(records: &[Record]) -> BTreeMap<(ServerNo, TuneInKey), (Duration, SetUpEnd)> {
     let end = |record: &Record| match &record.what {
         What::SetUpOver { server, key, how } => Some(((*server, *key), (record.at, *how))),
         _ => None,
@@ -342,9 +342,9 @@
     let ends = ends(records);
     let (mut looked, mut broken) = (0, vec![]);
     // What each tune-in is of, and who holds a seat since when.
-    let mut about: BTreeMap<Key, (usize, String)> = BTreeMap::new();
-    let mut held: BTreeMap<Seat, BTreeMap<Key, Option<Duration>>> = BTreeMap::new();
-    let seat = |key: &Key, of: &(usize, String)| (key.manager, key.birth, of.0, of.1.clone());
+    let mut about: BTreeMap<TuneInKey, (usize, String)> = BTreeMap::new();
+    let mut held: BTreeMap<Seat, BTreeMap<TuneInKey, Option<Duration>>> = BTreeMap::new();
+    let seat = |key: &TuneInKey, of: &(usize, String)| (key.manager, key.birth, of.0, of.1.clone());
     for record in records {
         match &record.what {
             What::SetUp { server, key, package, title, rung, .. } => {
@@ -359,7 +359,7 @@
                 // A tune-in given up on its way may be read just after its viewing's next, as for rule 2: it holds no second seat.
                 let given_up = matches!(ends.get(&(*server, *key)),
                     Some((at, SetUpEnd::Closed)) if *at <= record.at + terms.grain);
-                let next = |of: &Key| {
+                let next = |of: &TuneInKey| {
                     (of.manager, of.birth, of.vw) == (key.manager, key.birth, key.vw) && of.n > key.n
                 };
                 if given_up && !terms_of.once && there.keys().any(next) {
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -1,6 +1,6 @@
 //! What viewers, servers and the list service saw.
 
-use ivyward_fleet::{Key, ManagerNo, Over, ServerNo};
+use ivyward_fleet::{ManagerNo, ServerNo, StreamEnd, TuneInKey};
 use std::time::Duration;
 
 /// How a request for a manifest ended at the viewer.
@@ -59,7 +59,7 @@
     /// A set-up was read from a socket.
     SetUp {
         server: ServerNo,
-        key: Key,
+        key: TuneInKey,
         session: u128,
         package: usize,
         title: String,
@@ -67,23 +67,23 @@
     },
     SetUpOver {
         server: ServerNo,
-        key: Key,
+        key: TuneInKey,
         how: SetUpEnd,
     },
     /// A set-up began to run.
     Ran {
         server: ServerNo,
-        key: Key,
+        key: TuneInKey,
     },
     Rung {
         server: ServerNo,
-        key: Key,
+        key: TuneInKey,
         rung: usize,
     },
     StreamOver {
         server: ServerNo,
-        key: Key,
-        why: Over,
+        key: TuneInKey,
+        why: StreamEnd,
     },
     /// The list told a manager of a server; `birth`: the start that it tells of.
     Told {
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -1,7 +1,7 @@
 //! Each rule, shown to be broken by a history just outside and kept by one just inside, and histories that can't be read.
 
 use crate::*;
-use ivyward_fleet::Over;
+use ivyward_fleet::StreamEnd;
 
 const CLIP: usize = 0;
 const TICKET: usize = 1;
@@ -31,8 +31,8 @@
     }
 }
 
-fn key(vw: u32, n: u16) -> Key {
-    Key { manager: ManagerNo(0), birth: 1, vw, n }
+fn key(vw: u32, n: u16) -> TuneInKey {
+    TuneInKey { manager: ManagerNo(0), birth: 1, vw, n }
 }
 
 fn set_up(at: u64, server: usize, vw: u32, n: u16, package: usize) -> Record {
@@ -174,7 +174,7 @@
         at: ms(400),
         what: What::SetUp {
             server: ServerNo(1),
-            key: Key { manager: ManagerNo(1), ..key(9, 0) },
+            key: TuneInKey { manager: ManagerNo(1), ..key(9, 0) },
             session: 1,
             package: TICKET,
             title: "t".into(),
@@ -221,7 +221,7 @@
     let sent = |managers: &[u32], every: u64, count: u64| -> Vec<Record> {
         let of = |i: u64| {
             let manager = ManagerNo(managers[i as usize % managers.len()]);
-            let key = Key { manager, ..key(i as u32, 0) };
+            let key = TuneInKey { manager, ..key(i as u32, 0) };
             let (server, session) = (ServerNo(0), u128::from(i));
             let what = What::SetUp { server, key, session, package: CLIP, title: "t".into(), rung: 1 };
             [
@@ -271,7 +271,7 @@
     };
     let ends = |at: u64, vw: u32| Record {
         at: ms(at),
-        what: What::StreamOver { server: ServerNo(vw as usize), key: key(vw, 0), why: Over::Ended },
+        what: What::StreamOver { server: ServerNo(vw as usize), key: key(vw, 0), why: StreamEnd::Ended },
     };
     let rung = |rung| Record { at: ms(400), what: What::Rung { server: ServerNo(1), key: key(1, 0), rung } };
     let two = || [plays(100, 1), plays(200, 2)].concat();
@@ -376,7 +376,7 @@
         set_up(100, 0, 1, 0, TICKET),
         over(110, 0, 1, 0, SetUpEnd::Plays),
         at(120, What::Rung { server, key: key(1, 0), rung: 2 }),
-        at(130, What::StreamOver { server, key: key(1, 0), why: Over::Lease }),
+        at(130, What::StreamOver { server, key: key(1, 0), why: StreamEnd::Lease }),
     ];
     let asked = vec![asked(1, TICKET, 90, 115, Came::Answer(200)), asked(2, CLIP, 90, 95, Came::Cut)];
     History { records, asked, managers: vec![process(&[(1, 9)]), Life::default()] }
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -3,7 +3,7 @@
 
 use crate::record::{Asked, Came, Record, SetUpEnd, Standing, What};
 use crate::{History, Life, Package, Terms};
-use ivyward_fleet::{Cold, Key, ManagerNo, Over, ServerNo};
+use ivyward_fleet::{Cold, ManagerNo, ServerNo, StreamEnd, TuneInKey};
 use ivyward_settings::{Fault, Part};
 use std::time::Duration;
 
@@ -16,8 +16,12 @@
     ("closed", SetUpEnd::Closed),
     ("broke", SetUpEnd::Broke),
 ];
-const OVERS: [(&str, Over); 4] =
-    [("ended", Over::Ended), ("lease", Over::Lease), ("released", Over::Released), ("died", Over::Died)];
+const OVERS: [(&str, StreamEnd); 4] = [
+    ("ended", StreamEnd::Ended),
+    ("lease", StreamEnd::Lease),
+    ("released", StreamEnd::Released),
+    ("died", StreamEnd::Died),
+];
 const CAMES: [(&str, Came); 3] = [("closed", Came::Closed), ("cut", Came::Cut), ("nothing", Came::Nothing)];
 const KINDS: [&str; 11] =
     ["terms", "life", "asked", "set_up", "set_up_over", "rung", "stream_over", "told", "born", "died", "end"];
@@ -31,7 +35,7 @@
     names.iter().find(|(_, value)| value == of).map_or("", |(name, _)| name)
 }
 
-fn key(Key { manager, birth, vw, n }: &Key) -> String {
+fn key(TuneInKey { manager, birth, vw, n }: &TuneInKey) -> String {
     format!("key {{ manager: {} birth: {birth} vw: {vw} n: {n} }}", manager.0)
 }
 
@@ -270,10 +274,10 @@
     one_of(&of.text(field), names).ok_or_else(|| of.fault(field, &format!("is none of {}", all())))
 }
 
-fn key_of(of: &Part) -> Key {
+fn key_of(of: &Part) -> TuneInKey {
     let key = of.one("key");
     let (manager, vw) = (ManagerNo(key.count("manager") as u32), key.count("vw") as u32);
-    Key { manager, birth: key.whole("birth"), vw, n: key.count("n") as u16 }
+    TuneInKey { manager, birth: key.whole("birth"), vw, n: key.count("n") as u16 }
 }
 
 fn terms_of(of: &Part) -> Terms {
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -1,23 +1,23 @@
 //! Tables of events and of what must come of them, with the real module and without sockets.
 
-mod world;
+mod harness;
 
 use crate::{Answer, Breach, Cause, Happened, Over, Timer, TuneIn};
+use harness::{BIRTH, Did, EARLIER, Harness, ms, server, session};
 use ivyward::front::{Extent, KindId, Listed, Load, ServerId, Standing, ViewingId, Why, ZoneId};
 use ivyward_edge::Shown;
-use world::{BIRTH, Did, EARLIER, World, ms, server, session};
 
 const PLAIN: usize = 0;
 const PAID: usize = 1;
 const SEATED: usize = 2;
 
 /// The one set-up that is out.
-fn out(world: &World) -> (ViewingId, TuneIn) {
-    *world.set_ups().last().expect("a set-up is out")
+fn out(harness: &Harness) -> (ViewingId, TuneIn) {
+    *harness.set_ups().last().expect("a set-up is out")
 }
 
-fn answers(world: &World) -> Vec<&Answer> {
-    world
+fn answers(harness: &Harness) -> Vec<&Answer> {
+    harness
         .did
         .iter()
         .filter_map(|did| if let Did::Answer(_, answer) = did { Some(answer) } else { None })
@@ -37,21 +37,21 @@
     ];
     for (what, plain, paid, released) in cases {
         for (package, again) in [(PLAIN, plain), (PAID, paid)] {
-            let mut world = World::new();
-            world.asks(1, session(1), package);
-            let (vw, n) = out(&world);
-            assert!(world.sending(vw, n));
-            world.happens(vw, n, what);
-            let after = world.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
-            assert_eq!(after == 2, again, "{what:?} of package {package}: {:?}", world.did);
-            assert_eq!(world.released(vw, n), released, "{what:?}");
+            let mut harness = Harness::new();
+            harness.asks(1, session(1), package);
+            let (vw, n) = out(&harness);
+            assert!(harness.sending(vw, n));
+            harness.happens(vw, n, what);
+            let after = harness.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
+            assert_eq!(after == 2, again, "{what:?} of package {package}: {:?}", harness.did);
+            assert_eq!(harness.released(vw, n), released, "{what:?}");
             if !again {
                 assert_eq!(
-                    answers(&world),
+                    answers(&harness),
                     [&Answer::Aborted { why: Cause::Decided(Why::Ran) }],
                     "{what:?} of package {package}"
                 );
-                assert!(world.front.is_empty());
+                assert!(harness.front.is_empty());
             }
         }
     }
@@ -59,22 +59,22 @@
 
 #[test]
 fn each_way_of_asking_again_is_one_viewing_with_one_answer_each() {
-    let mut world = World::new();
-    world.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&world);
+    let mut harness = Harness::new();
+    harness.asks(1, session(1), PLAIN);
+    let (vw, n) = out(&harness);
     // Two requests cross, a refresh while it plays, another title under the same session.
-    world.asks(2, session(1), PLAIN);
-    assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
-    world.asks(3, session(1), PLAIN);
-    world.asks_for(4, session(1), PLAIN, 1);
-    let set_ups = world.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
-    let all = answers(&world);
-    assert_eq!((set_ups, all.len()), (1, 4), "{:?}", world.did);
+    harness.asks(2, session(1), PLAIN);
+    assert!(harness.sending(vw, n));
+    harness.happens(vw, n, Happened::Plays);
+    harness.asks(3, session(1), PLAIN);
+    harness.asks_for(4, session(1), PLAIN, 1);
+    let set_ups = harness.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
+    let all = answers(&harness);
+    assert_eq!((set_ups, all.len()), (1, 4), "{:?}", harness.did);
     assert!(all[..3].iter().all(|answer| matches!(answer, Answer::Plays { tune_in, .. } if *tune_in == n)));
     assert_eq!(all[3], &Answer::Conflict);
-    world.over(vw, n, Over::Ended);
-    assert!(world.front.is_empty());
+    harness.over(vw, n, Over::Ended);
+    assert!(harness.front.is_empty());
 }
 
 #[test]
@@ -82,24 +82,24 @@
     // The answer may come before the limit, after it, or in the same turn as either.
     for limit_first in [false, true] {
         for package in [PLAIN, PAID] {
-            let mut world = World::new();
-            world.asks(1, session(1), package);
-            let (vw, n) = out(&world);
-            assert!(world.sending(vw, n));
+            let mut harness = Harness::new();
+            harness.asks(1, session(1), package);
+            let (vw, n) = out(&harness);
+            assert!(harness.sending(vw, n));
             if limit_first {
-                world.fires(Timer::Limit(vw, n));
-                world.happens(vw, n, Happened::Plays);
+                harness.fires(Timer::Limit(vw, n));
+                harness.happens(vw, n, Happened::Plays);
             } else {
-                world.happens(vw, n, Happened::Plays);
-                world.fires(Timer::Limit(vw, n));
+                harness.happens(vw, n, Happened::Plays);
+                harness.fires(Timer::Limit(vw, n));
             }
             let plays =
-                answers(&world).iter().filter(|answer| matches!(answer, Answer::Plays { .. })).count();
+                answers(&harness).iter().filter(|answer| matches!(answer, Answer::Plays { .. })).count();
             assert_eq!(plays, usize::from(!limit_first), "package {package}, limit first: {limit_first}");
-            assert_eq!(world.released(vw, n), limit_first, "what may have run there is released");
-            world.runs(ms(20_000));
-            assert_eq!(answers(&world).len(), 1, "{:?}", world.did);
-            assert_eq!(world.front.breaches().len(), 0);
+            assert_eq!(harness.released(vw, n), limit_first, "what may have run there is released");
+            harness.runs(ms(20_000));
+            assert_eq!(answers(&harness).len(), 1, "{:?}", harness.did);
+            assert_eq!(harness.front.breaches().len(), 0);
         }
     }
 }
@@ -108,28 +108,28 @@
 fn patience_due_in_the_turn_of_the_answer_makes_one_answer() {
     for package in [PLAIN, PAID] {
         for patience_first in [false, true] {
-            let mut world = World::new();
-            world.asks(1, session(1), package);
-            let (vw, n) = out(&world);
-            assert!(world.sending(vw, n));
+            let mut harness = Harness::new();
+            harness.asks(1, session(1), package);
+            let (vw, n) = out(&harness);
+            assert!(harness.sending(vw, n));
             // The module's timer for a viewer's patience, then the core's own last moment.
-            let patience = |world: &mut World| world.fires(Timer::Module(1 << 32 | u64::from(vw.0)));
+            let patience = |harness: &mut Harness| harness.fires(Timer::Module(1 << 32 | u64::from(vw.0)));
             if patience_first {
-                patience(&mut world);
-                world.happens(vw, n, Happened::Plays);
+                patience(&mut harness);
+                harness.happens(vw, n, Happened::Plays);
             } else {
-                world.happens(vw, n, Happened::Plays);
-                patience(&mut world);
+                harness.happens(vw, n, Happened::Plays);
+                patience(&mut harness);
             }
-            world.fires(Timer::Answer(vw));
+            harness.fires(Timer::Answer(vw));
             let wanted = match (patience_first, package) {
-                (false, _) => matches!(answers(&world)[..], [Answer::Plays { .. }]),
-                (true, PAID) => matches!(answers(&world)[..], [Answer::Aborted { why: Cause::Decided(_) }]),
-                (true, _) => matches!(answers(&world)[..], [Answer::Blocked { .. }]),
+                (false, _) => matches!(answers(&harness)[..], [Answer::Plays { .. }]),
+                (true, PAID) => matches!(answers(&harness)[..], [Answer::Aborted { why: Cause::Decided(_) }]),
+                (true, _) => matches!(answers(&harness)[..], [Answer::Blocked { .. }]),
             };
-            assert!(wanted, "package {package}, patience first: {patience_first}: {:?}", world.did);
-            assert_eq!(world.released(vw, n), patience_first);
-            assert!(world.front.breaches().is_empty());
+            assert!(wanted, "package {package}, patience first: {patience_first}: {:?}", harness.did);
+            assert_eq!(harness.released(vw, n), patience_first);
+            assert!(harness.front.breaches().is_empty());
         }
     }
 }
@@ -137,60 +137,60 @@
 #[test]
 fn a_limit_before_the_first_byte_proves_that_nothing_ran() {
     for written in [false, true] {
-        let mut world = World::new();
-        world.asks(1, session(1), PAID);
-        let (vw, n) = out(&world);
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PAID);
+        let (vw, n) = out(&harness);
         if written {
-            assert!(world.sending(vw, n));
+            assert!(harness.sending(vw, n));
         }
-        world.fires(Timer::Limit(vw, n));
-        assert_eq!(world.released(vw, n), written);
-        assert!(!world.sending(vw, n), "a set-up given up on is not written any more");
-        let aborted = answers(&world).contains(&&Answer::Aborted { why: Cause::Decided(Why::Ran) });
-        assert_eq!(aborted, written, "{:?}", world.did);
+        harness.fires(Timer::Limit(vw, n));
+        assert_eq!(harness.released(vw, n), written);
+        assert!(!harness.sending(vw, n), "a set-up given up on is not written any more");
+        let aborted = answers(&harness).contains(&&Answer::Aborted { why: Cause::Decided(Why::Ran) });
+        assert_eq!(aborted, written, "{:?}", harness.did);
     }
 }
 
 #[test]
 fn a_drain_heard_after_the_decision_stops_the_set_up() {
     for standing in [Standing::Draining, Standing::Gone] {
-        let mut world = World::new();
-        world.asks(1, session(1), PAID);
-        let (vw, n) = out(&world);
-        let at = world.server_of(vw, n);
-        world.lists(&[(at, standing)]);
-        assert!(!world.sending(vw, n));
-        let (again, next) = out(&world);
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PAID);
+        let (vw, n) = out(&harness);
+        let at = harness.server_of(vw, n);
+        harness.lists(&[(at, standing)]);
+        assert!(!harness.sending(vw, n));
+        let (again, next) = out(&harness);
         assert_eq!((again, next), (vw, TuneIn(1)), "nothing was written, so even a paid one goes elsewhere");
-        assert_ne!(world.server_of(vw, next), at);
+        assert_ne!(harness.server_of(vw, next), at);
     }
 }
 
 #[test]
 fn a_viewer_that_closes_early_leaves_nothing_behind() {
     for (written, plays_late) in [(false, false), (true, false), (true, true)] {
-        let mut world = World::new();
-        world.asks(1, session(1), PLAIN);
-        world.asks(2, session(1), PLAIN);
-        let (vw, n) = out(&world);
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PLAIN);
+        harness.asks(2, session(1), PLAIN);
+        let (vw, n) = out(&harness);
         if written {
-            assert!(world.sending(vw, n));
+            assert!(harness.sending(vw, n));
         }
-        world.closes(1, session(1));
-        assert_eq!(world.front.live(), 1, "another request still waits");
-        world.closes(2, session(1));
+        harness.closes(1, session(1));
+        assert_eq!(harness.front.live(), 1, "another request still waits");
+        harness.closes(2, session(1));
         if plays_late {
-            world.happens(vw, n, Happened::Plays);
+            harness.happens(vw, n, Happened::Plays);
         }
-        assert_eq!(world.released(vw, n), written);
-        world.runs(ms(20_000));
-        assert!(world.front.is_empty() && answers(&world).is_empty(), "{:?}", world.did);
+        assert_eq!(harness.released(vw, n), written);
+        harness.runs(ms(20_000));
+        assert!(harness.front.is_empty() && answers(&harness).is_empty(), "{:?}", harness.did);
     }
 }
 
 #[test]
 fn a_paid_session_that_may_have_run_is_never_set_up_again() {
-    type Ends = fn(&mut World, ViewingId, TuneIn);
+    type Ends = fn(&mut Harness, ViewingId, TuneIn);
     let cases: [(&str, Ends, bool); 5] = [
         ("played to its end", |w, vw, n| w.played(vw, n, Over::Ended), true),
         ("its server was lost", |w, vw, n| w.played(vw, n, Over::Lost), true),
@@ -199,115 +199,119 @@
         ("turned away everywhere", |w, _, _| w.refuses_all(), false),
     ];
     for (name, ends, spent) in cases {
-        let mut world = World::new();
-        world.asks(1, session(1), PAID);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        ends(&mut world, vw, n);
-        assert!(world.front.is_empty(), "{name}");
-        world.did.clear();
-        world.asks(2, session(1), PAID);
-        let again = world.did.iter().any(|did| matches!(did, Did::SetUp(..)));
-        assert_eq!(again, !spent, "{name}: {:?}", world.did);
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PAID);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        ends(&mut harness, vw, n);
+        assert!(harness.front.is_empty(), "{name}");
+        harness.did.clear();
+        harness.asks(2, session(1), PAID);
+        let again = harness.did.iter().any(|did| matches!(did, Did::SetUp(..)));
+        assert_eq!(again, !spent, "{name}: {:?}", harness.did);
     }
     // After a restart only the token still tells that it was set up.
-    let mut world = World::new();
-    world.asks_begun(1, session(1), PAID);
-    assert_eq!(answers(&world), [&Answer::Aborted { why: Cause::Spent }]);
+    let mut harness = Harness::new();
+    harness.asks_begun(1, session(1), PAID);
+    assert_eq!(answers(&harness), [&Answer::Aborted { why: Cause::Spent }]);
 }
 
 #[test]
 fn what_a_server_no_longer_plays_is_over() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for i in 1..=6 {
-        world.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
+        harness.asks(i, session(u128::from(i)), PLAIN);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        harness.happens(vw, n, Happened::Plays);
     }
-    let (vw, n) = out(&world);
-    let at = world.server_of(vw, n);
-    let there = world.at(at);
-    world.still(at, &[(vw, n)]);
-    assert_eq!(world.front.live(), 6 - there + 1);
-    world.still(at, &[]);
-    assert_eq!(world.front.live(), 6 - there);
+    let (vw, n) = out(&harness);
+    let at = harness.server_of(vw, n);
+    let there = harness.at(at);
+    harness.still(at, &[(vw, n)]);
+    assert_eq!(harness.front.live(), 6 - there + 1);
+    harness.still(at, &[]);
+    assert_eq!(harness.front.live(), 6 - there);
 }
 
 #[test]
 fn a_player_that_falls_silent_gives_its_place_back() {
-    let mut world = World::new();
-    world.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&world);
-    assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
+    let mut harness = Harness::new();
+    harness.asks(1, session(1), PLAIN);
+    let (vw, n) = out(&harness);
+    assert!(harness.sending(vw, n));
+    harness.happens(vw, n, Happened::Plays);
     for _ in 0..4 {
-        world.runs(ms(6000));
-        world.asks(2, session(1), PLAIN);
+        harness.runs(ms(6000));
+        harness.asks(2, session(1), PLAIN);
     }
-    assert_eq!(world.front.live(), 1, "it asks for manifests");
-    world.runs(ms(9500));
-    assert!(world.did.contains(&Did::Fetched(vw)), "it asks no more, so its server is asked of it");
-    world.fetched(vw, n, None);
-    assert!(world.front.is_empty() && world.released(vw, n));
+    assert_eq!(harness.front.live(), 1, "it asks for manifests");
+    harness.runs(ms(9500));
+    assert!(harness.did.contains(&Did::Fetched(vw)), "it asks no more, so its server is asked of it");
+    harness.fetched(vw, n, None);
+    assert!(harness.front.is_empty() && harness.released(vw, n));
 }
 
 #[test]
 fn ends_answer_each_viewing_once() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for i in 1..=4 {
-        world.asks(i, session(u128::from(i)), if i == 4 { PAID } else { PLAIN });
-        let (vw, n) = out(&world);
+        harness.asks(i, session(u128::from(i)), if i == 4 { PAID } else { PLAIN });
+        let (vw, n) = out(&harness);
         if i != 2 {
-            assert!(world.sending(vw, n));
+            assert!(harness.sending(vw, n));
         }
         if i == 3 {
-            world.happens(vw, n, Happened::Plays);
+            harness.happens(vw, n, Happened::Plays);
         }
     }
-    world.stop();
+    harness.stop();
     let why = Cause::Ends;
     let blocked = Answer::Blocked { come_back: None, why };
-    let all = answers(&world);
-    assert_eq!((all.len(), world.front.waiting()), (4, 0));
+    let all = answers(&harness);
+    assert_eq!((all.len(), harness.front.waiting()), (4, 0));
     assert_eq!([all[1], all[2], all[3]], [&blocked, &blocked, &Answer::Aborted { why }]);
-    world.asks(9, session(9), PLAIN);
-    assert_eq!(answers(&world).last(), Some(&&blocked), "nothing new is taken");
-    world.runs(ms(20_000));
-    assert_eq!(answers(&world).len(), 5);
+    harness.asks(9, session(9), PLAIN);
+    assert_eq!(answers(&harness).last(), Some(&&blocked), "nothing new is taken");
+    harness.runs(ms(20_000));
+    assert_eq!(answers(&harness).len(), 5);
 }
 
 #[test]
 fn hundreds_in_one_turn_are_answered_by_the_end_of_their_patience() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for i in 0..400 {
-        world.asks(i, session(u128::from(i)), PLAIN);
+        harness.asks(i, session(u128::from(i)), PLAIN);
     }
     // No server ever answers anything.
-    let waiting: Vec<_> = world.set_ups();
+    let waiting: Vec<_> = harness.set_ups();
     for (vw, n) in waiting {
-        world.sending(vw, n);
+        harness.sending(vw, n);
     }
-    world.runs(ms(60_000));
-    assert_eq!(answers(&world).len(), 400);
-    assert!(world.front.is_empty() && world.front.breaches().is_empty(), "{:?}", world.front.breaches());
+    harness.runs(ms(60_000));
+    assert_eq!(answers(&harness).len(), 400);
+    assert!(
+        harness.front.is_empty() && harness.front.breaches().is_empty(),
+        "{:?}",
+        harness.front.breaches()
+    );
 }
 
 #[test]
 fn seats_hold_and_the_fence_sees_what_breaks_a_rule() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for i in 1..=3 {
-        world.asks(i, session(u128::from(i)), SEATED);
+        harness.asks(i, session(u128::from(i)), SEATED);
         if i < 3 {
-            let (vw, n) = out(&world);
-            assert!(world.sending(vw, n));
-            world.happens(vw, n, Happened::Plays);
+            let (vw, n) = out(&harness);
+            assert!(harness.sending(vw, n));
+            harness.happens(vw, n, Happened::Plays);
         }
     }
     let seats = Answer::Blocked { come_back: None, why: Cause::Decided(Why::Seats) };
-    assert_eq!(answers(&world).last(), Some(&&seats));
+    assert_eq!(answers(&harness).last(), Some(&&seats));
     // The fence alone, handed what must not be.
-    let mut fence = world::fence();
+    let mut fence = harness::fence();
     let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::front::TitleId(0)));
     let send = |fence: &mut crate::Fence, at, vw, again, ran| {
         fence.sending(ms(at), session(1), vw, server(1), about, (again, ran))
@@ -335,40 +339,40 @@
 
 #[test]
 fn tune_ins_that_slow_connections_bunch_keep_the_ration() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     // Three further tune-ins, decided apart, whose connections all stand at once.
     let mut waiting = vec![];
     for i in 1..=3 {
-        world.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&world);
-        world.happens(vw, n, Happened::NotConnected);
-        waiting.push(out(&world));
-        world.runs(ms(10));
+        harness.asks(i, session(u128::from(i)), PLAIN);
+        let (vw, n) = out(&harness);
+        harness.happens(vw, n, Happened::NotConnected);
+        waiting.push(out(&harness));
+        harness.runs(ms(10));
     }
-    let sent: Vec<_> = waiting.into_iter().map(|(vw, n)| world.sending(vw, n)).collect();
+    let sent: Vec<_> = waiting.into_iter().map(|(vw, n)| harness.sending(vw, n)).collect();
     assert_eq!(sent, [true, true, false], "two are free");
-    assert!(world.front.breaches().is_empty());
-    world.runs(ms(20_000));
-    assert_eq!(answers(&world).len(), 3);
+    assert!(harness.front.breaches().is_empty());
+    harness.runs(ms(20_000));
+    assert_eq!(answers(&harness).len(), 3);
 }
 
 #[test]
 fn further_tune_ins_that_reached_nobody_count_in_the_ration() {
     // Two are free: one that found nobody, or whose limit came before its connection, and one that is sent.
     for limit in [false, true] {
-        let mut world = World::new();
+        let mut harness = Harness::new();
         let mut sent = vec![];
         for i in 1..=3 {
-            world.asks(i, session(u128::from(i)), PLAIN);
-            let (vw, n) = out(&world);
-            world.happens(vw, n, Happened::NotConnected);
-            let (vw, n) = out(&world);
+            harness.asks(i, session(u128::from(i)), PLAIN);
+            let (vw, n) = out(&harness);
+            harness.happens(vw, n, Happened::NotConnected);
+            let (vw, n) = out(&harness);
             if i == 1 && limit {
-                world.fires(Timer::Limit(vw, n));
+                harness.fires(Timer::Limit(vw, n));
             } else if i == 1 {
-                world.happens(vw, n, Happened::NotConnected);
+                harness.happens(vw, n, Happened::NotConnected);
             } else {
-                sent.push(world.sending(vw, n));
+                sent.push(harness.sending(vw, n));
             }
         }
         assert_eq!(sent, [true, false], "limit: {limit}");
@@ -378,13 +382,13 @@
 #[test]
 fn load_comes_with_an_answer_and_breaks_nothing_when_it_is_odd() {
     for full in [0.0, 0.5, f64::NAN, f64::INFINITY, -1.0] {
-        let mut world = World::new();
-        world.asks(1, session(1), PLAIN);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        world.happens_with(vw, n, Happened::Refused, Load { link: Some(full), uplink: Some(full) });
-        world.runs(ms(20_000));
-        assert_eq!(answers(&world).len(), 1, "{full}");
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PLAIN);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        harness.happens_with(vw, n, Happened::Refused, Load { link: Some(full), uplink: Some(full) });
+        harness.runs(ms(20_000));
+        assert_eq!(answers(&harness).len(), 1, "{full}");
     }
 }
 
@@ -392,17 +396,17 @@
 fn a_player_that_asks_for_no_manifest_stays_while_it_fetches() {
     // How long ago its server says that it last fetched, and whether it is over.
     for (quiet, over) in [(Some(ms(500)), false), (Some(ms(9000)), true), (None, true)] {
-        let mut world = World::new();
-        world.asks(1, session(1), PLAIN);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
-        world.runs(ms(9500));
-        assert_eq!(world.did.iter().filter(|did| **did == Did::Fetched(vw)).count(), 1);
-        world.fetched(vw, n, quiet);
-        assert_eq!((world.front.is_empty(), world.released(vw, n)), (over, over), "{quiet:?}");
-        world.runs(ms(9500));
-        let asked = world.did.iter().filter(|did| **did == Did::Fetched(vw)).count();
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PLAIN);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        harness.happens(vw, n, Happened::Plays);
+        harness.runs(ms(9500));
+        assert_eq!(harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count(), 1);
+        harness.fetched(vw, n, quiet);
+        assert_eq!((harness.front.is_empty(), harness.released(vw, n)), (over, over), "{quiet:?}");
+        harness.runs(ms(9500));
+        let asked = harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count();
         assert_eq!(asked, if over { 1 } else { 2 }, "{quiet:?}");
     }
 }
@@ -410,47 +414,51 @@
 #[test]
 fn tokens_spent_by_a_player_that_went_on_are_not_taken() {
     let shown = |turn| Shown::Manager { birth: BIRTH.0, server: server(0), turn };
-    let mut world = World::new();
-    world.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&world);
-    assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
+    let mut harness = Harness::new();
+    harness.asks(1, session(1), PLAIN);
+    let (vw, n) = out(&harness);
+    assert!(harness.sending(vw, n));
+    harness.happens(vw, n, Happened::Plays);
     // The turn shown, and that of the token given with the answer; none where it is not taken.
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
     for (request, (turn, next)) in (2..).zip(cases) {
-        world.asks_with(request, session(1), PLAIN, 0, shown(turn));
-        let given = match world.did.last() {
+        harness.asks_with(request, session(1), PLAIN, 0, shown(turn));
+        let given = match harness.did.last() {
             Some(Did::Answer(_, Answer::Plays { turn, .. })) => Some(*turn),
             Some(Did::Answer(_, Answer::Replayed)) => None,
             other => panic!("{other:?}"),
         };
         assert_eq!(given, next, "turn {turn}");
     }
-    assert_eq!((world.front.live(), world.set_ups().len()), (1, 1), "whatever is shown, it is one viewing");
+    assert_eq!(
+        (harness.front.live(), harness.set_ups().len()),
+        (1, 1),
+        "whatever is shown, it is one viewing"
+    );
 }
 
 #[test]
 fn what_an_earlier_start_left_playing_is_taken_over_once() {
-    let mut world = World::new();
-    world.finds(server(2), EARLIER, 70, session(1), PAID);
-    world.finds(server(2), EARLIER, 70, session(1), PAID);
-    assert_eq!((world.front.live(), world.front.counts()), (1, (0, 1)));
+    let mut harness = Harness::new();
+    harness.finds(server(2), EARLIER, 70, session(1), PAID);
+    harness.finds(server(2), EARLIER, 70, session(1), PAID);
+    assert_eq!((harness.front.live(), harness.front.counts()), (1, (0, 1)));
     // Its player goes on at the same server, paid or not, without a set-up.
     let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-    world.asks_with(1, session(1), PAID, 0, shown);
+    harness.asks_with(1, session(1), PAID, 0, shown);
     let plays = matches!(
-        answers(&world)[..],
+        answers(&harness)[..],
         [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, turn: 10 }]
             if *at == server(2)
     );
-    assert!(plays && world.set_ups().is_empty(), "{:?}", world.did);
+    assert!(plays && harness.set_ups().is_empty(), "{:?}", harness.did);
     // The same session again elsewhere, and one of our own start that we know nothing of, are nobody's.
-    world.finds(server(3), EARLIER, 71, session(1), PAID);
-    world.finds(server(3), BIRTH, 72, session(2), PLAIN);
-    assert_eq!((world.front.live(), world.front.counts()), (1, (2, 1)));
-    assert!([71, 72].into_iter().all(|vw| world.released(ViewingId(vw), TuneIn(2))));
-    world.still(server(2), &[]);
-    assert!(world.front.is_empty(), "it went with its server");
+    harness.finds(server(3), EARLIER, 71, session(1), PAID);
+    harness.finds(server(3), BIRTH, 72, session(2), PLAIN);
+    assert_eq!((harness.front.live(), harness.front.counts()), (1, (2, 1)));
+    assert!([71, 72].into_iter().all(|vw| harness.released(ViewingId(vw), TuneIn(2))));
+    harness.still(server(2), &[]);
+    assert!(harness.front.is_empty(), "it went with its server");
 }
 
 #[test]
@@ -458,50 +466,50 @@
     let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
     // The server says that it plays it, or that it has nothing, or stays silent; and whether the package is paid.
     for (word, package) in [(0, PLAIN), (0, PAID), (1, PLAIN), (1, PAID), (2, PLAIN), (2, PAID)] {
-        let mut world = World::new();
-        world.asks_with(1, session(1), package, 0, shown);
-        assert_eq!((world.front.waiting(), world.did.len()), (1, 0), "it waits");
+        let mut harness = Harness::new();
+        harness.asks_with(1, session(1), package, 0, shown);
+        assert_eq!((harness.front.waiting(), harness.did.len()), (1, 0), "it waits");
         match word {
             0 => {
-                world.finds(server(2), EARLIER, 70, session(1), package);
-                world.hears(server(2));
+                harness.finds(server(2), EARLIER, 70, session(1), package);
+                harness.hears(server(2));
             }
-            1 => world.hears(server(2)),
-            _ => world.runs(ms(800)),
+            1 => harness.hears(server(2)),
+            _ => harness.runs(ms(800)),
         }
         match (word, package) {
-            (0, _) => assert!(matches!(answers(&world)[..], [Answer::Plays { .. }]), "{:?}", world.did),
-            (_, PAID) => assert_eq!(answers(&world), [&Answer::Aborted { why: Cause::Spent }]),
-            _ => assert_eq!(world.set_ups().len(), 1, "it is set up anew"),
+            (0, _) => assert!(matches!(answers(&harness)[..], [Answer::Plays { .. }]), "{:?}", harness.did),
+            (_, PAID) => assert_eq!(answers(&harness), [&Answer::Aborted { why: Cause::Spent }]),
+            _ => assert_eq!(harness.set_ups().len(), 1, "it is set up anew"),
         }
         // Closed or stopped while it waits, it is answered or gone.
-        world.closes(1, session(1));
-        world.stop();
-        assert_eq!(world.front.waiting(), 0);
+        harness.closes(1, session(1));
+        harness.stop();
+        assert_eq!(harness.front.waiting(), 0);
     }
-    let mut world = World::new();
-    world.asks_with(1, session(1), PLAIN, 0, shown);
-    world.stop();
-    assert_eq!(answers(&world), [&Answer::Blocked { come_back: None, why: Cause::Ends }]);
-    assert!(world.front.is_empty());
+    let mut harness = Harness::new();
+    harness.asks_with(1, session(1), PLAIN, 0, shown);
+    harness.stop();
+    assert_eq!(answers(&harness), [&Answer::Blocked { come_back: None, why: Cause::Ends }]);
+    assert!(harness.front.is_empty());
 }
 
 #[test]
 fn of_servers_long_gone_and_sessions_long_spent_nothing_is_held() {
-    let (mut world, mut held) = (World::new(), vec![]);
+    let (mut harness, mut held) = (Harness::new(), vec![]);
     for turn in 0..40_u8 {
         // Four servers under new ids, and those of the turn before are gone; one paid viewing plays to its end.
         let at = |turn: u8, i: u8| ServerId([127, 9, turn, i, 0, 80]);
         let ready = (0..4).map(|i| (at(turn, i), Standing::Ready));
         let gone = (0..4).filter(|_| turn > 0).map(|i| (at(turn - 1, i), Standing::Gone));
-        world.lists(&ready.chain(gone).collect::<Vec<_>>());
-        (0..4).for_each(|i| world.hears(at(turn, i)));
-        world.asks(u64::from(turn), session(u128::from(turn)), PAID);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        world.played(vw, n, Over::Ended);
-        world.runs(ms(60_000));
-        held.push(world.front.held());
+        harness.lists(&ready.chain(gone).collect::<Vec<_>>());
+        (0..4).for_each(|i| harness.hears(at(turn, i)));
+        harness.asks(u64::from(turn), session(u128::from(turn)), PAID);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        harness.played(vw, n, Over::Ended);
+        harness.runs(ms(60_000));
+        held.push(harness.front.held());
     }
     assert!(held[39] <= held[12], "after 13 turns {}, after 40 {}", held[12], held[39]);
 }
@@ -524,13 +532,13 @@
 /// Lines about one server, in the order in which they come, and whether each is one of a whole list.
 fn changes(at: ServerId, now: std::time::Duration) -> Vec<(&'static str, Vec<Told>)> {
     use Standing::{Draining, Gone, Ready};
-    let line = |standing| World::row(at, standing);
+    let line = |standing| Harness::row(at, standing);
     let new = |standing| Listed { born: Some(now), ..line(standing) };
     let all = |but: bool| -> Vec<Listed> {
         (0..6)
             .map(server)
             .filter(|other| !but || *other != at)
-            .map(|other| World::row(other, Ready))
+            .map(|other| Harness::row(other, Ready))
             .collect()
     };
     let some = |rows: &[Listed]| (rows.to_vec(), Extent::Changes);
@@ -565,15 +573,15 @@
     for (stage, package) in stages.into_iter().flat_map(|stage| [(stage, PLAIN), (stage, PAID)]) {
         let all = changes(server(0), std::time::Duration::ZERO).len();
         for i in 0..all {
-            let mut world = World::with(stage == Stage::Probing);
+            let mut harness = Harness::with(stage == Stage::Probing);
             let mut at = server(2);
             if stage == Stage::Word {
                 let shown = Shown::Manager { birth: EARLIER.0, server: at, turn: 9 };
-                world.asks_with(1, session(1), package, 0, shown);
+                harness.asks_with(1, session(1), package, 0, shown);
             } else {
-                world.asks(1, session(1), package);
+                harness.asks(1, session(1), package);
             }
-            let probes: Vec<_> = world
+            let probes: Vec<_> = harness
                 .did
                 .iter()
                 .filter_map(|did| if let Did::Probe(at) = did { Some(*at) } else { None })
@@ -581,49 +589,49 @@
             if stage == Stage::Probing {
                 at = *probes.first().expect("a probe is out");
             } else if stage != Stage::Word {
-                let (vw, n) = out(&world);
-                at = world.server_of(vw, n);
+                let (vw, n) = out(&harness);
+                at = harness.server_of(vw, n);
                 if stage != Stage::Chosen {
-                    assert!(world.sending(vw, n));
+                    assert!(harness.sending(vw, n));
                 }
                 if matches!(stage, Stage::Playing | Stage::Releasing) {
-                    world.happens(vw, n, Happened::Plays);
+                    harness.happens(vw, n, Happened::Plays);
                 }
                 if stage == Stage::Releasing {
-                    world.fetched(vw, n, None);
+                    harness.fetched(vw, n, None);
                 }
             }
-            let (name, lines) = changes(at, world.now()).swap_remove(i);
+            let (name, lines) = changes(at, harness.now()).swap_remove(i);
             let told = format!("{stage:?}, package {package}: {name}");
             let mut ends = false;
             for (rows, extent) in lines {
                 let line = rows.iter().rev().find(|row| row.server == at);
                 let unnamed = extent == Extent::Whole && line.is_none();
                 ends = unnamed || line.map_or(ends, |row| row.standing != Standing::Ready);
-                world.lists_as(&rows, extent);
-                world.runs(ms(20));
+                harness.lists_as(&rows, extent);
+                harness.runs(ms(20));
             }
             // All that is out comes to its end, late.
-            probes.into_iter().for_each(|at| world.probed(at, Some(Load::default())));
+            probes.into_iter().for_each(|at| harness.probed(at, Some(Load::default())));
             if stage == Stage::Word {
-                world.hears(at);
+                harness.hears(at);
             }
             for _ in 0..8 {
-                let Some((vw, n)) = world.set_ups().last().copied() else { break };
-                let to = world.server_of(vw, n);
+                let Some((vw, n)) = harness.set_ups().last().copied() else { break };
+                let to = harness.server_of(vw, n);
                 let written = stage == Stage::Written && n == TuneIn(0);
-                if !written && world.sending(vw, n) {
+                if !written && harness.sending(vw, n) {
                     assert!(!(ends && to == at), "{told}: sent where the list says that it ends");
                 }
-                world.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, Happened::Plays);
             }
-            if let Some((vw, n)) = world.set_ups().last().copied() {
-                world.over(vw, n, Over::Ended);
+            if let Some((vw, n)) = harness.set_ups().last().copied() {
+                harness.over(vw, n, Over::Ended);
             }
-            world.runs(ms(20_000));
-            let answered = answers(&world).len();
-            assert_eq!((answered, world.front.breaches().len()), (1, 0), "{told}: {:?}", world.did);
-            assert!(world.front.is_empty(), "{told}: something is left, {:?}", world.did);
+            harness.runs(ms(20_000));
+            let answered = answers(&harness).len();
+            assert_eq!((answered, harness.front.breaches().len()), (1, 0), "{told}: {:?}", harness.did);
+            assert!(harness.front.is_empty(), "{told}: something is left, {:?}", harness.did);
         }
     }
 }
@@ -633,74 +641,79 @@
     // All holders go while a paid viewing is out at one; it proves not to have run, just before or after the holder is
     // back, near the end of its patience.
     for (back, at) in [(true, 2900), (false, 2900), (true, 2999), (true, 3000), (true, 3040)] {
-        let mut world = World::new();
-        world.asks(1, session(1), PAID);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
+        let mut harness = Harness::new();
+        harness.asks(1, session(1), PAID);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
         let rows: Vec<_> = (0..6).map(|i| (server(i), Standing::Gone)).collect();
-        world.lists(&rows);
-        world.runs(ms(at));
+        harness.lists(&rows);
+        harness.runs(ms(at));
         if back {
-            world.lists(&[(server(3), Standing::Ready)]);
+            harness.lists(&[(server(3), Standing::Ready)]);
         }
-        world.happens(vw, n, Happened::Refused);
-        let again = world.set_ups().len() == 2;
-        assert_eq!(again, back && at < 3000, "back: {back}, after {at} ms: {:?}", world.did);
+        harness.happens(vw, n, Happened::Refused);
+        let again = harness.set_ups().len() == 2;
+        assert_eq!(again, back && at < 3000, "back: {back}, after {at} ms: {:?}", harness.did);
         if again {
-            let (vw, n) = out(&world);
-            assert_eq!((world.server_of(vw, n), world.sending(vw, n)), (server(3), true));
-            world.played(vw, n, Over::Ended);
+            let (vw, n) = out(&harness);
+            assert_eq!((harness.server_of(vw, n), harness.sending(vw, n)), (server(3), true));
+            harness.played(vw, n, Over::Ended);
         }
-        world.runs(ms(20_000));
-        assert_eq!((answers(&world).len(), world.front.breaches().len()), (1, 0), "{at}: {:?}", world.did);
-        assert!(world.front.is_empty());
+        harness.runs(ms(20_000));
+        assert_eq!(
+            (answers(&harness).len(), harness.front.breaches().len()),
+            (1, 0),
+            "{at}: {:?}",
+            harness.did
+        );
+        assert!(harness.front.is_empty());
     }
 }
 
 #[test]
 fn revoked_sessions_end_wherever_they_are() {
     for step in 0..4 {
-        let mut world = World::new();
+        let mut harness = Harness::new();
         if step == 0 {
             // It waits for word.
             let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-            world.asks_with(1, session(1), PLAIN, 0, shown);
+            harness.asks_with(1, session(1), PLAIN, 0, shown);
         } else {
-            world.asks(1, session(1), PLAIN);
-            let (vw, n) = out(&world);
+            harness.asks(1, session(1), PLAIN);
+            let (vw, n) = out(&harness);
             if step > 1 {
-                assert!(world.sending(vw, n));
+                assert!(harness.sending(vw, n));
             }
             if step > 2 {
-                world.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, Happened::Plays);
             }
         }
-        world.revokes(session(1));
+        harness.revokes(session(1));
         let wanted = if step < 3 { 1 } else { 0 };
-        let revoked = answers(&world).iter().filter(|answer| ***answer == Answer::Revoked).count();
-        assert_eq!((revoked, world.front.is_empty()), (wanted, true), "step {step}: {:?}", world.did);
+        let revoked = answers(&harness).iter().filter(|answer| ***answer == Answer::Revoked).count();
+        assert_eq!((revoked, harness.front.is_empty()), (wanted, true), "step {step}: {:?}", harness.did);
         if step > 1 {
-            let (vw, n) = out(&world);
-            assert!(world.released(vw, n), "step {step}");
+            let (vw, n) = out(&harness);
+            assert!(harness.released(vw, n), "step {step}");
         }
     }
 }
 
 #[test]
 fn a_server_whose_clock_goes_astray_keeps_nothing_that_plays() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for i in 1..=6 {
-        world.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&world);
-        assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
+        harness.asks(i, session(u128::from(i)), PLAIN);
+        let (vw, n) = out(&harness);
+        assert!(harness.sending(vw, n));
+        harness.happens(vw, n, Happened::Plays);
     }
-    let (vw, n) = out(&world);
-    let at = world.server_of(vw, n);
-    let there = world.at(at);
-    world.goes_astray(at);
-    assert_eq!(world.front.live(), 6 - there);
-    assert!(world.released(vw, n));
+    let (vw, n) = out(&harness);
+    let at = harness.server_of(vw, n);
+    let there = harness.at(at);
+    harness.goes_astray(at);
+    assert_eq!(harness.front.live(), 6 - there);
+    assert!(harness.released(vw, n));
 }
 
 #[test]
@@ -709,35 +722,35 @@
     for (package, patience, written) in
         [(PLAIN, 700, true), (PAID, 700, true), (PAID, 2000, true), (PAID, 700, false)]
     {
-        let mut world = World::of_requests();
-        world.asks_once(1, session(1), package, ms(patience));
+        let mut harness = Harness::of_requests();
+        harness.asks_once(1, session(1), package, ms(patience));
         if written {
-            let (vw, n) = out(&world);
-            assert!(world.sending(vw, n));
+            let (vw, n) = out(&harness);
+            assert!(harness.sending(vw, n));
         }
-        world.runs(ms(patience - 1));
-        assert!(answers(&world).is_empty(), "{package} {patience}: not before");
-        world.runs(ms(1));
+        harness.runs(ms(patience - 1));
+        assert!(answers(&harness).is_empty(), "{package} {patience}: not before");
+        harness.runs(ms(1));
         // A paid one that is still out is not told to try again, whatever is written.
         let ran = package == PAID;
         assert!(
-            matches!(answers(&world)[..], [Answer::Aborted { .. }] if ran)
-                || matches!(answers(&world)[..], [Answer::Blocked { .. }] if !ran),
+            matches!(answers(&harness)[..], [Answer::Aborted { .. }] if ran)
+                || matches!(answers(&harness)[..], [Answer::Blocked { .. }] if !ran),
             "{package} {patience}: {:?}",
-            world.did
+            harness.did
         );
-        world.runs(ms(60_000));
-        assert_eq!(answers(&world).len(), 1);
-        assert!(world.front.is_empty(), "{package} {patience}");
+        harness.runs(ms(60_000));
+        assert_eq!(answers(&harness).len(), 1);
+        assert!(harness.front.is_empty(), "{package} {patience}");
         assert!(
-            !world.did.iter().any(|did| matches!(did, Did::Fetched(_) | Did::Breach(_))),
+            !harness.did.iter().any(|did| matches!(did, Did::Fetched(_) | Did::Breach(_))),
             "{:?}",
-            world.did
+            harness.did
         );
         // The same once more: nothing is remembered that would refuse it.
-        let before = world.front.held();
-        world.asks_once(2, session(1), package, ms(patience));
-        assert_eq!((world.front.live(), world.front.held()), (1, before));
+        let before = harness.front.held();
+        harness.asks_once(2, session(1), package, ms(patience));
+        assert_eq!((harness.front.live(), harness.front.held()), (1, before));
     }
 }
 
@@ -745,16 +758,16 @@
 fn a_session_that_is_handed_over_plays_until_it_ends() {
     for package in [PLAIN, PAID, SEATED] {
         for why in [Over::Ended, Over::Left, Over::Lost] {
-            let mut world = World::of_requests();
-            let key = world.handed(server(3), session(5), package).expect("taken");
-            assert_eq!(world.handed(server(3), session(5), package), None, "named twice");
-            world.runs(ms(120_000));
-            assert_eq!(world.front.live(), 1, "it plays for as long as nobody ends it");
-            world.ends(server(2), key, why);
-            assert_eq!(world.front.live(), 1, "not there");
-            world.ends(server(3), key, why);
-            assert!(world.front.is_empty(), "{package} {why:?}");
-            assert!(answers(&world).is_empty() && !world.released(key.1, key.2), "{:?}", world.did);
+            let mut harness = Harness::of_requests();
+            let key = harness.handed(server(3), session(5), package).expect("taken");
+            assert_eq!(harness.handed(server(3), session(5), package), None, "named twice");
+            harness.runs(ms(120_000));
+            assert_eq!(harness.front.live(), 1, "it plays for as long as nobody ends it");
+            harness.ends(server(2), key, why);
+            assert_eq!(harness.front.live(), 1, "not there");
+            harness.ends(server(3), key, why);
+            assert!(harness.front.is_empty(), "{package} {why:?}");
+            assert!(answers(&harness).is_empty() && !harness.released(key.1, key.2), "{:?}", harness.did);
         }
     }
 }
--- a/crates/session/src/tests/world.rs
+++ b/crates/session/src/tests/harness.rs
@@ -79,7 +79,7 @@
     }
 }
 
-pub struct World {
+pub struct Harness {
     pub front: Front,
     pub did: Vec<Did>,
     now: Duration,
@@ -91,22 +91,22 @@
     Fence::new(ms(250), Some((ms(5000), 2.0, 0.0)), vec![0, 0, 2])
 }
 
-impl World {
-    pub fn new() -> World {
-        World::with(false)
+impl Harness {
+    pub fn new() -> Harness {
+        Harness::with(false)
     }
 
     /// `probe`: servers may be asked for their load.
-    pub fn with(probe: bool) -> World {
-        World::of(probe, Some((ms(9000), ms(600_000))))
+    pub fn with(probe: bool) -> Harness {
+        Harness::of(probe, Some((ms(9000), ms(600_000))))
     }
 
     /// One in which each request is a session of its own and whose viewers tell when they leave.
-    pub fn of_requests() -> World {
-        World::of(false, None)
+    pub fn of_requests() -> Harness {
+        Harness::of(false, None)
     }
 
-    fn of(probe: bool, sessions: Option<(Duration, Duration)>) -> World {
+    fn of(probe: bool, sessions: Option<(Duration, Duration)>) -> Harness {
         let package =
             |once, seats| Package { value: 1.0, target: ms(1000), once, scale: 1.0, floor: 0, top: 1, seats };
         let module = Manager::new(
@@ -130,14 +130,14 @@
         let terms = vec![(ms(3000), false), (ms(3000), true), (ms(3000), false)];
         let spans = (ms(40), sessions.map(|(idle, _)| idle), sessions.map(|(_, paid)| paid));
         let front = Front::new(Box::new(module), fence, terms, spans, Some(RATION), BIRTH);
-        let mut world = World { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
-        world.turn(|front, hands, now| front.start(hands, now));
+        let mut harness = Harness { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
+        harness.turn(|front, hands, now| front.start(hands, now));
         let all: Vec<_> = (0..6).map(|i| (server(i), Standing::Ready)).collect();
-        world.lists(&all);
+        harness.lists(&all);
         // Warm by now.
-        world.runs(ms(500));
-        world.did.clear();
-        world
+        harness.runs(ms(500));
+        harness.did.clear();
+        harness
     }
 
     fn turn<T>(&mut self, act: impl FnOnce(&mut Front, &mut dyn Effects, Duration) -> T) -> T {
@@ -278,7 +278,7 @@
     }
 
     pub fn lists(&mut self, rows: &[(ServerId, Standing)]) {
-        let rows: Vec<_> = rows.iter().map(|(server, standing)| World::row(*server, *standing)).collect();
+        let rows: Vec<_> = rows.iter().map(|(server, standing)| Harness::row(*server, *standing)).collect();
         self.lists_as(&rows, Extent::Changes);
     }
 
--- a/crates/standin/src/given.rs
+++ b/crates/standin/src/given.rs
@@ -1,6 +1,6 @@
 //! The fleet that a script gives.
 
-use ivyward_fleet::{Cold, Fleet, Notes};
+use ivyward_fleet::{Cold, Fleet, LoadNotes};
 use ivyward_settings::Part;
 
 /// The fleet of a `Fleet` part, for managers that go by the settings given.
@@ -12,7 +12,7 @@
         multiple: part.number("multiple"),
         fall: part.span("fall_s"),
     };
-    let notes = Notes::new(part.span("seen_s"), part.span("told_s"), part.truth("reports_uplink"));
+    let notes = LoadNotes::new(part.span("seen_s"), part.span("told_s"), part.truth("reports_uplink"));
     Fleet::new(
         seed,
         part.count("servers"),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -17,7 +17,7 @@
 use hyper::body::Frame;
 use hyper_util::rt::TokioIo;
 use ivyward_dash::token::Keys;
-use ivyward_fleet::{Fleet, Key, ManagerNo, Note, Over, ServerNo};
+use ivyward_fleet::{Fleet, LoadNote, ManagerNo, ServerNo, StreamEnd, TuneInKey};
 use list::List;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -83,7 +83,7 @@
     seed: u64,
     managers: RefCell<BTreeMap<String, ManagerNo>>,
     /// What each stream is of.
-    abouts: RefCell<BTreeMap<(ServerNo, Key), About>>,
+    abouts: RefCell<BTreeMap<(ServerNo, TuneInKey), About>>,
     records: Records,
     begun: Instant,
 }
@@ -239,9 +239,9 @@
             }
             for (at, key, note) in self.model(|fleet| fleet.notes(now)) {
                 let (what, x) = match note {
-                    Note::Share(x) => ("share", x),
-                    Note::Link(x) => ("link", x),
-                    Note::Uplink(x) => ("uplink", x),
+                    LoadNote::Share(x) => ("share", x),
+                    LoadNote::Link(x) => ("link", x),
+                    LoadNote::Uplink(x) => ("uplink", x),
                 };
                 self.tell(
                     at,
@@ -253,18 +253,18 @@
     }
 
     /// A stream is over: its manager is told.
-    fn over(&self, at: ServerNo, key: Key, why: Over) {
+    fn over(&self, at: ServerNo, key: TuneInKey, why: StreamEnd) {
         self.0.abouts.borrow_mut().remove(&(at, key));
         self.record(What::StreamOver { server: at, key, why });
         let why = match why {
-            Over::Ended => "ended",
-            Over::Lease => "left",
-            Over::Released | Over::Died => return,
+            StreamEnd::Ended => "ended",
+            StreamEnd::Lease => "left",
+            StreamEnd::Released | StreamEnd::Died => return,
         };
         self.tell(at, key, json!({"over": why, "birth": key.birth, "vw": key.vw, "n": key.n}));
     }
 
-    fn tell(&self, at: ServerNo, key: Key, value: Value) {
+    fn tell(&self, at: ServerNo, key: TuneInKey, value: Value) {
         let mut readers = self.0.doors[at.0].readers.borrow_mut();
         readers.retain_mut(|(manager, birth, sender)| {
             *manager != key.manager || *birth < key.birth || sender.try_send(event(value.clone())).is_ok()
@@ -305,7 +305,7 @@
         let managers = self.model(|fleet| fleet.managers(at));
         self.record(What::Died { server: at, managers });
         for key in self.model(|fleet| fleet.die(at)) {
-            self.over(at, key, Over::Died);
+            self.over(at, key, StreamEnd::Died);
         }
         self.closed(at);
         self.list_soon(at, Standing::Gone);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -21,45 +21,45 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Connections that may wait to be accepted.
-const QUEUE: u32 = 1024;
+const BACKLOG_CONNECTION_COUNT: u32 = 1024;
 
 /// What a server does with a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum Behavior {
     Plays,
     /// An answer, and the same again.
     PlaysTwice,
     /// An answer for something else before the one that is wanted.
-    Ahead,
+    AnswersOtherFirst,
     Releases(u8),
     /// The connection is reset.
     Resets,
-    Nothing,
+    Ignores,
     /// Bytes that are no message.
-    Noise,
+    SendsGarbage,
     /// The answer stops short and the connection stays open.
-    StopsShort,
+    TruncatesAnswer,
     /// A length that no message has.
-    Huge,
+    SendsOversizedLength,
     /// An answer without its description.
-    Bare,
+    OmitsDescription,
 }
 
 /// What a server does with connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepts {
+pub enum AcceptMode {
     All,
     /// Nobody listens, and what stood is reset.
-    Refuses,
+    Refuse,
     /// What stood is read no more, and new ones never come up.
     Silent,
     /// What stood is reset, and so is each new one as soon as it is accepted.
-    Resets,
+    Reset,
 }
 
 /// What reached a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct ReceivedSignal {
     pub at: Instant,
     pub connection: usize,
     pub kind: Kind,
@@ -85,17 +85,17 @@
 pub struct Server {
     pub word: String,
     pub address: SocketAddr,
-    pub does: Cell<Does>,
+    pub behavior: Cell<Behavior>,
     /// Whether tests are answered.
-    pub tested: Cell<bool>,
-    pub seen: RefCell<Vec<Seen>>,
-    pub ends: RefCell<Vec<End>>,
+    pub answers_tests: Cell<bool>,
+    pub signals: RefCell<Vec<ReceivedSignal>>,
+    pub set_up_ends: RefCell<Vec<End>>,
     /// What was written on connections, in bytes.
-    pub wrote: Cell<usize>,
+    pub written_bytes: Cell<usize>,
     /// Set-ups without an end, and the connections that they came on.
-    open: RefCell<BTreeSet<(usize, Ref)>>,
+    open_set_ups: RefCell<BTreeSet<(usize, Ref)>>,
     connections: RefCell<Vec<Out>>,
-    accepts: watch::Sender<Accepts>,
+    accept_mode: watch::Sender<AcceptMode>,
 }
 
 /// An address of loopback that is nobody else's, of any port. Guards against one that closes its socket and finds the port
@@ -130,47 +130,47 @@
 impl Server {
     /// # Errors
     /// No socket is to be had.
-    pub async fn start(word: &str, does: Does) -> io::Result<Rc<Server>> {
+    pub async fn start(word: &str, does: Behavior) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind(own_address()).await?;
         let server = Rc::new(Server {
             word: word.into(),
             address: listener.local_addr()?,
-            does: Cell::new(does),
-            tested: Cell::new(true),
-            seen: RefCell::default(),
-            ends: RefCell::default(),
-            wrote: Cell::new(0),
-            open: RefCell::default(),
+            behavior: Cell::new(does),
+            answers_tests: Cell::new(true),
+            signals: RefCell::default(),
+            set_up_ends: RefCell::default(),
+            written_bytes: Cell::new(0),
+            open_set_ups: RefCell::default(),
             connections: RefCell::default(),
-            accepts: watch::Sender::new(Accepts::All),
+            accept_mode: watch::Sender::new(AcceptMode::All),
         });
-        spawn_local(server.clone().serve_all(listener));
+        spawn_local(server.clone().accept_all(listener));
         Ok(server)
     }
 
-    async fn serve_all(self: Rc<Self>, mut listener: TcpListener) {
-        let mut turned = self.accepts.subscribe();
+    async fn accept_all(self: Rc<Self>, mut listener: TcpListener) {
+        let mut mode_changed = self.accept_mode.subscribe();
         loop {
-            let how = *turned.borrow_and_update();
-            if matches!(how, Accepts::Refuses | Accepts::Resets) {
+            let how = *mode_changed.borrow_and_update();
+            if matches!(how, AcceptMode::Refuse | AcceptMode::Reset) {
                 (0..self.connections()).for_each(|number| self.reset(number));
             }
             match how {
-                Accepts::All | Accepts::Resets => loop {
+                AcceptMode::All | AcceptMode::Reset => loop {
                     tokio::select! {
-                        changed = turned.changed() => if changed.is_ok() { break } else { return },
+                        changed = mode_changed.changed() => if changed.is_ok() { break } else { return },
                         Ok((stream, _)) = listener.accept() => match how {
-                            Accepts::All => self.accepted(stream),
+                            AcceptMode::All => self.on_connection(stream),
                             _ => drop(stream.set_zero_linger()),
                         },
                     }
                 },
-                Accepts::Refuses => {
+                AcceptMode::Refuse => {
                     drop(listener);
-                    turned.changed().await.ok();
-                    listener = listen(self.address, QUEUE).await;
+                    mode_changed.changed().await.ok();
+                    listener = listen(self.address, BACKLOG_CONNECTION_COUNT).await;
                 }
-                Accepts::Silent => {
+                AcceptMode::Silent => {
                     // A queue that is full takes no connection.
                     drop(listener);
                     let full = listen(self.address, 1).await;
@@ -178,49 +178,49 @@
                     while let Ok(Ok(stream)) = timeout(soon, TcpStream::connect(self.address)).await {
                         queued.push(stream);
                     }
-                    turned.changed().await.ok();
+                    mode_changed.changed().await.ok();
                     drop((full, queued));
-                    listener = listen(self.address, QUEUE).await;
+                    listener = listen(self.address, BACKLOG_CONNECTION_COUNT).await;
                 }
             }
         }
     }
 
-    fn accepted(self: &Rc<Self>, stream: TcpStream) {
+    fn on_connection(self: &Rc<Self>, stream: TcpStream) {
         let (out, written) = mpsc::unbounded_channel();
         let number = self.connections.borrow().len();
         self.connections.borrow_mut().push(out);
         let serves = self.clone();
         spawn_local(async move {
             serves.serve(stream, number, written).await;
-            let open = std::mem::take(&mut *serves.open.borrow_mut());
+            let open = std::mem::take(&mut *serves.open_set_ups.borrow_mut());
             let (lost, others) = open.into_iter().partition(|(connection, _)| *connection == number);
-            *serves.open.borrow_mut() = others;
+            *serves.open_set_ups.borrow_mut() = others;
             let lost: BTreeSet<(usize, Ref)> = lost;
-            lost.into_iter().for_each(|(connection, of)| serves.ended(connection, of, SetUpEnd::Closed));
+            lost.into_iter().for_each(|(connection, of)| serves.record_end(connection, of, SetUpEnd::Closed));
         });
     }
 
     /// What it does with connections from now on.
-    pub fn accepts(&self, how: Accepts) {
-        self.accepts.send_replace(how);
+    pub fn set_accept_mode(&self, how: AcceptMode) {
+        self.accept_mode.send_replace(how);
     }
 
     async fn serve(
         &self, mut stream: TcpStream, number: usize, mut written: mpsc::UnboundedReceiver<Option<Vec<u8>>>,
     ) {
         let (mut messages, mut piece) = (Messages::default(), [0; 4096]);
-        let mut turned = self.accepts.subscribe();
+        let mut mode_changed = self.accept_mode.subscribe();
         loop {
-            if turned.wait_for(|how| *how != Accepts::Silent).await.is_err() {
+            if mode_changed.wait_for(|how| *how != AcceptMode::Silent).await.is_err() {
                 return;
             }
             tokio::select! {
                 // Silent may be what it has turned to.
-                Ok(()) = turned.changed() => {}
+                Ok(()) = mode_changed.changed() => {}
                 out = written.recv() => match out {
                     Some(Some(bytes)) if stream.write_all(&bytes).await.is_ok() => {
-                        self.wrote.set(self.wrote.get() + bytes.len());
+                        self.written_bytes.set(self.written_bytes.get() + bytes.len());
                     }
                     _ => return drop(stream.set_zero_linger()),
                 },
@@ -229,32 +229,32 @@
                     messages.push(&piece[..read]);
                     while let Ok(Some(message)) = messages.cut() {
                         let Ok(signal) = binary::read(message) else { return };
-                        self.reached(number, &signal);
+                        self.on_signal(number, &signal);
                     }
                 }
             }
         }
     }
 
-    fn ended(&self, connection: usize, of: Ref, how: SetUpEnd) {
-        self.ends.borrow_mut().push(End { at: Instant::now(), connection, of, how });
+    fn record_end(&self, connection: usize, of: Ref, how: SetUpEnd) {
+        self.set_up_ends.borrow_mut().push(End { at: Instant::now(), connection, of, how });
     }
 
     /// A set-up that was open has its end.
-    fn ends(&self, connection: usize, of: Ref, how: SetUpEnd) {
-        if self.open.borrow_mut().remove(&(connection, of)) {
-            self.ended(connection, of, how);
+    fn end_set_up(&self, connection: usize, of: Ref, how: SetUpEnd) {
+        if self.open_set_ups.borrow_mut().remove(&(connection, of)) {
+            self.record_end(connection, of, how);
         }
     }
 
-    fn reached(&self, connection: usize, signal: &Signal) {
+    fn on_signal(&self, connection: usize, signal: &Signal) {
         let of = signal.of;
         if signal.kind == Kind::SetUp {
-            self.open.borrow_mut().insert((connection, of));
+            self.open_set_ups.borrow_mut().insert((connection, of));
         } else if signal.kind == Kind::Release {
-            self.ends(connection, of, SetUpEnd::Closed);
+            self.end_set_up(connection, of, SetUpEnd::Closed);
         }
-        self.seen.borrow_mut().push(Seen {
+        self.signals.borrow_mut().push(ReceivedSignal {
             at: Instant::now(),
             connection,
             kind: signal.kind,
@@ -264,7 +264,7 @@
             package: signal.text(Field::Package).map(Into::into),
             rung: signal.whole(Field::Rung),
         });
-        let say = |bytes| self.say(connection, bytes);
+        let say = |bytes| self.send_bytes(connection, bytes);
         let up = |of, description: &[u8]| {
             binary::write(
                 Kind::Answer,
@@ -276,25 +276,25 @@
             .unwrap_or_default()
         };
         let description = signal.description.as_deref().unwrap_or_default();
-        match (signal.kind, self.does.get()) {
-            (Kind::Test, _) if self.tested.get() => {
+        match (signal.kind, self.behavior.get()) {
+            (Kind::Test, _) if self.answers_tests.get() => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
                 say(binary::write(Kind::Tested, of, &report, Some(1), None).unwrap_or_default());
             }
-            (Kind::SetUp, Does::Plays) => {
-                self.ends(connection, of, SetUpEnd::Plays);
+            (Kind::SetUp, Behavior::Plays) => {
+                self.end_set_up(connection, of, SetUpEnd::Plays);
                 say(up(of, description));
             }
-            (Kind::SetUp, Does::PlaysTwice) => say([up(of, description), up(of, description)].concat()),
-            (Kind::SetUp, Does::Ahead) => {
+            (Kind::SetUp, Behavior::PlaysTwice) => say([up(of, description), up(of, description)].concat()),
+            (Kind::SetUp, Behavior::AnswersOtherFirst) => {
                 say([up(Ref(!of.0), description), up(of, description)].concat());
             }
-            (Kind::SetUp, Does::Releases(cause)) => self.release(connection, of, cause),
-            (Kind::SetUp, Does::Resets) => self.reset(connection),
-            (Kind::SetUp, Does::Noise) => say(vec![0xff; 200]),
-            (Kind::SetUp, Does::StopsShort) => say(up(of, description)[..20].to_vec()),
-            (Kind::SetUp, Does::Huge) => say(vec![0xff, 0xff, 9]),
-            (Kind::SetUp, Does::Bare) => {
+            (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, of, cause),
+            (Kind::SetUp, Behavior::Resets) => self.reset(connection),
+            (Kind::SetUp, Behavior::SendsGarbage) => say(vec![0xff; 200]),
+            (Kind::SetUp, Behavior::TruncatesAnswer) => say(up(of, description)[..20].to_vec()),
+            (Kind::SetUp, Behavior::SendsOversizedLength) => say(vec![0xff, 0xff, 9]),
+            (Kind::SetUp, Behavior::OmitsDescription) => {
                 say(binary::write(Kind::Answer, of, &[], None, None).unwrap_or_default());
             }
             _ => {}
@@ -302,7 +302,7 @@
     }
 
     /// Writes on one of the connections, counted from 0 in the order in which they came.
-    pub fn say(&self, connection: usize, bytes: Vec<u8>) {
+    pub fn send_bytes(&self, connection: usize, bytes: Vec<u8>) {
         if let Some(out) = self.connections.borrow().get(connection) {
             out.send(Some(bytes)).ok();
         }
@@ -311,8 +311,11 @@
     pub fn release(&self, connection: usize, of: Ref, cause: u8) {
         // Full and moot: it never ran.
         let never = [34, 102].contains(&cause);
-        self.ends(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::Errored });
-        self.say(connection, binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default());
+        self.end_set_up(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::Errored });
+        self.send_bytes(
+            connection,
+            binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default(),
+        );
     }
 
     pub fn reset(&self, connection: usize) {
@@ -326,8 +329,8 @@
     }
 
     /// What of a kind reached it.
-    pub fn of(&self, kind: Kind) -> Vec<Seen> {
-        self.seen.borrow().iter().filter(|seen| seen.kind == kind).cloned().collect()
+    pub fn received(&self, kind: Kind) -> Vec<ReceivedSignal> {
+        self.signals.borrow().iter().filter(|seen| seen.kind == kind).cloned().collect()
     }
 }
 
@@ -335,9 +338,9 @@
 pub struct Bus {
     pub address: SocketAddr,
     /// The last numbers with which it was asked.
-    pub asked: RefCell<Vec<u64>>,
+    pub requested_after: RefCell<Vec<u64>>,
     /// Whether a comment comes every second.
-    pub comments: Cell<bool>,
+    pub sends_comments: Cell<bool>,
     events: RefCell<Vec<(u64, String)>>,
     readers: RefCell<Vec<Out>>,
 }
@@ -346,16 +349,16 @@
     /// # Errors
     /// No socket is to be had.
     pub async fn start() -> io::Result<Rc<Bus>> {
-        Bus::on(TcpListener::bind("127.0.0.1:0").await?)
+        Bus::with_listener(TcpListener::bind("127.0.0.1:0").await?)
     }
 
     /// # Errors
     /// The socket has no address.
-    pub fn on(listener: TcpListener) -> io::Result<Rc<Bus>> {
+    pub fn with_listener(listener: TcpListener) -> io::Result<Rc<Bus>> {
         let bus = Rc::new(Bus {
             address: listener.local_addr()?,
-            asked: RefCell::default(),
-            comments: Cell::new(true),
+            requested_after: RefCell::default(),
+            sends_comments: Cell::new(true),
             events: RefCell::default(),
             readers: RefCell::default(),
         });
@@ -369,7 +372,7 @@
         spawn_local(async move {
             loop {
                 sleep(Duration::from_secs(1)).await;
-                if ticks.comments.get() {
+                if ticks.sends_comments.get() {
                     ticks.write(": here\n\n");
                 }
             }
@@ -386,7 +389,7 @@
         let head = String::from_utf8_lossy(&head).to_lowercase();
         let last = head.lines().find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse().ok());
         let last: u64 = last.unwrap_or_default();
-        self.asked.borrow_mut().push(last);
+        self.requested_after.borrow_mut().push(last);
         let (out, mut written) = mpsc::unbounded_channel();
         out.send(Some(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_vec())).ok();
         for (number, event) in self.events.borrow().iter().filter(|(number, _)| *number > last) {
@@ -401,7 +404,7 @@
     }
 
     /// Holds an event, and tells it as often as said.
-    pub fn tell(&self, number: u64, event: &Value, times: usize) {
+    pub fn publish(&self, number: u64, event: &Value, times: usize) {
         self.events.borrow_mut().push((number, event.to_string()));
         (0..times).for_each(|_| self.write(&text(number, &event.to_string())));
     }
@@ -411,7 +414,7 @@
     }
 
     /// Ends all connections.
-    pub fn breaks(&self) {
+    pub fn disconnect_all(&self) {
         self.readers.borrow_mut().drain(..).for_each(|out| drop(out.send(None)));
     }
 }
@@ -425,7 +428,7 @@
     stream: TcpStream,
     lines: Lines,
     /// Whole lines that have come and were not asked for yet.
-    came: VecDeque<Vec<u8>>,
+    received_lines: VecDeque<Vec<u8>>,
 }
 
 impl Viewer {
@@ -435,7 +438,7 @@
         let stream = TcpStream::connect(address).await?;
         // What is written second is there as soon as what was written first.
         stream.set_nodelay(true)?;
-        Ok(Viewer { stream, lines: Lines::default(), came: VecDeque::new() })
+        Ok(Viewer { stream, lines: Lines::default(), received_lines: VecDeque::new() })
     }
 
     /// Ends the connection with a reset.
@@ -448,17 +451,17 @@
         self.stream.write_all(bytes).await.is_ok()
     }
 
-    pub async fn says(&mut self, kind: Kind, of: Ref, cause: Option<u8>) -> bool {
+    pub async fn send_signal(&mut self, kind: Kind, of: Ref, cause: Option<u8>) -> bool {
         let line = line::write(kind, of, &[], cause, None).unwrap_or_default();
         self.write(&line).await
     }
 
     /// The next message; none where the connection closed or nothing came in time.
-    pub async fn hears(&mut self, within: Duration) -> Option<Signal<'static>> {
+    pub async fn receive(&mut self, within: Duration) -> Option<Signal<'static>> {
         let until = Instant::now() + within;
         let mut piece = [0; 4096];
         loop {
-            if let Some(line) = self.came.pop_front() {
+            if let Some(line) = self.received_lines.pop_front() {
                 return line::read(&line).ok();
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -466,13 +469,13 @@
             let Ok(Ok(read @ 1..)) = read else { return None };
             self.lines.push(&piece[..read]);
             while let Ok(Some(line)) = self.lines.cut() {
-                self.came.push_back(line.to_vec());
+                self.received_lines.push_back(line.to_vec());
             }
         }
     }
 
     /// Whether the other end closes it in time, whatever it says before.
-    pub async fn closes(&mut self, within: Duration) -> bool {
+    pub async fn wait_closed(&mut self, within: Duration) -> bool {
         let mut piece = [0; 4096];
         let ends = async { while let Ok(1..) = self.stream.read(&mut piece).await {} };
         timeout(within, ends).await.is_ok()
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -7,8 +7,8 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Method, Request, Response, StatusCode};
-use ivyward_dash::token::{Given, Refusal};
-use ivyward_fleet::{Fetch, Key, Over, ServerNo, SetUp};
+use ivyward_dash::token::{GrantedTuneIn, Refusal};
+use ivyward_fleet::{FetchOutcome, ServerNo, SetUpOutcome, StreamEnd, TuneInKey};
 use ivyward_rules::{SetUpEnd, What};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -53,7 +53,7 @@
 struct Watch<'a> {
     standins: &'a Standins,
     server: ServerNo,
-    key: Key,
+    key: TuneInKey,
     how: Cell<SetUpEnd>,
 }
 
@@ -74,7 +74,7 @@
                 let Some(((birth, vw), n)) = key else {
                     return Ok(says(StatusCode::BAD_REQUEST, "no such tune-in\n"));
                 };
-                let key = Key { manager: self.manager(manager), birth, vw, n };
+                let key = TuneInKey { manager: self.manager(manager), birth, vw, n };
                 self.change(at, key, request).await
             }
             (Method::GET, ["load"]) => {
@@ -156,7 +156,7 @@
             body["rates"].as_array().into_iter().flatten().filter_map(Value::as_f64).collect();
         let spans = (whole("lease_ms")).zip(whole("segment_ms")).zip(whole("segments"));
         let Some(((lease, span), segments)) = spans.filter(|_| !rates.is_empty()) else { return refused() };
-        let key = Key { manager: self.manager(manager), birth, vw: vw as u32, n: n as u16 };
+        let key = TuneInKey { manager: self.manager(manager), birth, vw: vw as u32, n: n as u16 };
         let package = whole("package").unwrap_or_default() as usize;
         let top = whole("top").unwrap_or_default() as usize;
         let span = Duration::from_millis(span);
@@ -178,8 +178,8 @@
             }
             let lease = Duration::from_millis(lease);
             let came = standins.model(|fleet| fleet.set_up(now, at, key, &rates, rung, lease));
-            if matches!(came, SetUp::Plays(_) | SetUp::AnswerLost)
-                || came == SetUp::Breaks && standins.model(|f| f.up(at))
+            if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost)
+                || came == SetUpOutcome::Breaks && standins.model(|f| f.up(at))
             {
                 standins.record(What::Ran { server: at, key });
                 standins.0.abouts.borrow_mut().insert((at, key), about);
@@ -192,28 +192,28 @@
             Ok(self.loaded(at, with(says(StatusCode::SERVICE_UNAVAILABLE, ""), "ivy-never-ran", why)))
         };
         match came {
-            SetUp::Plays(span) => {
+            SetUpOutcome::Plays(span) => {
                 sleep(span).await;
                 self.thawed(at).await;
                 watch.how.set(SetUpEnd::Plays);
                 Ok(self.loaded(at, says(StatusCode::CREATED, "")))
             }
-            SetUp::Full => turned_away("full"),
-            SetUp::Draining => turned_away("draining"),
-            SetUp::Stale => turned_away("stale"),
-            SetUp::Error => {
+            SetUpOutcome::Full => turned_away("full"),
+            SetUpOutcome::Draining => turned_away("draining"),
+            SetUpOutcome::Stale => turned_away("stale"),
+            SetUpOutcome::Error => {
                 watch.how.set(SetUpEnd::Errored);
                 Ok(self.loaded(at, says(StatusCode::INTERNAL_SERVER_ERROR, "it failed\n")))
             }
-            SetUp::AnswerLost => pending().await,
-            SetUp::Breaks => {
+            SetUpOutcome::AnswerLost => pending().await,
+            SetUpOutcome::Breaks => {
                 watch.how.set(SetUpEnd::Broke);
                 Err(io::Error::other("the connection breaks"))
             }
         }
     }
 
-    async fn change(self, at: ServerNo, key: Key, request: Request<Incoming>) -> Answer {
+    async fn change(self, at: ServerNo, key: TuneInKey, request: Request<Incoming>) -> Answer {
         if request.method() == Method::GET {
             self.thawed(at).await;
             let now = self.now();
@@ -242,7 +242,7 @@
             None => {
                 let ran = self.model(|fleet| fleet.release(now, at, key, KEEP));
                 if ran {
-                    self.over(at, key, Over::Released);
+                    self.over(at, key, StreamEnd::Released);
                 }
                 true
             }
@@ -264,7 +264,7 @@
         }
         let playing = self.model(|fleet| fleet.playing(at, manager, birth));
         let abouts = self.0.abouts.borrow();
-        let row = |key: &Key| {
+        let row = |key: &TuneInKey| {
             let about = abouts.get(&(at, *key))?;
             let rung = self.model(|fleet| fleet.rung_of(at, *key))?;
             Some(json!({
@@ -291,26 +291,28 @@
             Ok(with(says(StatusCode::UNAUTHORIZED, ""), "ivy-refused", &refusal.to_string()))
         };
         let checked = self.0.keys.borrow().check(token, date, self.0.skew);
-        let pass = match checked {
-            Ok((pass, _)) => pass,
+        let token_claims = match checked {
+            Ok((token_claims, _)) => token_claims,
             Err(refusal) => return refused(refusal),
         };
-        let Some(Given { manager, birth, vw, n, .. }) = pass.given else {
+        let Some(GrantedTuneIn { manager, birth, vw, n, .. }) = token_claims.granted else {
             return refused(Refusal::Malformed);
         };
         self.thawed(at).await;
-        let key = Key { manager: self.manager(&manager), birth, vw, n };
+        let key = TuneInKey { manager: self.manager(&manager), birth, vw, n };
         let about = self.0.abouts.borrow().get(&(at, key)).map(|about| (about.segments, about.span));
         let (segments, span) = about.unwrap_or_default();
         let now = self.now();
         match self.model(|fleet| fleet.fetch(now, at, key, rung, segments > 0 && number >= segments, span)) {
-            Fetch::Given(late) => {
+            FetchOutcome::Served(late) => {
                 sleep(late).await;
                 self.thawed(at).await;
                 Ok(Response::new(Either::Left(Full::new(Bytes::from_static(&[0; SEGMENT])))))
             }
-            Fetch::Unknown => Ok(says(StatusCode::NOT_FOUND, "nothing plays here by that token\n")),
-            Fetch::Over(rung) => Ok(with(says(StatusCode::FORBIDDEN, ""), "ivy-rung", &rung.to_string())),
+            FetchOutcome::Unknown => Ok(says(StatusCode::NOT_FOUND, "nothing plays here by that token\n")),
+            FetchOutcome::AboveRung(rung) => {
+                Ok(with(says(StatusCode::FORBIDDEN, ""), "ivy-rung", &rung.to_string()))
+            }
         }
     }
 }
