--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -121,8 +121,8 @@
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline {
             if let Ok(mut viewer) = Viewer::connect(self.address).await
-                && viewer.says(Kind::Test, Ref(1), Some(0)).await
-                && viewer.hears(READY_TIMEOUT).await.is_some_and(|reply| reply.cause == Some(1))
+                && viewer.send_signal(Kind::Test, Ref(1), Some(0)).await
+                && viewer.receive(READY_TIMEOUT).await.is_some_and(|reply| reply.cause == Some(1))
             {
                 return true;
             }
