--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, Request, Response, StatusCode};
 use ivyward::front::{Load, News, PackageId, ServerId, TitleId, ViewingId};
-use ivyward_edge::{Errand, brief};
+use ivyward_edge::{Purpose, truncate_for_log};
 use ivyward_peers::Claimed;
 use ivyward_replica::Word;
 use ivyward_session::{Birth, Happened, Over, SessionId, TuneIn};
@@ -80,7 +80,7 @@
     shell: Shell, who: (SessionId, usize), (vw, tune_in): (ViewingId, TuneIn), server: ServerId, rung: usize,
     about: (PackageId, TitleId), until: Duration,
 ) {
-    let (happened, load) = match shell.place(server, Errand::SetUp, until).await {
+    let (happened, load) = match shell.place(server, Purpose::SetUp, until).await {
         Some(_place) => tried(&shell, who, vw, tune_in, server, rung, about, until).await,
         // Guards against a queue at one server that outlasts its viewers.
         None => (Some(Happened::NotWritten), Load::default()),
@@ -207,7 +207,7 @@
 async fn ask(
     shell: &Shell, server: ServerId, method: Method, path: &str, body: &Value, within: Duration,
 ) -> Option<Came> {
-    let _place = shell.place(server, Errand::Care, shell.now() + within).await?;
+    let _place = shell.place(server, Purpose::Control, shell.now() + within).await?;
     let address = server_address(server);
     loop {
         let used = shell.0.pool.used(address);
@@ -282,7 +282,7 @@
 /// Asks a server for an answer only to hear its date, on a connection of its own: none is kept for that.
 pub async fn ask_date(shell: Shell, server: ServerId) {
     let within = shell.0.connect;
-    let Some(_place) = shell.place(server, Errand::Care, shell.now() + within).await else { return };
+    let Some(_place) = shell.place(server, Purpose::Control, shell.now() + within).await else { return };
     let asked = async {
         let mut connection = Connection::open(server_address(server), within).await.ok()?;
         connection.ask(request(Method::GET, server, "/load", &Value::Null)).await.ok()
@@ -347,7 +347,7 @@
     while let Some(Ok(event)) = events.next().await {
         let Ok(told) = serde_json::from_str::<Value>(&event.data) else {
             if let Some(left_out) = shell.line("a note") {
-                let data = brief(&event.data);
+                let data = truncate_for_log(&event.data);
                 tracing::warn!(server = %server_address(server), data, left_out, "a note can't be read");
             }
             continue;
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -12,7 +12,7 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
-use ivyward_edge::brief;
+use ivyward_edge::truncate_for_log;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -59,7 +59,7 @@
             (_, Value::Array(rows)) => (rows, Extent::Changes),
             _ => {
                 if let Some(left_out) = shell.line("news of the list") {
-                    tracing::warn!(%address, data = brief(&event.data), left_out, "news of the list can't be read");
+                    tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "news of the list can't be read");
                 }
                 continue;
             }
@@ -69,7 +69,7 @@
         // Guards against a whole list of which a part can't be read: the rest would be taken for gone.
         let Some(list) = list else {
             if let Some(left_out) = shell.line("a line of the list") {
-                tracing::warn!(%address, data = brief(&event.data), left_out, "a line of the list can't be read");
+                tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "a line of the list can't be read");
             }
             continue;
         };
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -4,7 +4,7 @@
 use ivyward::policy::Manager;
 use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices, Ration};
 use ivyward_dash::token::Keys;
-use ivyward_edge::Refresh;
+use ivyward_edge::RefreshSchedule;
 use ivyward_replica::Group;
 use ivyward_session::Fence;
 use ivyward_settings::{Fault, Part, twice};
@@ -77,7 +77,7 @@
     }
     // Guards against tokens that end before their players can have asked for the next ones.
     let (patience, segment) = (patiences(settings), manifest.span("segment_s"));
-    let least = Refresh::margin(segment, patience.1) + segment;
+    let least = RefreshSchedule::margin(segment, patience.1) + segment;
     if tokens.span("life_s") < least {
         let least = least.as_secs_f64();
         faults.push(
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -5,7 +5,9 @@
 use crate::tally::{Tally, Told};
 use crate::{Ended, link, list, setup};
 use ivyward::front::{Extent, Listed, PackageId, ServerId, Standing, TitleId, ViewingId};
-use ivyward_edge::{Calendar, Doors, Errand, Gate, Seldom, Ticket, Turn};
+use ivyward_edge::{
+    Admission, ClockConsensus, ConnectionLimits, LogRateLimiter, OverloadGate, Purpose, WaiterId,
+};
 use ivyward_peers::Peers;
 use ivyward_session::{Answer, Birth, Breach, Decides, Effects, Front, RequestId, SessionId, Timer, TuneIn};
 use ivyward_settings::Part;
@@ -51,13 +53,13 @@
     /// Other managers, and how long a viewer is told to stay away when too few of them are reached.
     pub peers: Option<Peers>,
     pub come_back: Option<Duration>,
-    pub gate: RefCell<Gate>,
+    pub overload_gate: RefCell<OverloadGate>,
     spans: Clock,
     clock: Rc<dyn Fn() -> Duration>,
-    calendar: RefCell<Calendar>,
-    doors: RefCell<Doors>,
+    clock_consensus: RefCell<ClockConsensus>,
+    connection_limits: RefCell<ConnectionLimits>,
     /// Those that wait for a place at a server.
-    turns: RefCell<BTreeMap<Ticket, oneshot::Sender<()>>>,
+    admission_waiters: RefCell<BTreeMap<WaiterId, oneshot::Sender<()>>>,
     jobs: Queue<Hands>,
     /// Servers whose notes are followed.
     links: RefCell<BTreeMap<ServerId, AbortHandle>>,
@@ -72,7 +74,7 @@
     /// The notes that found the queue too long.
     unheard: Cell<u64>,
     tally: RefCell<Tally>,
-    seldom: RefCell<Seldom>,
+    log_limiter: RefCell<LogRateLimiter>,
     /// Lines that the log left out by itself.
     dropped: Lines,
 }
@@ -109,11 +111,11 @@
             paid_for: limits.span("paid_for_s"),
             peers,
             come_back: limits.has("come_back_s").then(|| limits.span("come_back_s")),
-            gate: RefCell::new(Gate::new(setup::patiences(settings).0)),
+            overload_gate: RefCell::new(OverloadGate::new(setup::patiences(settings).0)),
             clock,
-            calendar: RefCell::new(Calendar::new(settings.one("tokens").span("skew_s"))),
-            doors: RefCell::new(Doors::new(limits.count("connections"))),
-            turns: RefCell::default(),
+            clock_consensus: RefCell::new(ClockConsensus::new(settings.one("tokens").span("skew_s"))),
+            connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
+            admission_waiters: RefCell::default(),
             spans,
             jobs,
             links: RefCell::default(),
@@ -127,7 +129,7 @@
             requests: Cell::new(0),
             unheard: Cell::new(0),
             tally: RefCell::default(),
-            seldom: RefCell::default(),
+            log_limiter: RefCell::default(),
             dropped,
         };
         let shell = Shell(Rc::new(inner));
@@ -172,7 +174,9 @@
         let turned = shell.clone();
         spawn_local(async move {
             turns
-                .run(&mut front, &mut hands, |now, waited| turned.0.gate.borrow_mut().turn(now, waited))
+                .run(&mut front, &mut hands, |now, waited| {
+                    turned.0.overload_gate.borrow_mut().record_queue_delay(now, waited)
+                })
                 .await;
         });
         Ok(shell)
@@ -203,24 +207,24 @@
 
     /// Whether a line of a kind that may come in floods is written; then how many were left out before it.
     pub fn line(&self, kind: &'static str) -> Option<u64> {
-        self.0.seldom.borrow_mut().line(self.now(), kind)
+        self.0.log_limiter.borrow_mut().check(self.now(), kind)
     }
 
     /// What was left out: lines of floods, lines of a log that nobody reads, notes.
     fn left_out(&self) -> (u64, u64, u64) {
-        (self.0.seldom.borrow().left_out(), (self.0.dropped)(), self.0.unheard.get())
+        (self.0.log_limiter.borrow().suppressed(), (self.0.dropped)(), self.0.unheard.get())
     }
 
     /// What requests were answered and why, what was left out, and what is held by server.
     pub fn counts(&self) -> Value {
         let (floods, dropped, notes) = self.left_out();
-        let (places, tickets) = self.0.doors.borrow().count();
+        let (places, tickets) = self.0.connection_limits.borrow().count();
         json!({
             "answers": self.0.tally.borrow().page(),
             "left_out": {"lines_of_floods": floods, "lines_of_the_log": dropped, "notes": notes},
             "held": {
                 "servers": self.0.rows.borrow().len(), "links": self.0.links.borrow().len(),
-                "clocks": self.0.calendar.borrow().len(), "connections": self.0.pool.count(),
+                "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.count(),
                 "places": places + tickets, "queue": self.0.jobs.waiting(),
             },
         })
@@ -228,7 +232,7 @@
 
     /// The date to go by: our own clock's, unless most servers say otherwise.
     pub fn date(&self) -> Duration {
-        let (date, believed) = self.0.calendar.borrow_mut().date(self.now(), (self.0.clock)());
+        let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)());
         if !believed {
             tracing::debug!("our own clock is not believed");
         }
@@ -250,14 +254,14 @@
 
     /// A server answered with its date.
     pub fn dated(&self, server: ServerId, date: Duration) {
-        self.0.calendar.borrow_mut().heard(self.now(), server, date);
+        self.0.clock_consensus.borrow_mut().record(self.now(), server, date);
         self.judge(server);
     }
 
     /// Guards against a server whose clock jumps: its players' tokens are not taken there, so it gets nothing new, and
     /// what plays there is over.
     fn judge(&self, server: ServerId) {
-        let off = self.0.calendar.borrow().astray(server);
+        let off = self.0.clock_consensus.borrow().is_skewed(server);
         let changed = if off {
             self.0.astray.borrow_mut().insert(server)
         } else {
@@ -290,12 +294,12 @@
             tracing::info!(answers, floods, log, notes, "answered; left out so far");
         }
         let (now, (_, believed)) =
-            (self.now(), self.0.calendar.borrow_mut().date(self.now(), (self.0.clock)()));
+            (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)()));
         if !believed {
             tracing::error!("our clock lies far from the servers' clocks: theirs is gone by");
         }
         self.forget_gone();
-        let silent = self.0.calendar.borrow().silent(now, SWEEP * SILENT);
+        let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP * SILENT);
         for server in silent {
             spawn_local(link::ask_date(self.clone(), server));
         }
@@ -315,23 +319,24 @@
         }
         let rows = self.0.rows.borrow();
         self.0.astray.borrow_mut().retain(|server| rows.contains_key(server));
-        self.0.calendar.borrow_mut().retain(|server| rows.contains_key(&server));
-        self.0.doors.borrow_mut().retain(|server| rows.contains_key(&server));
+        self.0.clock_consensus.borrow_mut().retain(|server| rows.contains_key(&server));
+        self.0.connection_limits.borrow_mut().retain(|server| rows.contains_key(&server));
     }
 
     /// A place for a connection to a server, of use until `until`; none where it would come too late.
-    pub async fn place(&self, server: ServerId, errand: Errand, until: Duration) -> Option<Place> {
-        let (ticket, turn) = self.0.doors.borrow_mut().ask(self.now(), server, errand, until);
-        let mut place = Place { shell: self.clone(), server, errand, ticket, since: None, asked: true };
+    pub async fn place(&self, server: ServerId, purpose: Purpose, until: Duration) -> Option<Place> {
+        let (waiter_id, turn) =
+            self.0.connection_limits.borrow_mut().acquire_slot(self.now(), server, purpose, until);
+        let mut place = Place { shell: self.clone(), server, purpose, waiter_id, since: None, asked: true };
         match turn {
-            Turn::Never => {
+            Admission::Rejected => {
                 place.asked = false;
                 return None;
             }
-            Turn::Now => {}
-            Turn::Waits => {
+            Admission::Granted => {}
+            Admission::Queued => {
                 let (tell, told) = oneshot::channel();
-                self.0.turns.borrow_mut().insert(ticket, tell);
+                self.0.admission_waiters.borrow_mut().insert(waiter_id, tell);
                 timeout(until.saturating_sub(self.now()), told).await.ok()?.ok()?;
             }
         }
@@ -340,11 +345,11 @@
     }
 
     /// A place given back passes to the next that still waits for it.
-    fn pass(&self, server: ServerId, errand: Errand, took: Duration) {
+    fn pass(&self, server: ServerId, purpose: Purpose, took: Duration) {
         loop {
-            let next = self.0.doors.borrow_mut().done(self.now(), server, errand, took);
-            let Some(ticket) = next else { return };
-            let told = self.0.turns.borrow_mut().remove(&ticket);
+            let next = self.0.connection_limits.borrow_mut().release_slot(self.now(), server, purpose, took);
+            let Some(waiter_id) = next else { return };
+            let told = self.0.admission_waiters.borrow_mut().remove(&waiter_id);
             if told.is_some_and(|told| told.send(()).is_ok()) {
                 return;
             }
@@ -399,7 +404,7 @@
     /// Some viewing was left without an answer.
     pub async fn end(&self, within: Duration) -> Result<Ended, String> {
         let until = Instant::now() + within;
-        let (places, tickets) = self.0.doors.borrow().count();
+        let (places, tickets) = self.0.connection_limits.borrow().count();
         let mut ended =
             Ended { places: places + tickets, connections: self.0.pool.count(), ..Default::default() };
         let (tell, told) = oneshot::channel();
@@ -428,23 +433,23 @@
 pub struct Place {
     shell: Shell,
     server: ServerId,
-    errand: Errand,
-    ticket: Ticket,
+    purpose: Purpose,
+    waiter_id: WaiterId,
     since: Option<Duration>,
     asked: bool,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let (shell, server, errand) = (&self.shell, self.server, self.errand);
+        let (shell, server, purpose) = (&self.shell, self.server, self.purpose);
         match self.since {
-            Some(since) => shell.pass(server, errand, shell.now().saturating_sub(since)),
+            Some(since) => shell.pass(server, purpose, shell.now().saturating_sub(since)),
             None if !self.asked => {}
             None => {
-                shell.0.doors.borrow_mut().quit(server, errand, self.ticket);
+                shell.0.connection_limits.borrow_mut().cancel(server, purpose, self.waiter_id);
                 // Guards against a place that was passed on in the moment in which its taker gave up.
-                if shell.0.turns.borrow_mut().remove(&self.ticket).is_none() {
-                    shell.pass(server, errand, Duration::ZERO);
+                if shell.0.admission_waiters.borrow_mut().remove(&self.waiter_id).is_none() {
+                    shell.pass(server, purpose, Duration::ZERO);
                 }
             }
         }
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -13,7 +13,7 @@
 use ivyward::front::PackageId;
 use ivyward_dash::manifest::manifest;
 use ivyward_dash::token::{Given, Keys, Pass, Refusal};
-use ivyward_edge::{Refresh, Shown};
+use ivyward_edge::{RefreshSchedule, TokenOrigin};
 use ivyward_hints::{HEADERS, in_query};
 use ivyward_peers::Peers;
 use ivyward_quality::Taken;
@@ -51,7 +51,7 @@
     revoked: RefCell<BTreeSet<u128>>,
     life: Duration,
     skew: Duration,
-    refresh: RefCell<Refresh>,
+    refresh: RefCell<RefreshSchedule>,
     titles: BTreeMap<String, setup::Title>,
     /// By name: its id, patience, and the rates of its rungs.
     packages: BTreeMap<String, (PackageId, Duration, Vec<f64>)>,
@@ -68,8 +68,8 @@
     let package = |(id, name, rates): (PackageId, _, _)| (name, (id, terms[id.0].0, rates));
     let packages = setup::rates(&settings).into_iter().map(package).collect();
     let (manifest, life) = (settings.one("manifest"), tokens.span("life_s"));
-    let margin = Refresh::margin(manifest.span("segment_s"), setup::patiences(&settings).1);
-    let refresh = Refresh::new(manager.whole("seed"), manifest.span("refresh_s"), life, margin);
+    let margin = RefreshSchedule::margin(manifest.span("segment_s"), setup::patiences(&settings).1);
+    let refresh = RefreshSchedule::new(manager.whole("seed"), manifest.span("refresh_s"), life, margin);
     let desk = Rc::new(Desk {
         shell,
         quality,
@@ -96,7 +96,7 @@
     let open = Rc::new(Cell::new(0_usize));
     loop {
         // Guards against a flood of connections or requests: the next ones wait in the listener's queue.
-        while !desk.shell.0.gate.borrow().opens(desk.shell.now(), open.get(), most) {
+        while !desk.shell.0.overload_gate.borrow().may_accept(desk.shell.now(), open.get(), most) {
             sleep(Duration::from_millis(5)).await;
         }
         let (stream, from) = match listener.accept().await {
@@ -380,13 +380,13 @@
         let (tell, given_back) = oneshot::channel();
         // A token of another manager is no step of a viewing here: it is as if the app had given it.
         let given = pass.given.as_ref().filter(|given| given.manager == self.shell.0.name);
-        let shown = given.and_then(|given| {
+        let origin = given.and_then(|given| {
             let server = setup::server_id(&given.server.to_string())?;
-            Some(Shown::Manager { birth: given.birth, server, turn: given.turn })
+            Some(TokenOrigin::Manager { birth: given.birth, server, sequence: given.sequence })
         });
         let begun_at = self.shell.now();
         if pass.given.is_none()
-            && let Err(wait) = self.shell.0.gate.borrow().takes(begun_at, *patience)
+            && let Err(wait) = self.shell.0.overload_gate.borrow().admit(begun_at, *patience)
         {
             return blocked(wait, "gate");
         }
@@ -394,8 +394,8 @@
         let left = until.saturating_sub(now);
         self.shell.tell(move |front, hands, now| {
             hands.expect(request, tell);
-            let shown = shown.unwrap_or(Shown::App { issued });
-            front.asked(hands, now, request, session, about, shown, now + left);
+            let origin = origin.unwrap_or(TokenOrigin::App { issued });
+            front.asked(hands, now, request, session, about, origin, now + left);
         });
         let waiting = Waiting { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
         let Ok(answer) = given_back.await else {
@@ -404,23 +404,23 @@
         };
         waiting.answered.set(true);
         tracing::debug!(session = %format_args!("{:032x}", pass.session), title = name, ?answer, "answered");
-        if shown.is_none() {
+        if origin.is_none() {
             let after = self.shell.now().saturating_sub(begun_at);
-            self.shell.0.gate.borrow_mut().answered(after);
+            self.shell.0.overload_gate.borrow_mut().record_answer(after);
         }
         match answer {
-            Answer::Plays { server, birth, vw, tune_in, rung, turn } => {
+            Answer::Plays { server, birth, vw, tune_in, rung, sequence } => {
                 let server = setup::server_address(server);
                 // The answer may have taken a while: what is said now is dated now.
                 let now = self.shell.date();
                 let said = pass.given.as_ref().map(|given| given.began);
                 let began = self.shell.began(session, said);
                 let (manager, birth, vw, n) = (self.shell.0.name.clone(), birth.0, vw.0, tune_in.0);
-                let given = Given { manager, birth, vw, n, server, turn, began };
+                let given = Given { manager, birth, vw, n, server, sequence, began };
                 let pass = Pass { given: Some(given), ..pass };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
                 let page = self.manifest(title, server, rates, &pass, (began, now));
-                told(page, "plays", if shown.is_none() { "asked" } else { "asked again" })
+                told(page, "plays", if origin.is_none() { "asked" } else { "asked again" })
             }
             Answer::Replayed => refused(Refusal::Replayed),
             Answer::Revoked => refused(Refusal::Revoked),
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -32,7 +32,7 @@
     for signs in ["old", "new", "ed"] {
         let server = ([127, 0, 0, 1], 80).into();
         let given =
-            Given { manager: "m".into(), birth: u64::MAX, vw: 7, n: 3, server, turn: 9, began: s(99) };
+            Given { manager: "m".into(), birth: u64::MAX, vw: 7, n: 3, server, sequence: 9, began: s(99) };
         for given in [None, Some(given)] {
             let pass = pass(given);
             let token = keys(signs).mint(&pass, s(100), s(10)).expect("signed");
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -72,7 +72,7 @@
     pub vw: u32,
     pub n: u16,
     pub server: SocketAddr,
-    pub turn: u32,
+    pub sequence: u32,
     pub began: Duration,
 }
 
@@ -161,8 +161,8 @@
             "vw": format!("{:032x}", pass.session), "title": pass.title, "pkg": pass.package, "top": pass.top,
             "tenant": pass.tenant, "nbf": now.as_secs(), "exp": ends,
         });
-        if let Some(Given { manager, birth, vw, n, server, turn, began }) = &pass.given {
-            claims["tin"] = json!([manager, birth, vw, n, server.to_string(), turn, began.as_secs()]);
+        if let Some(Given { manager, birth, vw, n, server, sequence, began }) = &pass.given {
+            claims["tin"] = json!([manager, birth, vw, n, server.to_string(), sequence, began.as_secs()]);
         }
         encode(&header, &claims, signs).map_err(|e| e.to_string())
     }
@@ -213,7 +213,7 @@
             vw: u32::try_from(tin[2].as_u64()?).ok()?,
             n: u16::try_from(tin[3].as_u64()?).ok()?,
             server: tin[4].as_str()?.parse().ok()?,
-            turn: u32::try_from(tin[5].as_u64()?).ok()?,
+            sequence: u32::try_from(tin[5].as_u64()?).ok()?,
             began: Duration::from_secs(tin[6].as_u64()?),
         }),
     };
--- a/crates/edge/src/client.rs
+++ b/crates/edge/src/client.rs
@@ -8,7 +8,7 @@
 /// One that nothing is open or stands on is closed after so long without a word. Viewers close theirs after 4 s.
 const IDLE: Duration = Duration::from_secs(6);
 /// The part of the descriptors that viewers' connections may take. They hold a third; strangers come beside them. What is
-/// left has to do for one connection to each of some hundred servers ([`Clients::servers`]).
+/// left has to do for one connection to each of some hundred servers ([`ClientLimits::server_connection_limit`]).
 const SHARE: f64 = 0.4;
 /// The part that they may take for the moment in which some are being closed.
 const ROOM: f64 = 0.45;
@@ -24,7 +24,7 @@
 
 /// What is known of a connection.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Client {
+pub struct ClientState {
     pub since: Duration,
     /// When it last said anything that could be read.
     pub last: Duration,
@@ -37,15 +37,15 @@
 }
 
 /// Connections of viewers, within a number of descriptors.
-pub struct Clients {
+pub struct ClientLimits {
     descriptors: usize,
     most: usize,
-    room: usize,
+    connection_limit: usize,
     open: usize,
     all: usize,
 }
 
-impl Clients {
+impl ClientLimits {
     /// Bytes that may wait to be written on one connection.
     pub const UNSENT: usize = 128 << 10;
     /// Whoever takes nothing for so long reads no more, and is closed.
@@ -59,27 +59,33 @@
 
     pub fn new(descriptors: usize) -> Self {
         let part = |share: f64| ((descriptors as f64 * share) as usize).max(1);
-        Clients { descriptors, most: part(SHARE), room: part(ROOM), open: part(OPEN), all: part(ALL) }
+        ClientLimits {
+            descriptors,
+            most: part(SHARE),
+            connection_limit: part(ROOM),
+            open: part(OPEN),
+            all: part(ALL),
+        }
     }
 
     /// Connections to servers that may stand at any time. Guards against descriptors of which none is left for the bus, its
     /// next connection or the configuration, whoever holds the others.
-    pub fn servers(&self) -> usize {
-        self.descriptors.saturating_sub(self.room + OWN).max(1)
+    pub fn server_connection_limit(&self) -> usize {
+        self.descriptors.saturating_sub(self.connection_limit + OWN).max(1)
     }
 
     /// Connections that may stand at any time; further ones wait to be taken.
-    pub fn room(&self) -> usize {
-        self.room
+    pub fn connection_limit(&self) -> usize {
+        self.connection_limit
     }
 
     /// Whether one more set-up may be open on it, with so many on all. Guards against memory that long descriptions hold.
-    pub fn takes(&self, client: &Client, all: usize) -> bool {
+    pub fn may_open(&self, client: &ClientState, all: usize) -> bool {
         client.open < self.open && all < self.all
     }
 
     /// Whether it is closed now. Guards against clients that connect and say nothing, or nothing that can be answered.
-    pub fn over(&self, now: Duration, client: &Client) -> bool {
+    pub fn is_expired(&self, now: Duration, client: &ClientState) -> bool {
         let silent = !client.answered && now >= client.since + UNANSWERED;
         let idle = client.stand == 0 && now >= client.last.max(client.since) + IDLE;
         client.open == 0 && (silent && client.stand == 0 || idle)
@@ -87,14 +93,14 @@
 
     /// With so many connections, which of them gives way; none where there is room, or where all are of use. Guards
     /// against descriptors that strangers hold: who was never answered goes first, then who has been idle for longest.
-    pub fn gives_way<T: Copy + Ord>(
-        &self, now: Duration, clients: impl Iterator<Item = (T, Client)> + Clone,
+    pub fn eviction_candidate<T: Copy + Ord>(
+        &self, now: Duration, clients: impl Iterator<Item = (T, ClientState)> + Clone,
     ) -> Option<T> {
         if clients.clone().count() <= self.most {
             return None;
         }
-        let may = |client: &Client| client.open == 0 && (client.answered || now >= client.since + FIRST);
-        let rank = |client: &Client| (client.answered, client.stand > 0, client.last.max(client.since));
+        let may = |client: &ClientState| client.open == 0 && (client.answered || now >= client.since + FIRST);
+        let rank = |client: &ClientState| (client.answered, client.stand > 0, client.last.max(client.since));
         let may = clients.filter(|(_, client)| may(client));
         may.min_by_key(|(id, client)| (rank(client), *id)).map(|(id, _)| id)
     }
--- a/crates/edge/src/calendar.rs
+++ b/crates/edge/src/clock_consensus.rs
@@ -20,37 +20,37 @@
 }
 
 /// The clocks heard of.
-pub struct Calendar {
+pub struct ClockConsensus {
     skew: i64,
-    heard: BTreeMap<ServerId, (Duration, Epoch)>,
+    clocks: BTreeMap<ServerId, (Duration, Epoch)>,
     /// All that were heard in their order, so that a date costs no more with many servers.
     epochs: Vec<Epoch>,
     /// The last date told.
     last: Duration,
 }
 
-impl Calendar {
+impl ClockConsensus {
     /// `skew`: how far clocks may be apart.
     pub fn new(skew: Duration) -> Self {
-        Calendar {
+        ClockConsensus {
             skew: i64::try_from(skew.as_millis()).unwrap_or(i64::MAX / 4),
-            heard: BTreeMap::new(),
+            clocks: BTreeMap::new(),
             epochs: vec![],
             last: Duration::ZERO,
         }
     }
 
     /// A server answered with its date.
-    pub fn heard(&mut self, now: Duration, server: ServerId, date: Duration) {
+    pub fn record(&mut self, now: Duration, server: ServerId, date: Duration) {
         self.forget(server);
         let epoch = epoch(now, date);
-        self.heard.insert(server, (now, epoch));
+        self.clocks.insert(server, (now, epoch));
         let (Ok(at) | Err(at)) = self.epochs.binary_search(&epoch);
         self.epochs.insert(at, epoch);
     }
 
     pub fn forget(&mut self, server: ServerId) {
-        let Some((_, epoch)) = self.heard.remove(&server) else { return };
+        let Some((_, epoch)) = self.clocks.remove(&server) else { return };
         if let Ok(at) = self.epochs.binary_search(&epoch) {
             self.epochs.remove(at);
         }
@@ -58,22 +58,22 @@
 
     /// Only some are still of use.
     pub fn retain(&mut self, of_use: impl Fn(ServerId) -> bool) {
-        let gone: Vec<_> = self.heard.keys().copied().filter(|server| !of_use(*server)).collect();
+        let gone: Vec<_> = self.clocks.keys().copied().filter(|server| !of_use(*server)).collect();
         gone.into_iter().for_each(|server| self.forget(server));
     }
 
     /// Servers whose clocks are known.
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.clocks.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.clocks.is_empty()
     }
 
     /// When a server's date was last heard.
-    pub fn last(&self, server: ServerId) -> Option<Duration> {
-        self.heard.get(&server).map(|(at, _)| *at)
+    pub fn last_heard_at(&self, server: ServerId) -> Option<Duration> {
+        self.clocks.get(&server).map(|(at, _)| *at)
     }
 
     /// What most servers say. Their whole seconds lag by half of one on average.
@@ -100,15 +100,15 @@
     }
 
     /// Whether a server's clock lies too far from the others' for its players' tokens to be taken there.
-    pub fn astray(&self, server: ServerId) -> bool {
-        let Some((most, (_, epoch))) = self.most().zip(self.heard.get(&server)) else { return false };
+    pub fn is_skewed(&self, server: ServerId) -> bool {
+        let Some((most, (_, epoch))) = self.most().zip(self.clocks.get(&server)) else { return false };
         (epoch - GRAIN / 2 - most).abs() > self.skew + GRAIN
     }
 
     /// Servers whose dates were not heard for longer than `span`, the longest first, a few at a time.
-    pub fn silent(&self, now: Duration, span: Duration) -> Vec<ServerId> {
+    pub fn stale_servers(&self, now: Duration, span: Duration) -> Vec<ServerId> {
         let mut old: Vec<_> = self
-            .heard
+            .clocks
             .iter()
             .filter(|(_, (at, _))| *at + span < now)
             .map(|(id, (at, _))| (*at, *id))
--- a/crates/edge/src/door.rs
+++ b/crates/edge/src/connection_limits.rs
@@ -8,25 +8,25 @@
 /// What a connection is wanted for. Each kind has places of its own, so that what is hopeless of one kind doesn't hold
 /// up the other: releases to a server that stands still wait until it goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Errand {
+pub enum Purpose {
     /// A tune-in.
     SetUp,
     /// A release, a rung, a probe.
-    Care,
+    Control,
 }
 
 /// One that asked for a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct WaiterId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It has a place, which `done` gives back.
-    Now,
-    /// It waits: `done` of another names it, or it gives up by `quit`.
-    Waits,
+pub enum Admission {
+    /// It has a place, which `release_slot` gives back.
+    Granted,
+    /// It waits: `release_slot` of another names it, or it gives up by `cancel`.
+    Queued,
     /// Its turn would come too late, or too many wait: it is told so at once.
-    Never,
+    Rejected,
 }
 
 /// So many may wait for each place, whatever the times say.
@@ -37,65 +37,65 @@
 #[derive(Default)]
 struct Side {
     held: usize,
-    waiting: VecDeque<(Ticket, Duration)>,
+    waiting: VecDeque<(WaiterId, Duration)>,
     /// How long the last few held their places.
     took: VecDeque<Duration>,
 }
 
 /// The doors of all servers.
-pub struct Doors {
+pub struct ConnectionLimits {
     most: usize,
-    doors: BTreeMap<(ServerId, Errand), Side>,
-    tickets: u64,
+    pools: BTreeMap<(ServerId, Purpose), Side>,
+    last_waiter_id: u64,
 }
 
-impl Doors {
+impl ConnectionLimits {
     /// `most`: connections to one server at once.
     pub fn new(most: usize) -> Self {
-        Doors { most, doors: BTreeMap::new(), tickets: 0 }
+        ConnectionLimits { most, pools: BTreeMap::new(), last_waiter_id: 0 }
     }
 
-    fn places(&self, errand: Errand) -> usize {
+    fn places(&self, purpose: Purpose) -> usize {
         let care = ((self.most as f64 * CARE) as usize).max(1);
-        match errand {
-            Errand::Care => care,
-            Errand::SetUp => self.most.saturating_sub(care).max(1),
+        match purpose {
+            Purpose::Control => care,
+            Purpose::SetUp => self.most.saturating_sub(care).max(1),
         }
     }
 
     /// Asks for a place that is of use until `until`.
-    pub fn ask(
-        &mut self, now: Duration, server: ServerId, errand: Errand, until: Duration,
-    ) -> (Ticket, Turn) {
-        let places = self.places(errand);
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        let side = self.doors.entry((server, errand)).or_default();
+    pub fn acquire_slot(
+        &mut self, now: Duration, server: ServerId, purpose: Purpose, until: Duration,
+    ) -> (WaiterId, Admission) {
+        let places = self.places(purpose);
+        self.last_waiter_id += 1;
+        let waiter_id = WaiterId(self.last_waiter_id);
+        let side = self.pools.entry((server, purpose)).or_default();
         if side.held < places {
             side.held += 1;
-            return (ticket, Turn::Now);
+            return (waiter_id, Admission::Granted);
         }
         side.waiting.retain(|(_, until)| *until > now);
         // Those before it and itself, as many at a time as there are places.
         let rounds = (side.waiting.len() + 1).div_ceil(places) as u32;
         let wait = middle(side.took.iter().copied()).unwrap_or_default() * rounds;
         if side.waiting.len() >= places * QUEUE || now + wait >= until {
-            return (ticket, Turn::Never);
+            return (waiter_id, Admission::Rejected);
         }
-        side.waiting.push_back((ticket, until));
-        (ticket, Turn::Waits)
+        side.waiting.push_back((waiter_id, until));
+        (waiter_id, Admission::Queued)
     }
 
     /// A place is given back after `took`; it passes to whom is named.
-    pub fn done(
-        &mut self, now: Duration, server: ServerId, errand: Errand, took: Duration,
-    ) -> Option<Ticket> {
-        let side = self.doors.get_mut(&(server, errand))?;
+    pub fn release_slot(
+        &mut self, now: Duration, server: ServerId, purpose: Purpose, took: Duration,
+    ) -> Option<WaiterId> {
+        let side = self.pools.get_mut(&(server, purpose))?;
         keep(&mut side.took, took);
-        while let Some((ticket, until)) = side.waiting.pop_front() {
+        while let Some((waiter_id, until)) = side.waiting.pop_front() {
             // What would come too late waits no more; it has its own end.
             if until > now {
-                return Some(ticket);
+                return Some(waiter_id);
             }
         }
         side.held = side.held.saturating_sub(1);
@@ -103,20 +103,20 @@
     }
 
     /// One that waited gives up.
-    pub fn quit(&mut self, server: ServerId, errand: Errand, ticket: Ticket) {
-        if let Some(side) = self.doors.get_mut(&(server, errand)) {
-            side.waiting.retain(|(other, _)| *other != ticket);
+    pub fn cancel(&mut self, server: ServerId, purpose: Purpose, waiter_id: WaiterId) {
+        if let Some(side) = self.pools.get_mut(&(server, purpose)) {
+            side.waiting.retain(|(other, _)| *other != waiter_id);
         }
     }
 
     /// Servers of no use any more that have nothing here are forgotten.
     pub fn retain(&mut self, of_use: impl Fn(ServerId) -> bool) {
-        self.doors.retain(|(at, _), side| of_use(*at) || side.held > 0 || !side.waiting.is_empty());
+        self.pools.retain(|(at, _), side| of_use(*at) || side.held > 0 || !side.waiting.is_empty());
     }
 
     /// Places held and tickets that wait, in all.
     pub fn count(&self) -> (usize, usize) {
-        self.doors
+        self.pools
             .values()
             .fold((0, 0), |(held, waiting), side| (held + side.held, waiting + side.waiting.len()))
     }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,26 +1,26 @@
-//! What is decided at a manager's edges: how much may wait at servers and at the listener ([`Doors`], [`Gate`]), which
-//! tokens of a viewing are still taken ([`Line`]), which clock is believed ([`Calendar`]), and when players ask again
-//! ([`Refresh`]), which lines of a flood are written ([`Seldom`]),
-//! which connections of viewers are kept ([`Clients`]) and which to servers are used ([`Upstreams`]). Who is served and where is the module's; nothing here has sockets, clocks or tasks: each call says
+//! What is decided at a manager's edges: how much may wait at servers and at the listener ([`ConnectionLimits`], [`OverloadGate`]), which
+//! tokens of a viewing are still taken ([`TokenChain`]), which clock is believed ([`ClockConsensus`]), and when players ask again
+//! ([`RefreshSchedule`]), which lines of a flood are written ([`LogRateLimiter`]),
+//! which connections of viewers are kept ([`ClientLimits`]) and which to servers are used ([`UpstreamPolicy`]). Who is served and where is the module's; nothing here has sockets, clocks or tasks: each call says
 //! what time it is, as a span since the start. Options weighed: `docs/session-path.md`.
 
-mod calendar;
 mod client;
-mod door;
-mod gate;
-mod line;
+mod clock_consensus;
+mod connection_limits;
+mod log_rate_limiter;
+mod overload_gate;
 mod refresh;
-mod seldom;
+mod token_chain;
 mod upstream;
 
-pub use calendar::Calendar;
-pub use client::{Client, Clients};
-pub use door::{Doors, Errand, Ticket, Turn};
-pub use gate::Gate;
-pub use line::{Line, Shown};
-pub use refresh::Refresh;
-pub use seldom::{Seldom, brief};
-pub use upstream::{Upstream, Upstreams};
+pub use client::{ClientLimits, ClientState};
+pub use clock_consensus::ClockConsensus;
+pub use connection_limits::{Admission, ConnectionLimits, Purpose, WaiterId};
+pub use log_rate_limiter::{LogRateLimiter, truncate_for_log};
+pub use overload_gate::OverloadGate;
+pub use refresh::RefreshSchedule;
+pub use token_chain::{TokenChain, TokenOrigin};
+pub use upstream::{UpstreamPolicy, UpstreamState};
 
 use std::collections::VecDeque;
 
--- a/crates/edge/src/seldom.rs
+++ b/crates/edge/src/log_rate_limiter.rs
@@ -9,18 +9,18 @@
 /// When each kind of line was last written, and how many were left out since. Kinds are names in the text of the
 /// program: nothing from outside makes a new one.
 #[derive(Default)]
-pub struct Seldom {
+pub struct LogRateLimiter {
     lines: BTreeMap<&'static str, (Duration, u64)>,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl Seldom {
+impl LogRateLimiter {
     /// Whether a line of this kind is written now: then how many were left out before it.
-    pub fn line(&mut self, now: Duration, kind: &'static str) -> Option<u64> {
+    pub fn check(&mut self, now: Duration, kind: &'static str) -> Option<u64> {
         match self.lines.get_mut(kind) {
             Some((last, left_out)) if now < *last + SPAN => {
                 *left_out += 1;
-                self.left_out += 1;
+                self.suppressed += 1;
                 None
             }
             before => {
@@ -32,8 +32,8 @@
     }
 
     /// Lines left out so far, of any kind.
-    pub fn left_out(&self) -> u64 {
-        self.left_out
+    pub fn suppressed(&self) -> u64 {
+        self.suppressed
     }
 }
 
@@ -41,7 +41,7 @@
 const LONGEST: usize = 120;
 
 /// A text from outside as it may stand in a line: cut short, and told so.
-pub fn brief(text: &str) -> String {
+pub fn truncate_for_log(text: &str) -> String {
     match text.char_indices().nth(LONGEST) {
         Some((at, _)) => format!("{}... ({} bytes)", &text[..at], text.len()),
         None => text.into(),
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/overload_gate.rs
@@ -6,37 +6,37 @@
 
 /// Turns at the core that a viewing needs before its answer: to be taken, to be sent, and to hear what came of it.
 const TURNS: u32 = 3;
-/// New connections wait in the listener's queue while a turn takes this part of the shortest patience.
+/// New connections wait in the listener's queue while a turn takes this part of the shortest_patience patience.
 const STRAINED: f64 = 0.125;
 
 /// What is known of how long things wait here: the last few turns at the core, and the last few answers.
 #[derive(Default)]
-pub struct Gate {
-    turns: VecDeque<(Duration, Duration)>,
-    answers: VecDeque<Duration>,
-    /// The shortest patience of any package.
-    shortest: Duration,
+pub struct OverloadGate {
+    queue_delays: VecDeque<(Duration, Duration)>,
+    answer_times: VecDeque<Duration>,
+    /// The shortest_patience patience of any package.
+    shortest_patience: Duration,
 }
 
-impl Gate {
-    pub fn new(shortest: Duration) -> Self {
-        Gate { shortest, ..Default::default() }
+impl OverloadGate {
+    pub fn new(shortest_patience: Duration) -> Self {
+        OverloadGate { shortest_patience, ..Default::default() }
     }
 
     /// Something waited so long for its turn at the core.
-    pub fn turn(&mut self, now: Duration, waited: Duration) {
-        keep(&mut self.turns, (now, waited));
+    pub fn record_queue_delay(&mut self, now: Duration, waited: Duration) {
+        keep(&mut self.queue_delays, (now, waited));
     }
 
     /// A viewing was answered after so long.
-    pub fn answered(&mut self, after: Duration) {
-        keep(&mut self.answers, after);
+    pub fn record_answer(&mut self, after: Duration) {
+        keep(&mut self.answer_times, after);
     }
 
     /// The longest of the last turns. Guards against a flood that has gone and left its samples behind: what is older
-    /// than the shortest patience counts no more.
+    /// than the shortest_patience patience counts no more.
     fn lag(&self, now: Duration) -> Duration {
-        let late = self.turns.iter().filter(|(at, _)| *at + self.shortest > now);
+        let late = self.queue_delays.iter().filter(|(at, _)| *at + self.shortest_patience > now);
         late.map(|(_, waited)| *waited).max().unwrap_or_default()
     }
 
@@ -44,17 +44,17 @@
     ///
     /// # Errors
     /// It can't: it is to be answered at once.
-    pub fn takes(&self, now: Duration, patience: Duration) -> Result<(), Duration> {
+    pub fn admit(&self, now: Duration, patience: Duration) -> Result<(), Duration> {
         let lag = self.lag(now);
         if lag * TURNS < patience / 8 {
             return Ok(());
         }
-        let usual = middle(self.answers.iter().copied()).unwrap_or_default();
+        let usual = middle(self.answer_times.iter().copied()).unwrap_or_default();
         if lag * TURNS + usual.min(patience / 2) < patience { Ok(()) } else { Err(lag * TURNS) }
     }
 
     /// Whether a further connection is taken from the listener's queue. `open`: connections that stand, of `most`.
-    pub fn opens(&self, now: Duration, open: usize, most: usize) -> bool {
-        open < most && self.lag(now) < self.shortest.mul_f64(STRAINED)
+    pub fn may_accept(&self, now: Duration, open: usize, most: usize) -> bool {
+        open < most && self.lag(now) < self.shortest_patience.mul_f64(STRAINED)
     }
 }
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -9,12 +9,12 @@
 const SPREAD: f64 = 0.25;
 
 /// Spans between manifests, drawn by chance so that players who came together don't ask together for ever.
-pub struct Refresh {
+pub struct RefreshSchedule {
     usual: Duration,
     chance: Pcg64Mcg,
 }
 
-impl Refresh {
+impl RefreshSchedule {
     /// How long a token must still live when its player asks again: a segment that is under way, and a viewing that has
     /// to be set up anew within its patience.
     pub fn margin(segment: Duration, patience: Duration) -> Duration {
@@ -24,7 +24,7 @@
     /// `usual`: the span of the settings; `life`: that of tokens; `margin`: see there, for the longest patience.
     pub fn new(seed: u64, usual: Duration, life: Duration, margin: Duration) -> Self {
         let usual = usual.min(life.saturating_sub(margin)).max(Duration::from_millis(1));
-        Refresh { usual, chance: Pcg64Mcg::seed_from_u64(seed) }
+        RefreshSchedule { usual, chance: Pcg64Mcg::seed_from_u64(seed) }
     }
 
     pub fn span(&mut self) -> Duration {
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -16,24 +16,24 @@
 
 /// What is known of a connection to a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Upstream {
+pub struct UpstreamState {
     /// When it last brought anything, and when something was last asked on it.
-    pub heard: Duration,
-    pub asked: Duration,
+    pub last_received_at: Duration,
+    pub last_sent_at: Duration,
     /// Since when the part of a message waits for its rest.
-    pub(crate) part: Option<Duration>,
+    pub(crate) partial_since: Option<Duration>,
     /// A set-up ran out of time on it, and nothing has come since.
     pub(crate) suspect: bool,
-    pub tested: Option<Duration>,
+    pub test_sent_at: Option<Duration>,
 }
 
-impl Upstream {
+impl UpstreamState {
     pub fn new(now: Duration) -> Self {
-        Upstream { heard: now, ..Upstream::default() }
+        UpstreamState { last_received_at: now, ..UpstreamState::default() }
     }
 
-    pub fn said(&mut self, now: Duration) {
-        (self.heard, self.suspect, self.tested) = (now, false, None);
+    pub fn record_received(&mut self, now: Duration) {
+        (self.last_received_at, self.suspect, self.test_sent_at) = (now, false, None);
     }
 
     /// Whether it may carry nothing any more.
@@ -42,78 +42,86 @@
     }
 
     /// Whether a part of a message is left of what was said.
-    pub fn part(&mut self, now: Duration, left: bool) {
-        self.part = left.then(|| self.part.unwrap_or(now));
+    pub fn set_partial(&mut self, now: Duration, left: bool) {
+        self.partial_since = left.then(|| self.partial_since.unwrap_or(now));
     }
 
     /// A set-up was given up on it. Guards against a connection that still stands and carries nothing any more: where
     /// nothing was heard since the last was asked, nothing new goes there.
-    pub fn unanswered(&mut self) {
-        self.suspect = self.heard < self.asked;
+    pub fn record_timeout(&mut self) {
+        self.suspect = self.last_received_at < self.last_sent_at;
     }
 }
 
 /// Connections to servers.
-pub struct Upstreams {
-    streams: usize,
-    connect: Duration,
-    keep: Duration,
-    told: Duration,
+pub struct UpstreamPolicy {
+    max_streams: usize,
+    connect_timeout: Duration,
+    server_idle_timeout: Duration,
+    report_interval: Duration,
 }
 
-impl Upstreams {
+impl UpstreamPolicy {
     /// What is to be ended at a server that can't be reached is ended when it can, but not after so long.
-    pub const CARED: Duration = Duration::from_secs(8);
+    pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
     /// `streams`: set-ups on one connection; `connect`: how long one may take to stand; `keep`: after how long servers
     /// close an idle one; `told`: the spans in which servers tell of themselves, none where they don't unasked: then they
     /// are tested as late as still lets a server be known as lost while what stood there is owed its end.
     pub fn new(streams: usize, connect: Duration, keep: Duration, told: Duration) -> Self {
-        let late = Upstreams::CARED.saturating_sub(connect * (WAITED + LOST)).div_f64(QUIET);
+        let late = UpstreamPolicy::RELEASE_TIMEOUT.saturating_sub(connect * (WAITED + LOST)).div_f64(QUIET);
         let told = if told.is_zero() { late.max(connect) } else { told };
-        Upstreams { streams, connect, keep, told }
+        UpstreamPolicy {
+            max_streams: streams,
+            connect_timeout: connect,
+            server_idle_timeout: keep,
+            report_interval: told,
+        }
     }
 
-    pub fn takes(&self, upstream: &Upstream, open: usize) -> bool {
-        open < self.streams && !upstream.suspect
+    pub fn may_send(&self, upstream: &UpstreamState, open: usize) -> bool {
+        open < self.max_streams && !upstream.suspect
     }
 
     /// Guards against an answer that says it is longer than it is: what comes after it would be taken for its rest.
-    pub fn stuck(&self, now: Duration, upstream: &Upstream) -> bool {
-        upstream.part.is_some_and(|since| now >= since + self.connect * REST)
+    pub fn is_partial_overdue(&self, now: Duration, upstream: &UpstreamState) -> bool {
+        upstream.partial_since.is_some_and(|since| now >= since + self.connect_timeout * REST)
     }
 
-    pub fn idle(&self, now: Duration, upstream: &Upstream) -> bool {
-        upstream.suspect || now >= upstream.heard.max(upstream.asked) + self.keep.mul_f64(IDLE)
+    pub fn is_idle(&self, now: Duration, upstream: &UpstreamState) -> bool {
+        upstream.suspect
+            || now
+                >= upstream.last_received_at.max(upstream.last_sent_at)
+                    + self.server_idle_timeout.mul_f64(IDLE)
     }
 
     /// `heard`: when anything of the server was.
-    pub fn asks(&self, now: Duration, heard: Duration, upstream: &Upstream) -> bool {
-        upstream.tested.is_none() && now >= heard + self.told.mul_f64(QUIET)
+    pub fn needs_test(&self, now: Duration, heard: Duration, upstream: &UpstreamState) -> bool {
+        upstream.test_sent_at.is_none() && now >= heard + self.report_interval.mul_f64(QUIET)
     }
 
-    pub fn silent(&self, now: Duration, heard: Duration) -> bool {
-        now >= heard + self.told.mul_f64(QUIET) + self.connect * WAITED
+    pub fn is_server_silent(&self, now: Duration, heard: Duration) -> bool {
+        now >= heard + self.report_interval.mul_f64(QUIET) + self.connect_timeout * WAITED
     }
 
     /// A test that nobody answered: whoever is there doesn't read this connection.
-    pub fn doubt(&self, now: Duration, upstream: &mut Upstream) {
-        upstream.suspect |= upstream.tested.is_some_and(|at| now >= at + self.connect * WAITED);
+    pub fn check_test(&self, now: Duration, upstream: &mut UpstreamState) {
+        upstream.suspect |= upstream.test_sent_at.is_some_and(|at| now >= at + self.connect_timeout * WAITED);
     }
 
     /// Whether a failure to reach a server, first and last, still counts when another comes. Guards against failures far
     /// apart that would be taken for one.
-    pub fn recent(&self, now: Duration, (_, last): (Duration, Duration)) -> bool {
-        now < last + self.connect * LOST
+    pub fn is_recent_failure(&self, now: Duration, (_, last): (Duration, Duration)) -> bool {
+        now < last + self.connect_timeout * LOST
     }
 
     /// Since when a server is not reached, now that it has failed again.
-    pub fn unreached(&self, now: Duration, before: Option<(Duration, Duration)>) -> Duration {
-        before.filter(|before| self.recent(now, *before)).map_or(now, |before| before.0)
+    pub fn unreachable_since(&self, now: Duration, before: Option<(Duration, Duration)>) -> Duration {
+        before.filter(|before| self.is_recent_failure(now, *before)).map_or(now, |before| before.0)
     }
 
     /// Whether a server to which no connection stood for so long is lost.
-    pub fn lost(&self, unreached: Duration) -> bool {
-        unreached >= self.connect * LOST
+    pub fn is_server_lost(&self, unreached: Duration) -> bool {
+        unreached >= self.connect_timeout * LOST
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -8,7 +8,7 @@
     Extent, KindId, Listed, News, PackageId, ServerId, Standing, TitleId, ViewingId, ZoneId,
 };
 use ivyward_daemon::setup;
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 use ivyward_fleet::{Fetch, Fleet, Key, ManagerNo, Note, Over as Ends, ServerNo, SetUp};
 use ivyward_rules::{Asked, Came, History, Life, Record, SetUpEnd, Terms, What};
 use ivyward_session::{
@@ -512,7 +512,7 @@
     /// A viewer asks a manager. `given`: its last token, and what it watched; `ends`: when it has seen enough. The request's number.
     fn ask(
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
-        given: Option<(Shown, (ServerNo, Key))>, ends: Duration,
+        given: Option<(TokenOrigin, (ServerNo, Key))>, ends: Duration,
     ) -> usize {
         let (at, up) = (self.now, self.managers[manager].front.is_some());
         let number = self.history.asked.len();
@@ -531,10 +531,10 @@
         self.plans.insert(number, (session, package, title, ends, given.map(|given| given.1)));
         let title_of = &setup::titles(&self.settings)[title as usize];
         let about = (PackageId(package), TitleId(title), title_of.cells, 3);
-        let shown = given.map_or(Shown::App { issued: at }, |given| given.0);
+        let origin = given.map_or(TokenOrigin::App { issued: at }, |given| given.0);
         let (request, valid) = (RequestId(number as u64), at + Duration::from_secs(60));
         let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.asked(h, now, request, session, about, shown, valid));
+        self.turn(manager, birth, |f, h, now| f.asked(h, now, request, session, about, origin, valid));
         number
     }
 
@@ -576,13 +576,13 @@
         (ask.came, ask.came_at) = (Came::Answer(status), self.now);
         let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
         match answer {
-            Answer::Plays { server, birth, vw, tune_in, turn, .. } => {
+            Answer::Plays { server, birth, vw, tune_in, sequence, .. } => {
                 let key = Key { manager: ManagerNo(manager as u32), birth: birth.0, vw: vw.0, n: tune_in.0 };
-                let shown = Shown::Manager { birth: birth.0, server, turn };
+                let origin = TokenOrigin::Manager { birth: birth.0, server, sequence };
                 // What plays no more is taken as another viewing when its player asks again.
                 self.history.asked[number].new = before != Some((no(server), key));
                 let next = (manager, session, package, title);
-                self.after(SEGMENT, move |w| w.watches(next, (no(server), key), shown, ends, 1));
+                self.after(SEGMENT, move |w| w.watches(next, (no(server), key), origin, ends, 1));
             }
             _ if before.is_some() => self.history.asked[number].new = true,
             // Most come again, to any manager.
@@ -599,7 +599,7 @@
     /// A viewer fetches a segment, and every second one asks for its manifest again.
     fn watches(
         &mut self, (manager, session, package, title): (usize, SessionId, usize, u64),
-        (server, key): (ServerNo, Key), shown: Shown, ends: Duration, n: u32,
+        (server, key): (ServerNo, Key), origin: TokenOrigin, ends: Duration, n: u32,
     ) {
         let last = self.now >= ends;
         let fetched = if self.fleet.up(server) && !self.fleet.frozen(server) {
@@ -611,12 +611,12 @@
         if n.is_multiple_of(2) || fetched == Fetch::Unknown && !last {
             // The manifest tells where it goes on.
             if self.managers[manager].front.is_some() {
-                self.ask(manager, session, package, title, Some((shown, (server, key))), ends);
+                self.ask(manager, session, package, title, Some((origin, (server, key))), ends);
             } else if !last {
-                self.after(SEGMENT, move |w| w.watches(next, (server, key), shown, ends, n));
+                self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n));
             }
         } else if !last {
-            self.after(SEGMENT, move |w| w.watches(next, (server, key), shown, ends, n + 1));
+            self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n + 1));
         } else if self.now < START + BEGIN + LENGTH && self.chance.random_bool(0.3) {
             // The app asks again for what was seen to its end.
             self.after(SEGMENT * 2, move |w| {
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -229,7 +229,7 @@
             vw: 1,
             n: 0,
             server: ([127, 0, 0, 1], 80).into(),
-            turn: 1,
+            sequence: 1,
             began: Duration::ZERO,
         }),
     };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -11,7 +11,7 @@
 mod wire;
 
 use ivyward::front::Extent;
-use ivyward_edge::{Seldom, Upstreams};
+use ivyward_edge::{LogRateLimiter, UpstreamPolicy};
 use ivyward_options as options;
 use ivyward_session::{Birth, Fence, Front};
 use ivyward_turns::{Clock, Timers, queue};
@@ -85,14 +85,14 @@
         timers: Timers::default(),
         list: List::new(zones, kinds),
         servers: Servers::new(
-            Upstreams::new(streams, connect, keep, told),
+            UpstreamPolicy::new(streams, connect, keep, told),
             (connect, viewers.servers()),
             BIRTH,
             Pcg64Mcg::seed_from_u64(seed),
         ),
         viewers,
         stands: shell::Stands::default(),
-        seldom: Seldom::default(),
+        log_limiter: LogRateLimiter::default(),
         line: None,
         swept: clock.now(),
         held: None,
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -3,7 +3,7 @@
 
 use crate::shell::Hands;
 use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
-use ivyward_edge::brief;
+use ivyward_edge::truncate_for_log;
 use ivyward_session::Front;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -150,8 +150,8 @@
         let read = match read {
             Ok(read) => read,
             Err(field) => {
-                if let Some(left_out) = self.seldom.line(now, "an event") {
-                    let event = brief(&event.to_string());
+                if let Some(left_out) = self.log_limiter.check(now, "an event") {
+                    let event = truncate_for_log(&event.to_string());
                     tracing::warn!(field, event, left_out, "an event of the bus can't be read");
                 }
                 return false;
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::{Stream, Writer};
 use ivyward::front::{ServerId, ViewingId};
-use ivyward_edge::{Upstream, Upstreams};
+use ivyward_edge::{UpstreamPolicy, UpstreamState};
 use ivyward_session::{Birth, TuneIn};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Kind, Ref};
@@ -45,7 +45,7 @@
     open: BTreeMap<Ref, Key>,
     given_up: VecDeque<Ref>,
     tests: BTreeSet<Ref>,
-    upstream: Upstream,
+    upstream: UpstreamState,
 }
 
 /// A server to which no connection comes about.
@@ -63,7 +63,7 @@
     /// Sessions to be ended at servers that could not be reached, and since when.
     owed_releases: BTreeMap<ServerId, BTreeMap<Ref, Duration>>,
     unreached: BTreeMap<ServerId, Unreached>,
-    upstreams: Upstreams,
+    upstreams: UpstreamPolicy,
     connect: Duration,
     /// Connections at most.
     most: usize,
@@ -74,7 +74,7 @@
 
 impl Servers {
     pub fn new(
-        upstreams: Upstreams, (connect, most): (Duration, usize), birth: Birth, chance: Pcg64Mcg,
+        upstreams: UpstreamPolicy, (connect, most): (Duration, usize), birth: Birth, chance: Pcg64Mcg,
     ) -> Servers {
         Servers {
             links: BTreeMap::new(),
@@ -111,16 +111,16 @@
             let given_up = of.is_some_and(|of| link.given_up.contains(&of));
             let stalls = link.up && !link.writer.clear();
             let usable = !given_up && !stalls && link.retiring.is_none();
-            usable && self.upstreams.takes(&link.upstream, link.open.len() + link.waiting.len())
+            usable && self.upstreams.may_send(&link.upstream, link.open.len() + link.waiting.len())
         };
         let fit = self.links_to(server).filter(|(_, link)| fits(link));
-        fit.max_by_key(|(id, link)| (link.up, link.upstream.heard, *id)).map(|(id, _)| id)
+        fit.max_by_key(|(id, link)| (link.up, link.upstream.last_received_at, *id)).map(|(id, _)| id)
     }
 
     /// Any connection that stands, the one that was heard last.
     fn any_link(&self, server: ServerId) -> Option<u64> {
         let up = self.links_to(server).filter(|(_, link)| link.up && link.retiring.is_none());
-        up.max_by_key(|(id, link)| (link.upstream.heard, *id)).map(|(id, _)| id)
+        up.max_by_key(|(id, link)| (link.upstream.last_received_at, *id)).map(|(id, _)| id)
     }
 
     fn write(&self, id: u64, bytes: Result<Vec<u8>, String>) -> bool {
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -69,7 +69,7 @@
             return front.happened(self, now, key.0, key.1, Happened::NotWritten, Load::default());
         };
         link.open.insert(of, key);
-        link.upstream.asked = now;
+        link.upstream.last_sent_at = now;
         self.servers.attempts.entry(key).and_modify(|attempt| attempt.link = Some(id));
         tracing::debug!(
             of = format!("{:016x}", of.0),
@@ -92,7 +92,7 @@
             link.given_up.pop_front();
         }
         link.given_up.push_back(of);
-        link.upstream.unanswered();
+        link.upstream.record_timeout();
         let written = release(of).is_ok_and(|bytes| link.writer.write(bytes));
         let unsent = link.writer.unsent();
         tracing::debug!(
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -4,7 +4,7 @@
 use crate::shell::Hands;
 use crate::wire::{Stream, converse, keeps_little, look, piece, writer};
 use ivyward::front::{Load, ServerId, Standing};
-use ivyward_edge::{Upstream, Upstreams};
+use ivyward_edge::{UpstreamPolicy, UpstreamState};
 use ivyward_session::{Front, Happened};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Kind, Ref};
@@ -38,7 +38,9 @@
                 link.up && unused && !self.stands.any_at(link.server)
             };
             let idle = self.servers.links.iter().filter(|(_, link)| idle(link));
-            let way = idle.min_by_key(|(id, link)| (link.upstream.heard.max(link.upstream.asked), **id));
+            let way = idle.min_by_key(|(id, link)| {
+                (link.upstream.last_received_at.max(link.upstream.last_sent_at), **id)
+            });
             let way = way.map(|(id, _)| *id)?;
             self.link_lost(front, now, way, "closed");
         }
@@ -91,7 +93,7 @@
             open: BTreeMap::new(),
             given_up: VecDeque::new(),
             tests: BTreeSet::new(),
-            upstream: Upstream::new(now),
+            upstream: UpstreamState::new(now),
         };
         self.servers.links.insert(id, link);
         Some(id)
@@ -101,7 +103,7 @@
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         let server = link.server;
         let (set_ups, tests) = (link.waiting.len(), link.tests.len());
-        (link.up, link.upstream.heard) = (true, now);
+        (link.up, link.upstream.last_received_at) = (true, now);
         link.writer.stands(&stream);
         link.stream = Some(stream);
         let waiting = std::mem::take(&mut link.waiting);
@@ -145,13 +147,14 @@
         }
         self.fail_tests(front, now, server, link.tests);
         let before = self.servers.unreached.get(&server).copied();
-        let since = self.servers.upstreams.unreached(now, before.map(|b| (b.since, b.last_tried)));
+        let since = self.servers.upstreams.unreachable_since(now, before.map(|b| (b.since, b.last_tried)));
         let alone = !self.servers.links_to(server).any(|(_, link)| link.up);
         let refused_before = before.is_some_and(|before| before.refused && before.since == since);
         let unreached = Unreached { since, last_tried: now, refused: refused_before || refused && alone };
         self.servers.unreached.insert(server, unreached);
-        let heard = self.servers.links_to(server).any(|(_, link)| link.up && link.upstream.heard > since);
-        let lost = !heard && self.servers.upstreams.lost(now.saturating_sub(since));
+        let heard =
+            self.servers.links_to(server).any(|(_, link)| link.up && link.upstream.last_received_at > since);
+        let lost = !heard && self.servers.upstreams.is_server_lost(now.saturating_sub(since));
         if refused && self.list.standing(server) != Standing::Draining || lost {
             self.servers.owed_releases.remove(&server);
             self.servers.unreached.remove(&server);
@@ -216,7 +219,7 @@
         }
         let (upstreams, list) = (&self.servers.upstreams, &self.list);
         self.servers.unreached.retain(|server, of| {
-            list.row(*server).is_some() && upstreams.recent(now, (of.since, of.last_tried))
+            list.row(*server).is_some() && upstreams.is_recent_failure(now, (of.since, of.last_tried))
         });
         let owed = self.servers.owed_releases.keys().copied();
         let servers: BTreeSet<_> = self.stands.servers().chain(owed).collect();
@@ -226,7 +229,7 @@
     fn forget_releases(&mut self, now: Duration) {
         let owed = &mut self.servers.owed_releases;
         for releases in owed.values_mut() {
-            releases.retain(|_, since| now < *since + Upstreams::CARED);
+            releases.retain(|_, since| now < *since + UpstreamPolicy::RELEASE_TIMEOUT);
         }
         owed.retain(|_, releases| !releases.is_empty());
     }
@@ -235,14 +238,15 @@
         let stand = self.stands.any_at(server);
         let links: Vec<_> =
             self.servers.links_to(server).filter(|(_, link)| link.up).map(|(id, _)| id).collect();
-        let heard = links.iter().map(|id| self.servers.links[id].upstream.heard).max().unwrap_or(now);
+        let heard =
+            links.iter().map(|id| self.servers.links[id].upstream.last_received_at).max().unwrap_or(now);
         let live = |id: &&u64| self.servers.links[*id].retiring.is_none();
         let mut left = links.iter().filter(live).count();
         for id in links {
             self.sweep_link(front, now, (id, server), heard, &mut left);
         }
         let all_up = self.servers.links_to(server).all(|(_, link)| link.up);
-        if stand && all_up && self.servers.upstreams.silent(now, heard) {
+        if stand && all_up && self.servers.upstreams.is_server_silent(now, heard) {
             // Guards against a machine that has vanished: its connections stay and say nothing, new ones don't stand.
             self.open_link(now, server);
         }
@@ -257,18 +261,18 @@
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(since) = link.retiring {
             // A server that hangs, or is cut off, may tell ends on it when it goes on.
-            if now >= since + Upstreams::CARED {
+            if now >= since + UpstreamPolicy::RELEASE_TIMEOUT {
                 self.link_lost(front, now, id, "retired and not closed");
             }
             return;
         }
-        if self.servers.upstreams.stuck(now, &link.upstream) {
+        if self.servers.upstreams.is_partial_overdue(now, &link.upstream) {
             *left -= 1;
             return self.spoilt(front, now, id, "the rest of a message doesn't come");
         }
-        self.servers.upstreams.doubt(now, &mut link.upstream);
+        self.servers.upstreams.check_test(now, &mut link.upstream);
         let idle = link.open.is_empty() && link.tests.is_empty();
-        let idle = idle && self.servers.upstreams.idle(now, &link.upstream);
+        let idle = idle && self.servers.upstreams.is_idle(now, &link.upstream);
         let of_use = !link.upstream.is_suspect() && self.stands.any_on(server, id);
         let stand = self.stands.any_at(server);
         let spare = !stand || *left > 1 && !of_use;
@@ -276,8 +280,8 @@
             *left -= 1;
             return self.retire(now, id);
         }
-        if stand && self.servers.upstreams.asks(now, heard, &link.upstream) {
-            link.upstream.tested = Some(now);
+        if stand && self.servers.upstreams.needs_test(now, heard, &link.upstream) {
+            link.upstream.test_sent_at = Some(now);
             let of = Ref(self.servers.chance.random());
             self.servers.write(id, binary::write(Kind::Test, of, &[], Some(BARE), None));
         }
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -81,12 +81,12 @@
     pub(super) fn server_said(&mut self, front: &mut Front, now: Duration, id: u64, piece: &[u8]) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         link.messages.push(piece);
-        link.upstream.said(now);
+        link.upstream.record_received(now);
         loop {
             let Some(link) = self.servers.links.get_mut(&id) else { return };
             let server = link.server;
             let message = match link.messages.cut() {
-                Ok(None) => return link.upstream.part(now, link.messages.begun()),
+                Ok(None) => return link.upstream.set_partial(now, link.messages.begun()),
                 Ok(Some(message)) => message.to_vec(),
                 Err(wrong) => return self.spoilt(front, now, id, &wrong),
             };
@@ -102,7 +102,7 @@
 
     /// What came can't be read: nothing more on this connection can be believed.
     pub(super) fn spoilt(&mut self, front: &mut Front, now: Duration, id: u64, wrong: &str) {
-        if let Some(left_out) = self.seldom.line(now, "a server's message") {
+        if let Some(left_out) = self.log_limiter.check(now, "a server's message") {
             tracing::info!(wrong, left_out, "a server's message can't be read");
         }
         self.link_lost(front, now, id, "spoilt");
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::servers::{Key, Servers};
 use crate::viewers::Viewers;
 use ivyward::front::{PackageId, ServerId, TitleId, ViewingId};
-use ivyward_edge::Seldom;
+use ivyward_edge::LogRateLimiter;
 use ivyward_session::{Answer, Birth, Breach, Effects, Front, SessionId, Timer, TuneIn};
 use ivyward_signal::Ref;
 use ivyward_turns::{Queue, Timers};
@@ -106,7 +106,7 @@
     pub viewers: Viewers,
     pub servers: Servers,
     pub stands: Stands,
-    pub seldom: Seldom,
+    pub log_limiter: LogRateLimiter,
     /// The line for the viewer whose answer is being told to the core.
     pub line: Option<Vec<u8>>,
     /// When connections were last looked after.
@@ -191,7 +191,7 @@
     }
 
     fn breach(&mut self, breach: Breach, vw: ViewingId) {
-        if let Some(left_out) = self.seldom.line(self.queue.now(), "a rule") {
+        if let Some(left_out) = self.log_limiter.check(self.queue.now(), "a rule") {
             tracing::error!(?breach, viewing = vw.0, left_out, "a rule is broken");
         }
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -3,7 +3,7 @@
 use crate::shell::{Hands, Stand};
 use crate::wire::{Came, End, Stream, Writer, converse, look, piece, writer};
 use ivyward::front::{Cells, PackageId, TitleId};
-use ivyward_edge::{Client, Clients, brief};
+use ivyward_edge::{ClientLimits, ClientState, truncate_for_log};
 use ivyward_session::{Answer, Front, Over, RequestId, SessionId};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, id};
@@ -28,7 +28,7 @@
     writer: Writer,
     stream: Stream,
     lines: Lines,
-    client: Client,
+    client: ClientState,
     from: IpAddr,
     /// It was told to close unless something has come.
     leaving: bool,
@@ -49,7 +49,7 @@
 
 pub struct Viewers {
     connections: BTreeMap<u64, Connection>,
-    clients: Clients,
+    clients: ClientLimits,
     pub open: BTreeMap<Ref, Open>,
     requests: BTreeMap<RequestId, Ref>,
     /// Ends that no connection could be found for, with their causes and when they were.
@@ -67,7 +67,7 @@
     ) -> Viewers {
         Viewers {
             connections: BTreeMap::new(),
-            clients: Clients::new(descriptors),
+            clients: ClientLimits::new(descriptors),
             open: BTreeMap::new(),
             requests: BTreeMap::new(),
             owed: BTreeMap::new(),
@@ -92,7 +92,7 @@
     /// The same on another connection than the one on which it was asked for.
     fn ends_elsewhere(&mut self, now: Duration, client: u64, line: Vec<u8>, end: End) -> bool {
         let Some(connection) = self.connections.get_mut(&client) else { return false };
-        while connection.told.pop_front_if(|(_, at)| now >= *at + Clients::UNREAD).is_some() {}
+        while connection.told.pop_front_if(|(_, at)| now >= *at + ClientLimits::UNREAD).is_some() {}
         connection.told.push_back((end, now));
         connection.writer.tell(line, Some(end))
     }
@@ -106,11 +106,11 @@
 
     /// Connections of viewers, and to servers, that may stand.
     pub fn room(&self) -> usize {
-        self.clients.room()
+        self.clients.connection_limit()
     }
 
     pub fn servers(&self) -> usize {
-        self.clients.servers()
+        self.clients.server_connection_limit()
     }
 
     fn refuse(&mut self, client: u64, of: Ref, cause: u8) {
@@ -142,7 +142,9 @@
             ("tenant", self.tenants.is_empty() || known(&self.tenants, Field::Tenant)),
             (
                 "left",
-                stands || left.is_some_and(|left| !left.is_zero() && left <= self.longest * Clients::PATIENT),
+                stands
+                    || left
+                        .is_some_and(|left| !left.is_zero() && left <= self.longest * ClientLimits::PATIENT),
             ),
             ("key", title),
             ("home", extra("home", 0)),
@@ -185,7 +187,7 @@
         self.viewers.last += 1;
         let (client, (writer, outgoing), stream) = (self.viewers.last, writer(), Rc::new(stream));
         writer.stands(&stream);
-        let about = Client { since: now, last: now, ..Client::default() };
+        let about = ClientState { since: now, last: now, ..ClientState::default() };
         let (lines, talks) = (Lines::default(), stream.clone());
         let told = VecDeque::new();
         let connection =
@@ -217,7 +219,7 @@
         loop {
             let stay = self.viewers.connections.iter().filter(|(_, connection)| !connection.leaving);
             let stay = stay.map(|(id, connection)| (*id, connection.client));
-            let Some(way) = self.viewers.clients.gives_way(now, stay) else { return };
+            let Some(way) = self.viewers.clients.eviction_candidate(now, stay) else { return };
             self.viewers.ends_unused(way);
         }
     }
@@ -225,7 +227,7 @@
     /// A viewers' connection is over: nobody waits any more for what is open on it.
     fn left(&mut self, front: &mut Front, now: Duration, client: u64) {
         let Some(connection) = self.viewers.connections.remove(&client) else { return };
-        let Client { open, stand, served, .. } = connection.client;
+        let ClientState { open, stand, served, .. } = connection.client;
         tracing::debug!(client, open, stand, served, from = %connection.from, "a viewers' connection is over");
         let open = self.viewers.open.iter().filter(|(_, open)| open.client == client).map(|(of, _)| *of);
         for of in open.collect::<Vec<_>>() {
@@ -287,7 +289,7 @@
             self.left(front, now, client);
         }
         // What was told as the connection broke was read by nobody.
-        for ((of, cause), _) in told.into_iter().filter(|(_, at)| now < *at + Clients::UNREAD) {
+        for ((of, cause), _) in told.into_iter().filter(|(_, at)| now < *at + ClientLimits::UNREAD) {
             self.tell_viewer(now, of, None, cause);
         }
         self.viewers.connections.contains_key(&client)
@@ -306,8 +308,8 @@
             let signal = match signal {
                 Ok(signal) => signal,
                 Err(wrong) => {
-                    if let Some(left_out) = self.seldom.line(now, "a viewer's line") {
-                        let (from, wrong) = (connection.from, brief(&wrong));
+                    if let Some(left_out) = self.log_limiter.check(now, "a viewer's line") {
+                        let (from, wrong) = (connection.from, truncate_for_log(&wrong));
                         tracing::info!(%from, wrong, left_out, "a viewer's line can't be read");
                     }
                     return self.left(front, now, client);
@@ -343,7 +345,7 @@
             .viewers
             .connections
             .get(&client)
-            .is_some_and(|c| self.viewers.clients.takes(&c.client, self.viewers.open.len()));
+            .is_some_and(|c| self.viewers.clients.may_open(&c.client, self.viewers.open.len()));
         let cause = match (wrong, known, takes) {
             (None, false, true) => None,
             (None, false, false) => Some(("too many are open", REFUSED)),
@@ -351,7 +353,7 @@
             (Some(field), ..) => Some((field, UNUSABLE)),
         };
         if let Some((wrong, cause)) = cause {
-            if let Some(left_out) = self.seldom.line(now, "a set-up") {
+            if let Some(left_out) = self.log_limiter.check(now, "a set-up") {
                 tracing::info!(wrong, left_out, "a set-up is turned away");
             }
             return self.viewers.refuse(client, of, cause);
@@ -389,7 +391,7 @@
     fn handed(&mut self, front: &mut Front, now: Duration, client: u64, signal: &Signal, word: &str) {
         let Some(server) = self.list.id(word) else {
             return tracing::info!(
-                word = brief(word),
+                word = truncate_for_log(word),
                 "a session that is handed over plays at a server not listed"
             );
         };
@@ -471,7 +473,7 @@
     /// Tells on a connection what could not be told before.
     fn pay(&mut self, now: Duration, client: u64) {
         for (of, (cause, since)) in std::mem::take(&mut self.viewers.owed) {
-            if now < since + Clients::OWED {
+            if now < since + ClientLimits::OWED {
                 self.tell_viewer(since, of, Some(client), cause);
             }
         }
@@ -495,9 +497,9 @@
 
     /// Closes connections that are of no use.
     pub fn sweep_viewers(&mut self, now: Duration) {
-        self.viewers.owed.retain(|_, (_, since)| now < *since + Clients::OWED);
+        self.viewers.owed.retain(|_, (_, since)| now < *since + ClientLimits::OWED);
         // With no viewer's connection for half the time, whatever connection there is.
-        let due = self.viewers.owed.values().any(|(_, since)| now >= *since + Clients::OWED / 2);
+        let due = self.viewers.owed.values().any(|(_, since)| now >= *since + ClientLimits::OWED / 2);
         if let Some(last) = self.viewers.connections.keys().next_back().copied().filter(|_| due) {
             self.pay(now, last);
         }
@@ -509,7 +511,7 @@
             connection.client.stand = stand.get(id).copied().unwrap_or_default();
             // Whoever was told to close is gone by now, or stays.
             connection.leaving = false;
-            self.viewers.clients.over(now, &connection.client).then_some(*id)
+            self.viewers.clients.is_expired(now, &connection.client).then_some(*id)
         });
         for client in over.collect::<Vec<_>>() {
             self.viewers.ends_unused(client);
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -3,7 +3,7 @@
 //! written goes out at once where nothing waits before it, else in order.
 
 use futures_util::FutureExt;
-use ivyward_edge::Clients;
+use ivyward_edge::ClientLimits;
 use ivyward_signal::{LONGEST, Ref};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -122,7 +122,7 @@
     fn rest(&self, mut bytes: Vec<u8>, out: usize, end: Option<End>) -> bool {
         bytes.drain(..out);
         let unsent = self.unsent.get() + bytes.len();
-        if bytes.is_empty() || unsent > Clients::UNSENT {
+        if bytes.is_empty() || unsent > ClientLimits::UNSENT {
             return bytes.is_empty();
         }
         self.unsent.set(unsent);
@@ -150,7 +150,7 @@
                 }
                 Line::Bytes { bytes, end } => {
                     (self.bytes, self.end) = (bytes, end);
-                    if !matches!(timeout(Clients::STALLED, all(to, &self.bytes)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(ClientLimits::STALLED, all(to, &self.bytes)).await, Ok(Ok(()))) {
                         return;
                     }
                     let written = std::mem::take(&mut self.bytes).len();
--- a/crates/session/src/book.rs
+++ b/crates/session/src/book.rs
@@ -2,7 +2,7 @@
 
 use crate::{Answer, Birth, Cause, Effects, Fence, RequestId, SessionId, Timer, TuneIn};
 use ivyward::front::{Actions, Ending, PackageId, ServerId, TitleId, ViewingId, Why};
-use ivyward_edge::Line;
+use ivyward_edge::TokenChain;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     /// A tune-in may have run, for a paid viewing the end of all others.
     pub ran: bool,
     /// Its tokens.
-    pub line: Line,
+    pub token_chain: TokenChain,
     /// Until then the same session may come again, by its tokens or by what is remembered of paid ones.
     pub valid: Duration,
 }
@@ -99,9 +99,9 @@
 }
 
 /// An answer for one request: each manifest carries a token of its own turn.
-pub(crate) fn with_turn(mut answer: Answer, line: &mut Line) -> Answer {
-    if let Answer::Plays { turn, .. } = &mut answer {
-        *turn = line.turn();
+pub(crate) fn with_sequence(mut answer: Answer, token_chain: &mut TokenChain) -> Answer {
+    if let Answer::Plays { sequence, .. } = &mut answer {
+        *sequence = token_chain.next_sequence();
     }
     answer
 }
@@ -138,7 +138,7 @@
         let Some(viewing) = self.viewings.get_mut(&vw).filter(|viewing| !viewing.answered) else { return };
         viewing.answered = true;
         for request in std::mem::take(&mut viewing.requests) {
-            out.answer(request, with_turn(answer, &mut viewing.line));
+            out.answer(request, with_sequence(answer, &mut viewing.token_chain));
         }
         if !matches!(answer, Answer::Plays { .. }) && viewing.step == Step::Deciding {
             self.forget(vw);
--- a/crates/session/src/front.rs
+++ b/crates/session/src/front.rs
@@ -1,12 +1,12 @@
 //! What may happen to a manager, and what is told of it to the module.
 
-use crate::book::{Book, Ended, Hand, Step, Viewing, with_turn};
+use crate::book::{Book, Ended, Hand, Step, Viewing, with_sequence};
 use crate::{
     Answer, Birth, Breach, Cause, Decides, Effects, Fence, Happened, Over, RequestId, SessionId, Timer,
     TuneIn,
 };
 use ivyward::front::{Cells, Ending, Extent, Listed, Load, News, PackageId, ServerId, TitleId, ViewingId};
-use ivyward_edge::{Line, Shown};
+use ivyward_edge::{TokenChain, TokenOrigin};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     server: ServerId,
     session: SessionId,
     about: About,
-    shown: Shown,
+    origin: TokenOrigin,
     valid: Duration,
     ends: Duration,
 }
@@ -84,14 +84,14 @@
     /// A viewer asks for a manifest. `shown`: what its token is; `valid`: when that ends.
     pub fn asked(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, session: SessionId,
-        about: About, shown: Shown, valid: Duration,
+        about: About, origin: TokenOrigin, valid: Duration,
     ) {
         let Some(&(patience, _)) = self.terms.get(about.0.0) else {
             return out.answer(request, Answer::Conflict);
         };
-        let left_at = match shown {
-            Shown::Manager { birth, server, .. } => Some(server).filter(|_| birth < self.book.birth.0),
-            Shown::App { .. } => self.book.spent(now, session).flatten(),
+        let left_at = match origin {
+            TokenOrigin::Manager { birth, server, .. } => Some(server).filter(|_| birth < self.book.birth.0),
+            TokenOrigin::App { .. } => self.book.spent(now, session).flatten(),
         };
         if let Some(server) = left_at.filter(|server| !self.heard.contains(server))
             && !self.stopping
@@ -104,12 +104,12 @@
                 server,
                 session,
                 about,
-                shown,
+                origin,
                 valid,
                 ends: now + patience,
             });
         }
-        self.taken(out, now, request, session, about, shown, valid, now + patience);
+        self.taken(out, now, request, session, about, origin, valid, now + patience);
     }
 
     /// A viewer asks once, by a request that says itself how long it waits; the session is that request's.
@@ -117,21 +117,21 @@
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, session: SessionId,
         about: About, patience: Duration,
     ) {
-        self.taken(out, now, request, session, about, Shown::App { issued: now }, now, now + patience);
+        self.taken(out, now, request, session, about, TokenOrigin::App { issued: now }, now, now + patience);
     }
 
     /// The same once nothing has to be waited for. `ends`: when the viewer's patience does.
     fn taken(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, session: SessionId,
-        (package, title, cells, top): About, shown: Shown, valid: Duration, ends: Duration,
+        (package, title, cells, top): About, origin: TokenOrigin, valid: Duration, ends: Duration,
     ) {
         let Some(&(_, once)) = self.terms.get(package.0) else {
             return out.answer(request, Answer::Conflict);
         };
         if let Some(&vw) = self.book.sessions.get(&session) {
-            return self.asked_again(out, now, request, vw, title, shown, valid);
+            return self.asked_again(out, now, request, vw, title, origin, valid);
         }
-        let begun = matches!(shown, Shown::Manager { .. });
+        let begun = matches!(origin, TokenOrigin::Manager { .. });
         // Guards against a paid viewing set up again by a resend after its end, or after this manager's restart.
         if once && (begun || self.book.spent(now, session).is_some()) {
             return out.answer(request, Answer::Aborted { why: Cause::Spent });
@@ -153,7 +153,7 @@
             tune_ins: 0,
             seen: now,
             ran: false,
-            line: Line::new(shown),
+            token_chain: TokenChain::new(origin),
             valid: valid.max(now + self.paid.unwrap_or_default()),
         };
         self.book.viewings.insert(vw, viewing);
@@ -169,14 +169,14 @@
     /// A refresh, a resend, or two requests that cross: one viewing, never a second set-up.
     fn asked_again(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, vw: ViewingId, title: TitleId,
-        shown: Shown, valid: Duration,
+        origin: TokenOrigin, valid: Duration,
     ) {
         let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
         if viewing.title != title {
             return out.answer(request, Answer::Conflict);
         }
         // Guards against two players with copies of one token.
-        if !viewing.line.shows(shown) {
+        if !viewing.token_chain.accept(origin) {
             return out.answer(request, Answer::Replayed);
         }
         viewing.seen = now;
@@ -184,8 +184,8 @@
         let (rung, answered) = (viewing.rung, viewing.answered);
         match viewing.step {
             Step::Plays { server, birth, tune_in } => {
-                let answer = Answer::Plays { server, birth, vw, tune_in, rung, turn: 0 };
-                out.answer(request, with_turn(answer, &mut viewing.line));
+                let answer = Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 };
+                out.answer(request, with_sequence(answer, &mut viewing.token_chain));
             }
             // Guards against a second tune-in beside one that was given up but can't be called off.
             _ if answered => {
@@ -209,8 +209,8 @@
     }
 
     fn go_on(&mut self, out: &mut dyn Effects, now: Duration, words: Vec<Word>) {
-        for Word { request, session, about, shown, valid, ends, .. } in words {
-            self.taken(out, now, request, session, about, shown, valid, ends);
+        for Word { request, session, about, origin, valid, ends, .. } in words {
+            self.taken(out, now, request, session, about, origin, valid, ends);
         }
     }
 
@@ -250,7 +250,7 @@
             tune_ins: 0,
             seen: now,
             ran: true,
-            line: Line::unknown(),
+            token_chain: TokenChain::unknown(),
             valid: now + self.paid.unwrap_or_default(),
         };
         self.book.viewings.insert(vw, viewing);
@@ -409,7 +409,7 @@
             return self.over(out, now, server, (birth, vw, tune_in), Over::Left);
         }
         self.idle.into_iter().for_each(|idle| out.wake(idle, Timer::Seen(vw)));
-        self.book.answer(out, vw, Answer::Plays { server, birth, vw, tune_in, rung, turn: 0 });
+        self.book.answer(out, vw, Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 });
     }
 
     /// A viewing that played is over.
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -83,7 +83,7 @@
         vw: ViewingId,
         tune_in: TuneIn,
         rung: usize,
-        turn: u32,
+        sequence: u32,
     },
     Blocked {
         come_back: Option<Duration>,
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -4,7 +4,7 @@
 
 use crate::{Answer, Breach, Cause, Happened, Over, Timer, TuneIn};
 use ivyward::front::{Extent, KindId, Listed, Load, ServerId, Standing, ViewingId, Why, ZoneId};
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 use world::{BIRTH, Did, EARLIER, World, ms, server, session};
 
 const PLAIN: usize = 0;
@@ -409,7 +409,7 @@
 
 #[test]
 fn tokens_spent_by_a_player_that_went_on_are_not_taken() {
-    let shown = |turn| Shown::Manager { birth: BIRTH.0, server: server(0), turn };
+    let origin = |sequence| TokenOrigin::Manager { birth: BIRTH.0, server: server(0), sequence };
     let mut world = World::new();
     world.asks(1, session(1), PLAIN);
     let (vw, n) = out(&world);
@@ -417,14 +417,14 @@
     world.happens(vw, n, Happened::Plays);
     // The turn shown, and that of the token given with the answer; none where it is not taken.
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
-    for (request, (turn, next)) in (2..).zip(cases) {
-        world.asks_with(request, session(1), PLAIN, 0, shown(turn));
+    for (request, (sequence, next)) in (2..).zip(cases) {
+        world.asks_with(request, session(1), PLAIN, 0, origin(sequence));
         let given = match world.did.last() {
-            Some(Did::Answer(_, Answer::Plays { turn, .. })) => Some(*turn),
+            Some(Did::Answer(_, Answer::Plays { sequence, .. })) => Some(*sequence),
             Some(Did::Answer(_, Answer::Replayed)) => None,
             other => panic!("{other:?}"),
         };
-        assert_eq!(given, next, "turn {turn}");
+        assert_eq!(given, next, "sequence {sequence}");
     }
     assert_eq!((world.front.live(), world.set_ups().len()), (1, 1), "whatever is shown, it is one viewing");
 }
@@ -436,11 +436,11 @@
     world.finds(server(2), EARLIER, 70, session(1), PAID);
     assert_eq!((world.front.live(), world.front.counts()), (1, (0, 1)));
     // Its player goes on at the same server, paid or not, without a set-up.
-    let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-    world.asks_with(1, session(1), PAID, 0, shown);
+    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+    world.asks_with(1, session(1), PAID, 0, origin);
     let plays = matches!(
         answers(&world)[..],
-        [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, turn: 10 }]
+        [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, sequence: 10 }]
             if *at == server(2)
     );
     assert!(plays && world.set_ups().is_empty(), "{:?}", world.did);
@@ -455,11 +455,11 @@
 
 #[test]
 fn a_refresh_waits_for_what_its_server_says_of_an_earlier_start() {
-    let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
+    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
     // The server says that it plays it, or that it has nothing, or stays silent; and whether the package is paid.
     for (word, package) in [(0, PLAIN), (0, PAID), (1, PLAIN), (1, PAID), (2, PLAIN), (2, PAID)] {
         let mut world = World::new();
-        world.asks_with(1, session(1), package, 0, shown);
+        world.asks_with(1, session(1), package, 0, origin);
         assert_eq!((world.front.waiting(), world.did.len()), (1, 0), "it waits");
         match word {
             0 => {
@@ -480,7 +480,7 @@
         assert_eq!(world.front.waiting(), 0);
     }
     let mut world = World::new();
-    world.asks_with(1, session(1), PLAIN, 0, shown);
+    world.asks_with(1, session(1), PLAIN, 0, origin);
     world.stop();
     assert_eq!(answers(&world), [&Answer::Blocked { come_back: None, why: Cause::Ends }]);
     assert!(world.front.is_empty());
@@ -568,8 +568,8 @@
             let mut world = World::with(stage == Stage::Probing);
             let mut at = server(2);
             if stage == Stage::Word {
-                let shown = Shown::Manager { birth: EARLIER.0, server: at, turn: 9 };
-                world.asks_with(1, session(1), package, 0, shown);
+                let origin = TokenOrigin::Manager { birth: EARLIER.0, server: at, sequence: 9 };
+                world.asks_with(1, session(1), package, 0, origin);
             } else {
                 world.asks(1, session(1), package);
             }
@@ -663,8 +663,8 @@
         let mut world = World::new();
         if step == 0 {
             // It waits for word.
-            let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-            world.asks_with(1, session(1), PLAIN, 0, shown);
+            let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+            world.asks_with(1, session(1), PLAIN, 0, origin);
         } else {
             world.asks(1, session(1), PLAIN);
             let (vw, n) = out(&world);
--- a/crates/session/src/tests/world.rs
+++ b/crates/session/src/tests/world.rs
@@ -6,7 +6,7 @@
 use ivyward::front::*;
 use ivyward::policy::Manager;
 use ivyward::state::{Ladder, Limits, Network, Pace, Package, Prices, Ration};
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -177,18 +177,20 @@
     pub fn asks_begun(&mut self, request: u64, session: SessionId, package: usize) {
         // Its server has told that it has nothing of ours.
         self.turn(|front, hands, now| front.heard(hands, now, server(0)));
-        let shown = Shown::Manager { birth: EARLIER.0, server: server(0), turn: 1 };
-        self.asks_with(request, session, package, 0, shown);
+        let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(0), sequence: 1 };
+        self.asks_with(request, session, package, 0, origin);
     }
 
     fn asks_as(&mut self, request: u64, session: SessionId, package: usize, title: u64) {
-        self.asks_with(request, session, package, title, Shown::App { issued: ms(0) });
+        self.asks_with(request, session, package, title, TokenOrigin::App { issued: ms(0) });
     }
 
-    pub fn asks_with(&mut self, request: u64, session: SessionId, package: usize, title: u64, shown: Shown) {
+    pub fn asks_with(
+        &mut self, request: u64, session: SessionId, package: usize, title: u64, origin: TokenOrigin,
+    ) {
         let about = (PackageId(package), TitleId(title), Cells { first: 0, spread: 6 }, 1);
         self.turn(|front, hands, now| {
-            front.asked(hands, now, RequestId(request), session, about, shown, now + ms(60_000));
+            front.asked(hands, now, RequestId(request), session, about, origin, now + ms(60_000));
         });
     }
 
