--- a/crates/edge/src/overload_gate.rs
+++ b/crates/edge/src/overload_gate.rs
@@ -14,7 +14,7 @@
 pub struct OverloadGate {
     queue_delays: VecDeque<(Duration, Duration)>,
     answer_times: VecDeque<Duration>,
-    /// The shortest_patience patience of any package.
+    /// The shortest patience of any package.
     shortest_patience: Duration,
 }
 
