--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -17,7 +17,7 @@
 mod tally;
 mod viewers;
 
-use ivyward_session::Decides;
+use ivyward_session::Policy;
 use ivyward_settings::{Fault, Part};
 use shell::Shell;
 use std::fmt;
@@ -95,7 +95,7 @@
 pub async fn manage(
     settings: &Part, ready: impl FnOnce(SocketAddr), ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
-    manage_by(settings, Box::new(setup::module(settings)), ready, ended, outside).await
+    manage_by(settings, Box::new(setup::policy(settings)), ready, ended, outside).await
 }
 
 /// The same with something else in the module's place, to be compared with it.
@@ -103,7 +103,7 @@
 /// # Errors
 /// What kept it from starting, or that viewings were left without an answer.
 pub async fn manage_by(
-    settings: &Part, module: Box<dyn Decides>, ready: impl FnOnce(SocketAddr),
+    settings: &Part, policy: Box<dyn Policy>, ready: impl FnOnce(SocketAddr),
     ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
     let manager = settings.one("manager");
@@ -116,11 +116,11 @@
     local
         .run_until(async {
             let peers = match setup::peers(settings) {
-                Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Birth(birth)).await?),
+                Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(birth)).await?),
                 None => None,
             };
             let outer = (outside.clock, outside.dropped);
-            let shell = Shell::start(settings, module, (birth, paid), peers, address, outer)?;
+            let shell = Shell::start(settings, policy, (birth, paid), peers, address, outer)?;
             tracing::info!(manager = manager.text("name"), %address, birth, "takes viewings");
             let quality = quality::Quality::start(shell.clone(), settings);
             if manager.has("console") {
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -14,7 +14,7 @@
 use ivyward_edge::{Purpose, truncate_for_log};
 use ivyward_peers::Claimed;
 use ivyward_replica::Word;
-use ivyward_session::{Birth, Happened, Over, SessionId, TuneIn};
+use ivyward_session::{AttemptResult, EndReason, Incarnation, SessionId, TuneIn};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -80,29 +80,29 @@
     shell: Shell, who: (SessionId, usize), (vw, tune_in): (ViewingId, TuneIn), server: ServerId, rung: usize,
     about: (PackageId, TitleId), until: Duration,
 ) {
-    let (happened, load) = match shell.place(server, Purpose::SetUp, until).await {
+    let (attempt_result, load) = match shell.place(server, Purpose::SetUp, until).await {
         Some(_place) => tried(&shell, who, vw, tune_in, server, rung, about, until).await,
         // Guards against a queue at one server that outlasts its viewers.
-        None => (Some(Happened::NotWritten), Load::default()),
+        None => (Some(AttemptResult::NotWritten), Load::default()),
     };
     if shell.0.once.get(about.0.0) == Some(&true)
-        && matches!(happened, None | Some(Happened::NotWritten | Happened::Refused))
+        && matches!(attempt_result, None | Some(AttemptResult::NotWritten | AttemptResult::Refused))
     {
         // It provably never ran: a later start may set it up. Without this line that is only refused for longer.
         shell.0.paid.add((who.0, server, Duration::ZERO)).await.ok();
     }
-    let Some(happened) = happened else { return };
-    tracing::debug!(viewing = vw.0, tune_in = tune_in.0, server = %server_address(server), ?happened, "set-up");
-    shell.tell(move |front, hands, now| {
+    let Some(attempt_result) = attempt_result else { return };
+    tracing::debug!(viewing = vw.0, tune_in = tune_in.0, server = %server_address(server), happened = ?attempt_result, "set-up");
+    shell.tell(move |core, hands, now| {
         hands.over(vw, tune_in);
-        front.happened(hands, now, vw, tune_in, happened, load);
+        core.on_attempt_result(hands, now, vw, tune_in, attempt_result, load);
     });
 }
 
 async fn tried(
     shell: &Shell, (session, top): (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId,
     rung: usize, (package, title): (PackageId, TitleId), until: Duration,
-) -> (Option<Happened>, Load) {
+) -> (Option<AttemptResult>, Load) {
     let none = Load::default();
     let address = server_address(server);
     let mut used = shell.0.pool.used(address);
@@ -115,9 +115,9 @@
                 Ok(connection) => connection,
                 Err(_) if allowed => {
                     claimed.iter_mut().for_each(|claimed: &mut Claimed| claimed.never_ran(no));
-                    return (Some(Happened::NotWritten), none);
+                    return (Some(AttemptResult::NotWritten), none);
                 }
-                Err(_) => return (Some(Happened::NotConnected), none),
+                Err(_) => return (Some(AttemptResult::NotConnected), none),
             },
         };
         if !allowed {
@@ -126,9 +126,9 @@
                 let (claim, word) = peers.claim(session, until.saturating_sub(shell.now())).await;
                 if word != Word::Granted {
                     let (taken, come_back) = (word == Word::Taken, shell.0.come_back);
-                    shell.tell(move |front, hands, now| {
+                    shell.tell(move |core, hands, now| {
                         hands.over(vw, tune_in);
-                        front.unclaimed(hands, now, vw, tune_in, taken, come_back);
+                        core.on_claim_denied(hands, now, vw, tune_in, taken, come_back);
                     });
                     shell.0.pool.put(address, connection);
                     return (None, none);
@@ -142,12 +142,12 @@
                     if let Some(left_out) = shell.line("paid") {
                         tracing::error!(%error, left_out, "the record of paid sessions can't be written");
                     }
-                    return (Some(Happened::NotWritten), none);
+                    return (Some(AttemptResult::NotWritten), none);
                 }
             }
             let (tell, told) = oneshot::channel();
-            shell.tell(move |front, hands, now| {
-                let _ = tell.send(front.sending(hands, now, vw, tune_in));
+            shell.tell(move |core, hands, now| {
+                let _ = tell.send(core.may_send_set_up(hands, now, vw, tune_in));
             });
             allowed = told.await.unwrap_or(false);
             if !allowed {
@@ -175,9 +175,9 @@
             Err(Failed::NotWritten) if again => continue,
             Err(Failed::NotWritten) => {
                 claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
-                return (Some(Happened::NotWritten), none);
+                return (Some(AttemptResult::NotWritten), none);
             }
-            Err(Failed::Broke) => return (Some(Happened::Broke), none),
+            Err(Failed::Broke) => return (Some(AttemptResult::ConnectionBroken), none),
         };
         dated(shell, server, &answer);
         let (load, status) = (load(&answer), answer.status());
@@ -185,15 +185,15 @@
         if read(answer).await.is_some() {
             shell.0.pool.put(address, connection);
         }
-        let happened = match status {
-            StatusCode::CREATED => Happened::Plays,
+        let attempt_result = match status {
+            StatusCode::CREATED => AttemptResult::Playing,
             _ if never_ran => {
                 claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
-                Happened::Refused
+                AttemptResult::Refused
             }
-            _ => Happened::Errored,
+            _ => AttemptResult::ServerError,
         };
-        return (Some(happened), load);
+        return (Some(attempt_result), load);
     }
 }
 
@@ -233,7 +233,7 @@
     }
 }
 
-fn path(shell: &Shell, (birth, vw, tune_in): (Birth, ViewingId, TuneIn)) -> String {
+fn path(shell: &Shell, (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn)) -> String {
     format!("/viewings/{}/{}/{}/{}", encoded(&shell.0.name), birth.0, vw.0, tune_in.0)
 }
 
@@ -251,11 +251,13 @@
     }
 }
 
-pub async fn release(shell: Shell, server: ServerId, tune_in: (Birth, ViewingId, TuneIn)) {
+pub async fn release(shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn)) {
     insist(&shell, server, Method::DELETE, &path(&shell, tune_in), &Value::Null).await;
 }
 
-pub async fn rung(shell: Shell, server: ServerId, tune_in: (Birth, ViewingId, TuneIn), rung: usize) {
+pub async fn change_rung(
+    shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn), rung: usize,
+) {
     let path = path(&shell, tune_in);
     let body = json!({"rung": rung});
     let asked = ask(&shell, server, Method::PATCH, &path, &body, PAUSES.1);
@@ -267,16 +269,16 @@
 pub async fn probe(shell: Shell, server: ServerId) {
     let asked = ask(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect);
     let load = timeout(shell.0.connect, asked).await.ok().flatten().map(|came| came.load);
-    shell.tell(move |front, hands, now| front.probed(hands, now, server, load));
+    shell.tell(move |core, hands, now| core.on_probe_result(hands, now, server, load));
 }
 
 /// Asks a server when the player last fetched of a tune-in.
-pub async fn fetched(shell: Shell, server: ServerId, tune_in: (Birth, ViewingId, TuneIn)) {
+pub async fn query_last_fetch(shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn)) {
     let (path, within) = (path(&shell, tune_in), shell.0.lease);
     let asked = ask(&shell, server, Method::GET, &path, &Value::Null, within);
     let came = timeout(within, asked).await.ok().flatten();
     let quiet = came.and_then(|came| came.quiet);
-    shell.tell(move |front, hands, now| front.fetched(hands, now, server, tune_in, quiet));
+    shell.tell(move |core, hands, now| core.on_last_fetch(hands, now, server, tune_in, quiet));
 }
 
 /// Asks a server for an answer only to hear its date, on a connection of its own: none is kept for that.
@@ -321,9 +323,9 @@
         Err(error) => {
             // Refused: no process listens there, so nothing plays. After silence that isn't known.
             if error.kind() == std::io::ErrorKind::ConnectionRefused {
-                shell.tell(move |front, hands, now| {
-                    front.still(hands, now, server, &[]);
-                    front.heard(hands, now, server);
+                shell.tell(move |core, hands, now| {
+                    core.on_inventory(hands, now, server, &[]);
+                    core.on_inventory_complete(hands, now, server);
                 });
             }
             return false;
@@ -362,7 +364,7 @@
     let tune_in = |of: &Value| {
         let vw = u32::try_from(of["vw"].as_u64()?).ok()?;
         let n = u16::try_from(of["n"].as_u64()?).ok()?;
-        Some((Birth(of["birth"].as_u64()?), ViewingId(vw), TuneIn(n)))
+        Some((Incarnation(of["birth"].as_u64()?), ViewingId(vw), TuneIn(n)))
     };
     if let Some(rows) = told["playing"].as_array() {
         let row = |of: &Value| {
@@ -377,23 +379,24 @@
             Some((tune_in(of)?, SessionId(session), (PackageId(package), title.unwrap_or(TitleId(0)), rungs)))
         };
         let playing: Vec<_> = rows.iter().filter_map(row).collect();
-        return shell.tell(move |front, hands, now| {
+        return shell.tell(move |core, hands, now| {
             let ids: Vec<_> = playing.iter().map(|(tune_in, ..)| *tune_in).collect();
-            front.still(hands, now, server, &ids);
+            core.on_inventory(hands, now, server, &ids);
             for (tune_in, session, about) in playing {
-                front.found(hands, now, server, tune_in, session, about);
+                core.on_running_tune_in(hands, now, server, tune_in, session, about);
             }
-            front.heard(hands, now, server);
+            core.on_inventory_complete(hands, now, server);
         });
     }
     let Some((birth, vw, n)) = tune_in(told) else { return };
     let over = match told["over"].as_str() {
-        Some("ended") => Some(Over::Ended),
-        Some("left") => Some(Over::Left),
+        Some("ended") => Some(EndReason::Completed),
+        Some("left") => Some(EndReason::ViewerLeft),
         _ => None,
     };
     if let Some(why) = over {
-        return shell.tell(move |front, hands, now| front.over(hands, now, server, (birth, vw, n), why));
+        return shell
+            .tell(move |core, hands, now| core.on_viewing_ended(hands, now, server, (birth, vw, n), why));
     }
     let x = told["x"].as_f64().unwrap_or(f64::NAN);
     let news = match told["note"].as_str() {
@@ -403,6 +406,6 @@
         _ => return,
     };
     if x.is_finite() && x >= 0.0 {
-        shell.tell_if_free(move |front, _, now| front.news(now, server, vw, news));
+        shell.tell_if_free(move |core, _, now| core.on_server_update(now, server, vw, news));
     }
 }
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -76,7 +76,7 @@
         any = true;
         let list = shell.follow(&list, extent);
         births.retain(|server, _| shell.lists(*server));
-        shell.tell(move |front, _, now| front.listed(now, &list, extent));
+        shell.tell(move |core, _, now| core.on_server_list(now, &list, extent));
     }
     any
 }
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -6,7 +6,7 @@
 use ivyward_dash::token::Keys;
 use ivyward_edge::RefreshSchedule;
 use ivyward_replica::Group;
-use ivyward_session::Fence;
+use ivyward_session::RuleGuard;
 use ivyward_settings::{Fault, Part, twice};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -146,7 +146,7 @@
 }
 
 /// The decision module, as the settings have it.
-pub fn module(settings: &Part) -> Manager {
+pub fn policy(settings: &Part) -> Manager {
     let (manager, network) = (settings.one("manager"), settings.one("network"));
     let (cold, limits, ladder) = (settings.one("cold"), settings.one("limits"), settings.one("ladder"));
     let rungs = ladder.list("rung");
@@ -190,9 +190,9 @@
     )
 }
 
-pub fn fence(settings: &Part) -> Fence {
+pub fn rule_guard(settings: &Part) -> RuleGuard {
     let seats = settings.list("package").iter().map(|package| package.count("seats")).collect();
-    Fence::new(settings.one("network").span("drain_grace_s"), ration(settings), seats)
+    RuleGuard::new(settings.one("network").span("drain_grace_s"), ration(settings), seats)
 }
 
 fn peers_faults(settings: &Part) -> Vec<Fault> {
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -9,7 +9,9 @@
     Admission, ClockConsensus, ConnectionLimits, LogRateLimiter, OverloadGate, Purpose, WaiterId,
 };
 use ivyward_peers::Peers;
-use ivyward_session::{Answer, Birth, Breach, Decides, Effects, Front, RequestId, SessionId, Timer, TuneIn};
+use ivyward_session::{
+    Answer, Effects, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer, TuneIn, Violation,
+};
 use ivyward_settings::Part;
 use ivyward_turns::{Clock, Queue, Timers, queue};
 use serde_json::{Value, json};
@@ -87,7 +89,7 @@
     /// # Errors
     /// The settings don't fit together.
     pub fn start(
-        settings: &Part, module: Box<dyn Decides>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
+        settings: &Part, policy: Box<dyn Policy>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
         peers: Option<Peers>, address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
     ) -> Result<Shell, String> {
         let (manager, limits) = (settings.one("manager"), settings.one("limits"));
@@ -136,13 +138,13 @@
         // A player asks again after each refresh, late by the time of a segment at most.
         let idle = (manifest.span("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
         let spans = (SLACK, Some(idle), Some(limits.span("paid_for_s")));
-        let mut front = Front::new(
-            module,
-            setup::fence(settings),
+        let mut core = SessionCore::new(
+            policy,
+            setup::rule_guard(settings),
             setup::terms(settings),
             spans,
             setup::ration(settings),
-            Birth(birth),
+            Incarnation(birth),
         );
         let mut hands = Hands {
             shell: shell.clone(),
@@ -150,16 +152,16 @@
             answers: BTreeMap::new(),
             out: BTreeMap::new(),
         };
-        front.start(&mut hands, shell.now());
+        core.start(&mut hands, shell.now());
         let date = shell.date();
         for (session, server, until) in spent {
-            front.spent(session, server, shell.now() + until.saturating_sub(date));
+            core.restore_paid_session(session, server, shell.now() + until.saturating_sub(date));
         }
         let known = setup::servers(settings);
         if !known.is_empty() {
             let extent = if settings.has("list_address") { Extent::Remembered } else { Extent::Whole };
             let known = shell.follow(&known, extent);
-            front.listed(shell.now(), &known, extent);
+            core.on_server_list(shell.now(), &known, extent);
         }
         if let Ok(list) = settings.text("list_address").parse() {
             spawn_local(list::follow(shell.clone(), list));
@@ -174,7 +176,7 @@
         let turned = shell.clone();
         spawn_local(async move {
             turns
-                .run(&mut front, &mut hands, |now, waited| {
+                .run(&mut core, &mut hands, |now, waited| {
                     turned.0.overload_gate.borrow_mut().record_queue_delay(now, waited)
                 })
                 .await;
@@ -187,12 +189,12 @@
     }
 
     /// Puts something that happened into the queue.
-    pub fn tell(&self, job: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static) {
+    pub fn tell(&self, job: impl FnOnce(&mut SessionCore, &mut Hands, Duration) + 'static) {
         self.0.jobs.tell(job);
     }
 
     /// The same for what may be left out. Guards against servers that send notes faster than they are handled.
-    pub fn tell_if_free(&self, job: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static) {
+    pub fn tell_if_free(&self, job: impl FnOnce(&mut SessionCore, &mut Hands, Duration) + 'static) {
         if self.0.jobs.waiting() < NOTES {
             return self.tell(job);
         }
@@ -271,10 +273,10 @@
         let Some(row) = row.filter(|_| changed) else { return };
         tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
         let row = self.seen(row);
-        self.tell(move |front, hands, now| {
-            front.listed(now, &[row], Extent::Changes);
+        self.tell(move |core, hands, now| {
+            core.on_server_list(now, &[row], Extent::Changes);
             if off {
-                front.astray(hands, now, server);
+                core.on_clock_skew(hands, now, server);
             }
         });
     }
@@ -408,12 +410,12 @@
         let mut ended =
             Ended { places: places + tickets, connections: self.0.pool.count(), ..Default::default() };
         let (tell, told) = oneshot::channel();
-        self.tell(move |front, hands, now| {
-            (ended.viewings, ended.timers) = (front.live(), hands.timers.count());
-            (ended.orphans, ended.taken_over) = front.counts();
-            front.stop(hands, now);
-            ended.breaches = front.breaches().values().sum();
-            let _ = tell.send((ended, front.waiting(), front.breaches().clone()));
+        self.tell(move |core, hands, now| {
+            (ended.viewings, ended.timers) = (core.viewing_count(), hands.timers.count());
+            (ended.orphans, ended.taken_over) = core.inventory_counts();
+            core.stop(hands, now);
+            ended.breaches = core.violations().values().sum();
+            let _ = tell.send((ended, core.pending_count(), core.violations().clone()));
         });
         let (ended, waiting, breaches) = told.await.map_err(|_| "the core is gone".to_string())?;
         // Answers and releases still have to leave.
@@ -503,36 +505,38 @@
         self.out.insert((vw, tune_in), spawn_local(set_up).abort_handle());
     }
 
-    fn drop_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
         // The connection goes with the task.
         if let Some(task) = self.out.remove(&(vw, tune_in)) {
             task.abort();
         }
     }
 
-    fn release(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn) {
+    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
         spawn_local(link::release(self.shell.clone(), server, (birth, vw, tune_in)));
     }
 
-    fn rung(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn, rung: usize) {
-        spawn_local(link::rung(self.shell.clone(), server, (birth, vw, tune_in), rung));
+    fn change_rung(
+        &mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn, rung: usize,
+    ) {
+        spawn_local(link::change_rung(self.shell.clone(), server, (birth, vw, tune_in), rung));
     }
 
     fn probe(&mut self, server: ServerId) {
         spawn_local(link::probe(self.shell.clone(), server));
     }
 
-    fn fetched(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn) {
-        spawn_local(link::fetched(self.shell.clone(), server, (birth, vw, tune_in)));
+    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
+        spawn_local(link::query_last_fetch(self.shell.clone(), server, (birth, vw, tune_in)));
     }
 
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.set(self.shell.now() + after, timer);
     }
 
-    fn breach(&mut self, breach: Breach, vw: ViewingId) {
+    fn report_violation(&mut self, violation: Violation, vw: ViewingId) {
         if let Some(left_out) = self.shell.line("a rule") {
-            tracing::error!(?breach, viewing = vw.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = vw.0, left_out, "a rule is broken");
         }
     }
 }
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -2,7 +2,7 @@
 //! sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer up.
 
 use ivyward::front::Why;
-use ivyward_session::Cause;
+use ivyward_session::FailureCause;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 pub type Told = (&'static str, &'static str);
 
 /// The name of a cause.
-pub fn name(cause: Cause) -> &'static str {
+pub fn name(cause: FailureCause) -> &'static str {
     match cause {
-        Cause::Decided(Why::Unknown) => "unknown package",
-        Cause::Decided(Why::Seats) => "seats",
-        Cause::Decided(Why::Patience) => "patience",
-        Cause::Decided(Why::TuneIns) => "tune-ins",
-        Cause::Decided(Why::Ration) => "ration",
-        Cause::Decided(Why::NoHolder) => "no holder",
-        Cause::Decided(Why::Cold) => "cold",
-        Cause::Decided(Why::Tokens) => "tokens of the bucket",
-        Cause::Decided(Why::Ran) => "may have run",
-        Cause::Decided(Why::MayStillRun) => "an earlier attempt may still run",
-        Cause::Spent => "paid before",
-        Cause::GivenUp => "given up",
-        Cause::Late => "late",
-        Cause::Ends => "the manager ends",
-        Cause::Alone => "no majority of keepers",
+        FailureCause::ByPolicy(Why::Unknown) => "unknown package",
+        FailureCause::ByPolicy(Why::Seats) => "seats",
+        FailureCause::ByPolicy(Why::Patience) => "patience",
+        FailureCause::ByPolicy(Why::TuneIns) => "tune-ins",
+        FailureCause::ByPolicy(Why::Ration) => "ration",
+        FailureCause::ByPolicy(Why::NoHolder) => "no holder",
+        FailureCause::ByPolicy(Why::Cold) => "cold",
+        FailureCause::ByPolicy(Why::Tokens) => "tokens of the bucket",
+        FailureCause::ByPolicy(Why::Ran) => "may have run",
+        FailureCause::ByPolicy(Why::MayStillRun) => "an earlier attempt may still run",
+        FailureCause::AlreadyUsed => "paid before",
+        FailureCause::Abandoned => "given up",
+        FailureCause::AnswerOverdue => "late",
+        FailureCause::ShuttingDown => "the manager ends",
+        FailureCause::NoMajority => "no majority of keepers",
     }
 }
 
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -17,7 +17,7 @@
 use ivyward_hints::{HEADERS, in_query};
 use ivyward_peers::Peers;
 use ivyward_quality::Taken;
-use ivyward_session::{Answer, Cause, RequestId, SessionId};
+use ivyward_session::{Answer, FailureCause, RequestId, SessionId};
 use ivyward_settings::Part;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -238,9 +238,9 @@
         if !self.answered.get() {
             let (session, request) = (self.session, self.request);
             self.shell.count(("closed", "the viewer left before its answer"));
-            self.shell.tell(move |front, hands, now| {
+            self.shell.tell(move |core, hands, now| {
                 hands.forget(request);
-                front.closed(hands, now, session, request);
+                core.on_request_closed(hands, now, session, request);
             });
         }
     }
@@ -268,7 +268,7 @@
         let new: Vec<_> = self.revoked.borrow().difference(&before).copied().collect();
         tracing::info!(signs = tokens.text("signs"), revoked = new.len(), "new tokens are in force");
         for session in new.into_iter().map(SessionId) {
-            self.shell.tell(move |front, hands, now| front.revoked(hands, now, session));
+            self.shell.tell(move |core, hands, now| core.on_revoked(hands, now, session));
             self.shell.0.peers.iter().for_each(|peers| peers.revoke(session));
         }
     }
@@ -286,7 +286,7 @@
                 }
                 session = learned.recv() => {
                     let Some(session) = session else { return };
-                    self.shell.tell(move |front, hands, now| front.revoked(hands, now, session));
+                    self.shell.tell(move |core, hands, now| core.on_revoked(hands, now, session));
                 }
             }
         }
@@ -392,10 +392,10 @@
         }
         let about = (*package, title.id, title.cells, pass.top);
         let left = until.saturating_sub(now);
-        self.shell.tell(move |front, hands, now| {
+        self.shell.tell(move |core, hands, now| {
             hands.expect(request, tell);
             let origin = origin.unwrap_or(TokenOrigin::App { issued });
-            front.asked(hands, now, request, session, about, origin, now + left);
+            core.on_request(hands, now, request, session, about, origin, now + left);
         });
         let waiting = Waiting { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
         let Ok(answer) = given_back.await else {
@@ -427,7 +427,7 @@
             Answer::Blocked { come_back, why } => blocked(come_back.unwrap_or_default(), tally::name(why)),
             Answer::Aborted { why } => {
                 let page = match why {
-                    Cause::Late => page(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n"),
+                    FailureCause::AnswerOverdue => page(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n"),
                     _ => page(StatusCode::BAD_GATEWAY, "aborted: it could not be set up\n"),
                 };
                 told(page, "aborted", tally::name(why))
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -2,7 +2,7 @@
 //! compared with, behind the same core. It keeps the rules on what is paid and on the ration, and nothing else.
 
 use ivyward::front::*;
-use ivyward_session::Decides;
+use ivyward_session::Policy;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -88,17 +88,17 @@
     }
 }
 
-impl Decides for Random {
+impl Policy for Random {
     fn start(&mut self, _: &mut dyn Actions, _: Duration) {}
 
-    fn listed(&mut self, _: Duration, list: &[Listed], extent: Extent) {
+    fn on_server_list(&mut self, _: Duration, list: &[Listed], extent: Extent) {
         if extent != Extent::Changes {
             self.servers.clear();
         }
         self.servers.extend(list.iter().map(|listed| (listed.server, *listed)));
     }
 
-    fn asked(
+    fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, _: TitleId,
         cells: Cells, top: usize, ends: Duration,
     ) {
@@ -114,12 +114,12 @@
         self.tune_in(act, vw);
     }
 
-    fn plays(&mut self, now: Duration, vw: ViewingId, _: ServerId) {
+    fn on_playing(&mut self, now: Duration, vw: ViewingId, _: ServerId) {
         self.now = now;
         self.viewings.entry(vw).and_modify(|v| v.answered = true);
     }
 
-    fn playing(
+    fn restore_viewing(
         &mut self, now: Duration, vw: ViewingId, _: ServerId, package: PackageId, _: TitleId,
         (rung, _): (usize, usize),
     ) {
@@ -129,7 +129,7 @@
         self.viewings.insert(vw, Viewing { package, cells, rung, ends, tune_ins, idle, answered });
     }
 
-    fn ended(
+    fn on_tune_in_ended(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, _: u16, _: ServerId, ending: Ending,
         terminal: bool, _: Load,
     ) {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
         let Some(v) = self.viewings.get_mut(&vw) else { return };
         v.answered = true;
         if v.idle {
@@ -156,13 +156,13 @@
         }
     }
 
-    fn news(&mut self, _: Duration, _: ViewingId, _: ServerId, _: News) {}
+    fn on_server_update(&mut self, _: Duration, _: ViewingId, _: ServerId, _: News) {}
 
-    fn reported(&mut self, _: Duration, _: ServerId, _: Load) {}
+    fn on_load_report(&mut self, _: Duration, _: ServerId, _: Load) {}
 
-    fn probed(&mut self, _: &mut dyn Actions, _: Duration, _: ServerId, _: Option<Load>) {}
+    fn on_probe_result(&mut self, _: &mut dyn Actions, _: Duration, _: ServerId, _: Option<Load>) {}
 
-    fn woken(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
+    fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.now = now;
         let vw = ViewingId(token as u32);
         let Some(v) = self.viewings.get(&vw).filter(|v| !v.answered) else { return };
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -12,7 +12,8 @@
 use ivyward_fleet::{Fetch, Fleet, Key, ManagerNo, Note, Over as Ends, ServerNo, SetUp};
 use ivyward_rules::{Asked, Came, History, Life, Record, SetUpEnd, Terms, What};
 use ivyward_session::{
-    Answer, Birth, Breach, Decides, Effects, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
+    Answer, AttemptResult, Effects, EndReason, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer,
+    TuneIn, Violation,
 };
 use ivyward_settings::Part;
 use rand::RngExt;
@@ -73,17 +74,17 @@
     Answer(RequestId, Answer),
     SetUp(SessionId, usize, (ViewingId, TuneIn), ServerNo, usize, (usize, u64)),
     Drop(ViewingId, TuneIn),
-    Release(ServerNo, Birth, ViewingId, TuneIn),
-    Rung(ServerNo, Birth, ViewingId, TuneIn, usize),
+    Release(ServerNo, Incarnation, ViewingId, TuneIn),
+    Rung(ServerNo, Incarnation, ViewingId, TuneIn, usize),
     Probe(ServerNo),
-    Fetched(ServerNo, Birth, ViewingId, TuneIn),
+    Fetched(ServerNo, Incarnation, ViewingId, TuneIn),
     Wake(Duration, Timer),
 }
 
 #[derive(Default)]
 struct Hands {
     did: Vec<Did>,
-    breaches: Vec<Breach>,
+    breaches: Vec<Violation>,
 }
 
 fn no(ServerId(id): ServerId) -> ServerNo {
@@ -105,32 +106,32 @@
     ) {
         self.did.push(Did::SetUp(session, top, (vw, n), no(server), rung, (package.0, title.0)));
     }
-    fn drop_set_up(&mut self, vw: ViewingId, n: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Drop(vw, n));
     }
-    fn release(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn) {
+    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Release(no(server), birth, vw, n));
     }
-    fn rung(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn, rung: usize) {
+    fn change_rung(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn, rung: usize) {
         self.did.push(Did::Rung(no(server), birth, vw, n, rung));
     }
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(no(server)));
     }
-    fn fetched(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn) {
+    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Fetched(no(server), birth, vw, n));
     }
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.did.push(Did::Wake(after, timer));
     }
-    fn breach(&mut self, breach: Breach, _: ViewingId) {
-        self.breaches.push(breach);
+    fn report_violation(&mut self, violation: Violation, _: ViewingId) {
+        self.breaches.push(violation);
     }
 }
 
 /// One manager: its core while it is up, its start, what it has on disk, and the servers whose notes it follows.
 struct Manager {
-    front: Option<Front>,
+    core: Option<SessionCore>,
     birth: u64,
     paid: BTreeMap<SessionId, (ServerId, Duration)>,
     follows: BTreeSet<ServerNo>,
@@ -227,8 +228,8 @@
     };
     world.run();
     let streams: usize = world.fleet.boxes().map(|at| world.fleet.streams(at)).sum();
-    let held = world.managers.iter().filter_map(|m| m.front.as_ref());
-    let left = streams + held.map(|front| front.live() + front.waiting()).sum::<usize>();
+    let held = world.managers.iter().filter_map(|m| m.core.as_ref());
+    let left = streams + held.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
     let lives = world.managers.iter().enumerate().map(|(i, m)| {
         let gaps = m.gaps.iter().map(|(from, until)| (*from, *until)).collect();
         Life { no: Some(ManagerNo(i as u32)), gaps }
@@ -258,7 +259,7 @@
         for i in 0..MANAGERS {
             let (birth, gaps) = (100, vec![]);
             let (paid, follows) = (BTreeMap::new(), BTreeSet::new());
-            self.managers.push(Manager { front: None, birth, paid, follows, gaps });
+            self.managers.push(Manager { core: None, birth, paid, follows, gaps });
             self.start(i);
         }
         self.tick();
@@ -313,13 +314,13 @@
     }
 
     /// A turn at a manager's core, if that start of it is still up.
-    fn turn(&mut self, manager: usize, birth: u64, act: impl FnOnce(&mut Front, &mut Hands, Duration)) {
+    fn turn(&mut self, manager: usize, birth: u64, act: impl FnOnce(&mut SessionCore, &mut Hands, Duration)) {
         if self.managers[manager].birth != birth {
             return;
         }
         let (now, mut hands) = (self.now, Hands::default());
-        let Some(front) = &mut self.managers[manager].front else { return };
-        act(front, &mut hands, now);
+        let Some(core) = &mut self.managers[manager].core else { return };
+        act(core, &mut hands, now);
         self.breaches += hands.breaches.len() as u64;
         for did in hands.did {
             self.does(manager, birth, did);
@@ -327,7 +328,7 @@
     }
 
     fn does(&mut self, manager: usize, birth: u64, did: Did) {
-        let key = |birth: Birth, vw: ViewingId, n: TuneIn| Key {
+        let key = |birth: Incarnation, vw: ViewingId, n: TuneIn| Key {
             manager: ManagerNo(manager as u32),
             birth: birth.0,
             vw: vw.0,
@@ -341,13 +342,13 @@
                     Some(Spoilt::UnderFloor) => 0,
                     _ => rung,
                 };
-                let sent = Sent { key: key(Birth(birth), vw, n), session, package, title, rung, top };
+                let sent = Sent { key: key(Incarnation(birth), vw, n), session, package, title, rung, top };
                 self.out.insert(sent.key, (server, false));
                 // Some connections take long, or wait for a place at a server's door.
                 let connects = if self.chance.random_bool(0.1) { way * 150 } else { way };
                 self.after(connects, move |w| w.connected(manager, server, sent));
             }
-            Did::Drop(vw, n) => self.closes_set_up(key(Birth(birth), vw, n)),
+            Did::Drop(vw, n) => self.closes_set_up(key(Incarnation(birth), vw, n)),
             Did::Release(server, of, vw, n) => {
                 let key = key(of, vw, n);
                 self.after(way, move |w| w.at_server(server, move |w| w.releases(server, key)));
@@ -365,18 +366,20 @@
                 let load = (w.fleet.up(server) && !w.fleet.frozen(server)).then(|| w.load(server));
                 let after = if load.is_some() { way } else { Duration::from_millis(250) };
                 w.after(after, move |w| {
-                    w.turn(manager, birth, |f, h, now| f.probed(h, now, id(server), load))
+                    w.turn(manager, birth, |f, h, now| f.on_probe_result(h, now, id(server), load))
                 });
             }),
             Did::Fetched(server, of, vw, n) => {
                 let key = key(of, vw, n);
                 self.after(way, move |w| {
                     let quiet = w.fleet.quiet(w.now, server, key).filter(|_| !w.fleet.frozen(server));
-                    w.turn(manager, birth, |f, h, now| f.fetched(h, now, id(server), (of, vw, n), quiet));
+                    w.turn(manager, birth, |f, h, now| {
+                        f.on_last_fetch(h, now, id(server), (of, vw, n), quiet)
+                    });
                 });
             }
             Did::Wake(span, timer) => {
-                self.after(span, move |w| w.turn(manager, birth, |f, h, now| f.woken(h, now, timer)));
+                self.after(span, move |w| w.turn(manager, birth, |f, h, now| f.on_timer(h, now, timer)));
             }
         }
     }
@@ -402,7 +405,7 @@
             return;
         }
         if !self.fleet.up(server) {
-            return self.happened(manager, key, Happened::NotConnected);
+            return self.happened(manager, key, AttemptResult::NotConnected);
         }
         let mut allowed = false;
         let once = self.terms.packages[sent.package].once;
@@ -412,7 +415,7 @@
             self.managers[manager].paid.insert(sent.session, (id(server), until));
         }
         let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
-        self.turn(manager, birth, |front, hands, now| allowed = front.sending(hands, now, vw, n));
+        self.turn(manager, birth, |core, hands, now| allowed = core.may_send_set_up(hands, now, vw, n));
         if !allowed {
             self.out.remove(&key);
             if once {
@@ -432,7 +435,7 @@
     fn arrives(&mut self, manager: usize, server: ServerNo, sent: Sent) {
         let key = sent.key;
         if !self.fleet.up(server) {
-            return self.happened(manager, key, Happened::Broke);
+            return self.happened(manager, key, AttemptResult::ConnectionBroken);
         }
         let (session, package, title) = (sent.session.0, sent.package, sent.title.to_string());
         let rung = sent.rung;
@@ -460,12 +463,12 @@
             self.gone(server, &[]);
         }
         let (how, what, span) = match came {
-            SetUp::Plays(span) => (SetUpEnd::Plays, Happened::Plays, span),
+            SetUp::Plays(span) => (SetUpEnd::Plays, AttemptResult::Playing, span),
             SetUp::Full | SetUp::Draining | SetUp::Stale => {
-                (SetUpEnd::Refused, Happened::Refused, Duration::ZERO)
+                (SetUpEnd::Refused, AttemptResult::Refused, Duration::ZERO)
             }
-            SetUp::Error => (SetUpEnd::Errored, Happened::Errored, Duration::ZERO),
-            SetUp::Breaks => (SetUpEnd::Broke, Happened::Broke, Duration::ZERO),
+            SetUp::Error => (SetUpEnd::Errored, AttemptResult::ServerError, Duration::ZERO),
+            SetUp::Breaks => (SetUpEnd::Broke, AttemptResult::ConnectionBroken, Duration::ZERO),
             SetUp::AnswerLost => return,
         };
         self.after(span, move |w| {
@@ -484,15 +487,17 @@
     }
 
     /// The manager hears what became of a set-up.
-    fn happened(&mut self, manager: usize, key: Key, what: Happened) {
+    fn happened(&mut self, manager: usize, key: Key, what: AttemptResult) {
         let Some((server, _)) = self.out.remove(&key) else { return };
         let load = self.load(server);
-        let never_ran = matches!(what, Happened::Refused | Happened::NotWritten);
+        let never_ran = matches!(what, AttemptResult::Refused | AttemptResult::NotWritten);
         let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
         if let Some(about) = self.abouts.get(&(server, key)).filter(|_| never_ran).copied() {
             self.managers[manager].paid.remove(&about.0);
         }
-        self.turn(manager, key.birth, |front, hands, now| front.happened(hands, now, vw, n, what, load));
+        self.turn(manager, key.birth, |core, hands, now| {
+            core.on_attempt_result(hands, now, vw, n, what, load)
+        });
     }
 
     /// The manager closes the connection of a set-up.
@@ -514,7 +519,7 @@
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
         given: Option<(TokenOrigin, (ServerNo, Key))>, ends: Duration,
     ) -> usize {
-        let (at, up) = (self.now, self.managers[manager].front.is_some());
+        let (at, up) = (self.now, self.managers[manager].core.is_some());
         let number = self.history.asked.len();
         self.history.asked.push(Asked {
             manager,
@@ -534,7 +539,7 @@
         let origin = given.map_or(TokenOrigin::App { issued: at }, |given| given.0);
         let (request, valid) = (RequestId(number as u64), at + Duration::from_secs(60));
         let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.asked(h, now, request, session, about, origin, valid));
+        self.turn(manager, birth, |f, h, now| f.on_request(h, now, request, session, about, origin, valid));
         number
     }
 
@@ -546,7 +551,7 @@
         (ask.came, ask.came_at) = (Came::Closed, self.now);
         let (manager, session) = (ask.manager, SessionId(ask.session));
         let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.closed(h, now, session, RequestId(number as u64)));
+        self.turn(manager, birth, |f, h, now| f.on_request_closed(h, now, session, RequestId(number as u64)));
     }
 
     fn answered(&mut self, manager: usize, RequestId(number): RequestId, answer: Answer) {
@@ -610,7 +615,7 @@
         let next = (manager, session, package, title);
         if n.is_multiple_of(2) || fetched == Fetch::Unknown && !last {
             // The manifest tells where it goes on.
-            if self.managers[manager].front.is_some() {
+            if self.managers[manager].core.is_some() {
                 self.ask(manager, session, package, title, Some((origin, (server, key))), ends);
             } else if !last {
                 self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n));
@@ -643,22 +648,23 @@
                 package.put_whole("seats", if seats > 0 { seats + 1 } else { 0 });
             });
         }
-        let module: Box<dyn Decides> = match self.spoilt {
+        let policy: Box<dyn Policy> = match self.spoilt {
             Some(Spoilt::Unpaced) => Box::<Random>::new(random(&settings)),
-            _ => Box::new(setup::module(&settings)),
+            _ => Box::new(setup::policy(&settings)),
         };
         let spans = (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
         let birth = self.managers[manager].birth + 1;
-        let (fence, terms) = (setup::fence(&settings), setup::terms(&settings));
-        let front = Front::new(module, fence, terms, spans, setup::ration(&settings), Birth(birth));
+        let (rule_guard, terms) = (setup::rule_guard(&settings), setup::terms(&settings));
+        let core =
+            SessionCore::new(policy, rule_guard, terms, spans, setup::ration(&settings), Incarnation(birth));
         let paid = self.managers[manager].paid.clone();
         let m = &mut self.managers[manager];
-        (m.front, m.birth) = (Some(front), birth);
+        (m.core, m.birth) = (Some(core), birth);
         m.follows.clear();
-        self.turn(manager, birth, move |front, hands, now| {
-            front.start(hands, now);
+        self.turn(manager, birth, move |core, hands, now| {
+            core.start(hands, now);
             for (session, (server, until)) in paid {
-                front.spent(session, server, until);
+                core.restore_paid_session(session, server, until);
             }
         });
         self.tells_all(manager);
@@ -692,7 +698,7 @@
 
     /// A whole list that may leave servers out: those are gone to who hears it.
     fn tells_whole(&mut self, manager: usize, named: impl Fn(ServerNo) -> bool) {
-        if self.managers[manager].front.is_none() {
+        if self.managers[manager].core.is_none() {
             return;
         }
         let rows: Vec<_> =
@@ -716,7 +722,7 @@
             list.iter().filter(|row| !withheld || row.standing == Standing::Ready).copied().collect();
         let follow: Vec<_> =
             list.iter().filter(|row| row.standing != Standing::Gone).map(|row| no(row.server)).collect();
-        self.turn(manager, birth, move |front, _, now| front.listed(now, &list, extent));
+        self.turn(manager, birth, move |core, _, now| core.on_server_list(now, &list, extent));
         follow.into_iter().for_each(|at| self.follows(manager, at));
     }
 
@@ -747,7 +753,7 @@
     fn tells(&mut self, at: ServerNo) {
         let Some(row) = self.rows[at.0] else { return };
         for manager in 0..MANAGERS {
-            if self.managers[manager].front.is_some() {
+            if self.managers[manager].core.is_some() {
                 self.told(manager, at, row.standing, row.birth);
                 let listed = self.listed(at, row);
                 self.hears(manager, &[listed], Extent::Changes);
@@ -765,9 +771,9 @@
         self.after(way, move |w| {
             if !w.fleet.up(at) {
                 w.managers[manager].follows.remove(&at);
-                return w.turn(manager, birth, |front, hands, now| {
-                    front.still(hands, now, id(at), &[]);
-                    front.heard(hands, now, id(at));
+                return w.turn(manager, birth, |core, hands, now| {
+                    core.on_inventory(hands, now, id(at), &[]);
+                    core.on_inventory_complete(hands, now, id(at));
                 });
             }
             w.at_server(at, move |w| {
@@ -781,15 +787,15 @@
                     .iter()
                     .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
                     .collect();
-                w.turn(manager, birth, move |front, hands, now| {
-                    let of = |key: &Key| (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n));
+                w.turn(manager, birth, move |core, hands, now| {
+                    let of = |key: &Key| (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n));
                     let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
-                    front.still(hands, now, id(at), &ids);
+                    core.on_inventory(hands, now, id(at), &ids);
                     for (key, (session, package, title, top), rung) in rows {
                         let about = (PackageId(package), TitleId(title), (rung, top));
-                        front.found(hands, now, id(at), of(&key), session, about);
+                        core.on_running_tune_in(hands, now, id(at), of(&key), session, about);
                     }
-                    front.heard(hands, now, id(at));
+                    core.on_inventory_complete(hands, now, id(at));
                 });
             });
         });
@@ -800,9 +806,15 @@
         for (at, key, why) in self.fleet.expire(self.now) {
             self.abouts.remove(&(at, key));
             self.record(What::StreamOver { server: at, key, why });
-            let over = if why == Ends::Ended { Over::Ended } else { Over::Left };
+            let over = if why == Ends::Ended { EndReason::Completed } else { EndReason::ViewerLeft };
             self.notes(at, key, move |f, h, now| {
-                f.over(h, now, id(at), (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n)), over);
+                f.on_viewing_ended(
+                    h,
+                    now,
+                    id(at),
+                    (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n)),
+                    over,
+                );
             });
         }
         for (at, key, note) in self.fleet.notes(self.now) {
@@ -811,13 +823,14 @@
                 Note::Link(x) => News::Link(x),
                 Note::Uplink(x) => News::Uplink(x),
             };
-            self.notes(at, key, move |f, _, now| f.news(now, id(at), ViewingId(key.vw), news));
+            self.notes(at, key, move |f, _, now| f.on_server_update(now, id(at), ViewingId(key.vw), news));
         }
         self.after(TICK, World::tick);
     }
 
     fn notes(
-        &mut self, at: ServerNo, key: Key, tell: impl FnOnce(&mut Front, &mut Hands, Duration) + 'static,
+        &mut self, at: ServerNo, key: Key,
+        tell: impl FnOnce(&mut SessionCore, &mut Hands, Duration) + 'static,
     ) {
         let (manager, way) = (key.manager.0 as usize, self.way());
         let m = &self.managers[manager];
@@ -843,7 +856,9 @@
         for key in broken {
             self.over(at, key, SetUpEnd::Broke);
             let way = self.way();
-            self.after(way, move |w| w.happened(key.manager.0 as usize, key, Happened::Broke));
+            self.after(way, move |w| {
+                w.happened(key.manager.0 as usize, key, AttemptResult::ConnectionBroken)
+            });
         }
         for manager in 0..MANAGERS {
             if self.managers[manager].follows.remove(&at) {
@@ -911,7 +926,7 @@
 
     /// A manager is killed: its viewers are cut off, and what it had out is closed.
     fn kills(&mut self, manager: usize, down: Duration) {
-        if self.managers[manager].front.take().is_none() {
+        if self.managers[manager].core.take().is_none() {
             return;
         }
         let now = self.now;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -217,13 +217,13 @@
                 }
             }
         };
-        let module: Box<dyn ivyward_session::Decides> = if random {
+        let policy: Box<dyn ivyward_session::Policy> = if random {
             Box::new(ivyward_lab::day::random(&settings))
         } else {
-            Box::new(ivyward_daemon::setup::module(&settings))
+            Box::new(ivyward_daemon::setup::policy(&settings))
         };
         let ready = |address| println!("listening {address}");
-        println!("{}", ivyward_daemon::manage_by(&settings, module, ready, ended, outside).await?);
+        println!("{}", ivyward_daemon::manage_by(&settings, policy, ready, ended, outside).await?);
         Ok(())
     })
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -11,7 +11,7 @@
 
 use ivyward_peers::{Cores, Frame, HEAD, Note, QUIET, Stored, TOGETHER, hello};
 use ivyward_replica::{Group, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use prost::Message;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -131,7 +131,7 @@
 #[derive(Default)]
 struct Disk {
     whole: bool,
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
 }
 
 /// One member over its lives.
@@ -244,7 +244,7 @@
         hollow.knows.clear();
         let stored =
             Stored { whole: hollow.disk.whole, starts: hollow.disk.starts.clone(), ..Stored::default() };
-        let (birth, me) = (Birth(hollow.births), Member(member as u16));
+        let (birth, me) = (Incarnation(hollow.births), Member(member as u16));
         let mut cores = Cores::new(self.group.clone(), me, birth, WORD, SPAN, self.now, stored);
         cores.start(self.now);
         hollow.cores = Some(cores);
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -6,7 +6,7 @@
 use ivyward_replica::{
     Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word,
 };
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 use std::hint::black_box;
 use std::ops::Range;
@@ -61,19 +61,19 @@
 
 impl Effects for Out {
     fn claim(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn kept(&mut self, _: Member, _: SessionId, _: Claim, _: Birth, _: &[(Member, Birth)]) {
+    fn kept(&mut self, _: Member, _: SessionId, _: Claim, _: Incarnation, _: &[(Member, Incarnation)]) {
         self.messages += 1;
     }
     fn unkept(&mut self, _: Member, _: SessionId, _: Claim, _: bool) {}
     fn take_back(&mut self, _: Member, _: SessionId, _: Claim) {}
     fn taken_back(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn recall(&mut self, _: Member, _: Birth) {}
-    fn row(&mut self, _: Member, _: Birth, _: SessionId, _: &Held) {}
-    fn rows(&mut self, _: Member, _: Birth, _: u64) {}
+    fn recall(&mut self, _: Member, _: Incarnation) {}
+    fn row(&mut self, _: Member, _: Incarnation, _: SessionId, _: &Held) {}
+    fn rows(&mut self, _: Member, _: Incarnation, _: u64) {}
     fn store(&mut self, _: SessionId, _: &Held) {
         self.notes += 1;
     }
-    fn store_start(&mut self, _: Member, _: Birth) {}
+    fn store_start(&mut self, _: Member, _: Incarnation) {}
     fn store_whole(&mut self) {}
     fn forget(&mut self, _: SessionId) {}
     fn decided(&mut self, _: ClaimNo, _: Word) {}
@@ -115,10 +115,10 @@
 
 /// A copy with a record of each of so many members.
 fn copy(me: Member, logs: usize) -> Common<SessionId> {
-    let mut copy = Common::new(me, Birth(1), SPAN);
+    let mut copy = Common::new(me, Incarnation(1), SPAN);
     let mut out = Out::default();
     for at in 0..logs {
-        let log = Log { of: Member(at as u16), birth: Birth(1) };
+        let log = Log { of: Member(at as u16), birth: Incarnation(1) };
         if log.of == me {
             copy.add(&mut out, NOW, SessionId(at as u128), &[]);
         } else {
@@ -135,7 +135,7 @@
 /// One who holds so many records more than another meets it: messages that pass until they hold the same, records
 /// among them, and turns.
 pub(super) fn catch_up(behind: usize) -> (usize, usize, usize) {
-    let mut copies = [copy_of_records(behind), Common::new(Member(1), Birth(1), SPAN)];
+    let mut copies = [copy_of_records(behind), Common::new(Member(1), Incarnation(1), SPAN)];
     let (mut out, mut messages, mut records, mut turns) = ([Out::default(), Out::default()], 0, 0, 0);
     while copies[0].digest() != copies[1].digest() {
         (turns, messages) = (turns + 1, messages + 1);
@@ -260,7 +260,7 @@
             }));
             let near = Overlay::new(&group, Member(0), TURN).neighbours();
             let (mut held, mut out, mut no) = (copy(Member(0), *count), Out::default(), 1);
-            let log = Log { of: Member(1), birth: Birth(1) };
+            let log = Log { of: Member(1), birth: Incarnation(1) };
             rows[2].push(time(|| {
                 held.told(&mut out, NOW, Member(1), log, no..no + 1, vec![record(no, no as usize)], &near);
                 no += 1;
@@ -283,11 +283,11 @@
         for count in &sessions {
             let (group, mut out) = (group(3), Out::default());
             let stored = Default::default();
-            let mut keeper = Keeper::new(group, Member(0), Birth(1), SPAN, NOW, true, stored);
+            let mut keeper = Keeper::new(group, Member(0), Incarnation(1), SPAN, NOW, true, stored);
             let mut next = 0_u64;
             let mut claims = |keeper: &mut Keeper| {
                 next += 1;
-                let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
+                let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
                 keeper.claimed(&mut out, NOW, Member(1), SessionId(next.into()), claim);
                 keeper.stored(&mut out, 1);
             };
@@ -316,9 +316,9 @@
 
 fn kept(count: usize) -> Keeper {
     let (mut out, stored) = (Out::default(), Default::default());
-    let mut keeper = Keeper::new(group(3), Member(0), Birth(1), SPAN, NOW, true, stored);
+    let mut keeper = Keeper::new(group(3), Member(0), Incarnation(1), SPAN, NOW, true, stored);
     for next in 1..=count as u64 {
-        let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
+        let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
         keeper.claimed(&mut out, NOW, Member(1), SessionId(next.into()), claim);
         keeper.stored(&mut out, 1);
     }
@@ -326,7 +326,7 @@
 }
 
 fn copy_of_records(count: usize) -> Common<SessionId> {
-    let mut copy = Common::new(Member(0), Birth(1), SPAN);
+    let mut copy = Common::new(Member(0), Incarnation(1), SPAN);
     (0..count).for_each(|at| copy.add(&mut Out::default(), NOW, SessionId(at as u128), &[]));
     copy
 }
--- a/crates/node/src/bus.rs
+++ b/crates/node/src/bus.rs
@@ -85,8 +85,8 @@
 /// Has the list take an event; whether it could be read.
 async fn told(queue: &Queue<Hands>, event: Value) -> bool {
     let (say, taken) = oneshot::channel();
-    queue.tell(move |front, hands, now| {
-        say.send(hands.told(front, now, &event)).ok();
+    queue.tell(move |core, hands, now| {
+        say.send(hands.told(core, now, &event)).ok();
     });
     taken.await.unwrap_or_default()
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -13,7 +13,7 @@
 use ivyward::front::Extent;
 use ivyward_edge::{LogRateLimiter, UpstreamPolicy};
 use ivyward_options as options;
-use ivyward_session::{Birth, Fence, Front};
+use ivyward_session::{Incarnation, RuleGuard, SessionCore};
 use ivyward_turns::{Clock, Timers, queue};
 use list::List;
 use rand_pcg::Pcg64Mcg;
@@ -42,7 +42,7 @@
 /// A server that has gone is forgotten after so many times as its start would count as cold.
 const FORGOTTEN: u32 = 2;
 /// A start of ours is above all before, of which nothing is left.
-const BIRTH: Birth = Birth(1);
+const BIRTH: Incarnation = Incarnation(1);
 
 /// Runs a viewing manager until it is told to end and owes nothing.
 ///
@@ -65,7 +65,7 @@
     let (seed, listen) = (config::seed(file, &all)?, config::address(file, &all, "listen")?);
     let (bus, descriptors) = (config::address(file, &all, "bus")?, config::descriptors(file, &all)?);
     let (offset, known) = config::known(file, &all)?;
-    let module = options::manager(seed, settings).map_err(named)?;
+    let policy = options::manager(seed, settings).map_err(named)?;
     let (grace, slack, seats) = options::rules(settings).map_err(named)?;
     tracing::debug!(%settings, "told");
     let (streams, connect, keep) = options::connections(settings).map_err(named)?;
@@ -75,8 +75,8 @@
     let ration = options::ration(settings).map_err(named)?;
     let [packages, tenants, zones, kinds] = options::names(settings);
 
-    let fence = Fence::new(grace, ration, seats);
-    let mut front = Front::new(Box::new(module), fence, terms, (slack, None, None), ration, BIRTH);
+    let rule_guard = RuleGuard::new(grace, ration, seats);
+    let mut core = SessionCore::new(Box::new(policy), rule_guard, terms, (slack, None, None), ration, BIRTH);
     let clock = Clock::start();
     let (queue, turns) = queue(clock);
     let viewers = Viewers::new(packages, tenants, longest, descriptors);
@@ -97,9 +97,9 @@
         swept: clock.now(),
         held: None,
     };
-    front.start(&mut hands, clock.now());
+    core.start(&mut hands, clock.now());
     let mut known = known.iter();
-    let read = known.all(|event| hands.topology(&mut front, clock.now(), event, Extent::Remembered));
+    let read = known.all(|event| hands.topology(&mut core, clock.now(), event, Extent::Remembered));
     // Of a list of which a part can't be read the whole is asked for.
     let offset = if read { offset } else { 0 };
     let listener = listens(listen).await.map_err(|e| format!("{listen}: {e}"))?;
@@ -114,13 +114,13 @@
         loop {
             sleep(SWEEP).await;
             let ends = ends.clone();
-            sweeps.tell(move |front, hands, now| {
-                hands.sweep(front, now, cold * FORGOTTEN);
-                ends.sweep(front, hands, now);
+            sweeps.tell(move |core, hands, now| {
+                hands.sweep(core, now, cold * FORGOTTEN);
+                ends.sweep(core, hands, now);
             });
         }
     });
-    spawn_local(async move { turns.run(&mut front, &mut hands, |_, _| ()).await });
+    spawn_local(async move { turns.run(&mut core, &mut hands, |_, _| ()).await });
     let mut reread = None::<Instant>;
     loop {
         let read = async {
@@ -163,12 +163,12 @@
 }
 
 impl Hands {
-    fn sweep(&mut self, front: &mut Front, now: Duration, forgotten: Duration) {
+    fn sweep(&mut self, core: &mut SessionCore, now: Duration, forgotten: Duration) {
         if !self.stood_still(now) {
             self.swept = now;
         }
         self.sweep_viewers(now);
-        self.sweep_servers(front, now);
+        self.sweep_servers(core, now);
         let (stands, servers) = (&self.stands, &self.servers);
         let of_use = |server| stands.any_at(server) || servers.has_links(server);
         self.list.forget(now, forgotten, of_use);
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -4,7 +4,7 @@
 use crate::shell::Hands;
 use ivyward::front::{Extent, KindId, Listed, ServerId, Standing, ZoneId};
 use ivyward_edge::truncate_for_log;
-use ivyward_session::Front;
+use ivyward_session::SessionCore;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -136,12 +136,12 @@
 
 impl Hands {
     /// One event of the bus. Whether it could be read: nothing of a list is taken of which a part can't.
-    pub fn told(&mut self, front: &mut Front, now: Duration, event: &Value) -> bool {
-        self.topology(front, now, event, Extent::Whole)
+    pub fn told(&mut self, core: &mut SessionCore, now: Duration, event: &Value) -> bool {
+        self.topology(core, now, event, Extent::Whole)
     }
 
     /// `whole`: what a whole list counts as.
-    pub fn topology(&mut self, front: &mut Front, now: Duration, event: &Value, whole: Extent) -> bool {
+    pub fn topology(&mut self, core: &mut SessionCore, now: Duration, event: &Value, whole: Extent) -> bool {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let members = event["topology"]["members"].as_array().ok_or("members");
         let read = members.and_then(|members| {
@@ -168,8 +168,8 @@
             }
         }
         tracing::debug!(complete, ?list, ?words, "the list");
-        front.listed(now, &list, if complete { whole } else { Extent::Changes });
-        self.processes_ended(front, now);
+        core.on_server_list(now, &list, if complete { whole } else { Extent::Changes });
+        self.processes_ended(core, now);
         true
     }
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -8,7 +8,7 @@
 use crate::wire::{Stream, Writer};
 use ivyward::front::{ServerId, ViewingId};
 use ivyward_edge::{UpstreamPolicy, UpstreamState};
-use ivyward_session::{Birth, TuneIn};
+use ivyward_session::{Incarnation, TuneIn};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Kind, Ref};
 use rand_pcg::Pcg64Mcg;
@@ -67,14 +67,14 @@
     connect: Duration,
     /// Connections at most.
     most: usize,
-    birth: Birth,
+    birth: Incarnation,
     chance: Pcg64Mcg,
     last: u64,
 }
 
 impl Servers {
     pub fn new(
-        upstreams: UpstreamPolicy, (connect, most): (Duration, usize), birth: Birth, chance: Pcg64Mcg,
+        upstreams: UpstreamPolicy, (connect, most): (Duration, usize), birth: Incarnation, chance: Pcg64Mcg,
     ) -> Servers {
         Servers {
             links: BTreeMap::new(),
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Key, release};
 use crate::shell::Hands;
 use ivyward::front::{Load, ServerId};
-use ivyward_session::{Front, Happened};
+use ivyward_session::{AttemptResult, SessionCore};
 use ivyward_signal::binary;
 use ivyward_signal::{Field, Kind, Ref};
 use std::time::Duration;
@@ -13,32 +13,32 @@
 
 impl Hands {
     /// A set-up is to go out: on a connection that has room for it, or on a new one once that stands.
-    pub fn dispatch(&mut self, front: &mut Front, now: Duration, key: Key) {
+    pub fn dispatch(&mut self, core: &mut SessionCore, now: Duration, key: Key) {
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
         let (server, of) = (attempt.server, attempt.of);
         let upstream = self.servers.usable_link(server, Some(of));
-        let Some(id) = upstream.or_else(|| self.new_link(front, now, server)) else {
+        let Some(id) = upstream.or_else(|| self.new_link(core, now, server)) else {
             self.servers.attempts.remove(&key);
             // Where it is listed nothing is known against it: no descriptor was to be had.
             let listed = self.list.row(server).is_some();
-            let what = if listed { Happened::NotWritten } else { Happened::NotConnected };
-            return front.happened(self, now, key.0, key.1, what, Load::default());
+            let what = if listed { AttemptResult::NotWritten } else { AttemptResult::NotConnected };
+            return core.on_attempt_result(self, now, key.0, key.1, what, Load::default());
         };
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if !link.up {
             return link.waiting.push(key);
         }
-        self.write_set_up(front, now, id, key);
+        self.write_set_up(core, now, id, key);
     }
 
-    pub(super) fn write_set_up(&mut self, front: &mut Front, now: Duration, id: u64, key: Key) {
+    pub(super) fn write_set_up(&mut self, core: &mut SessionCore, now: Duration, id: u64, key: Key) {
         let Some(of) = self.servers.attempts.get(&key).map(|attempt| attempt.of) else { return };
         if self.stood_still(now) {
             return self.held.get_or_insert_default().push(key);
         }
-        if !self.look_at_viewer(front, now, of) {
+        if !self.look_at_viewer(core, now, of) {
             // Others have their turn before the rest is read.
-            return self.queue.tell(move |front, hands, now| hands.dispatch(front, now, key));
+            return self.queue.tell(move |core, hands, now| hands.dispatch(core, now, key));
         }
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
         let (server, rung) = (attempt.server, attempt.rung);
@@ -51,9 +51,16 @@
         });
         let Some(Ok(bytes)) = bytes else {
             self.servers.attempts.remove(&key);
-            return front.happened(self, now, key.0, key.1, Happened::NotWritten, Load::default());
+            return core.on_attempt_result(
+                self,
+                now,
+                key.0,
+                key.1,
+                AttemptResult::NotWritten,
+                Load::default(),
+            );
         };
-        if !front.sending(self, now, key.0, key.1) {
+        if !core.may_send_set_up(self, now, key.0, key.1) {
             self.servers.attempts.remove(&key);
             return;
         }
@@ -66,7 +73,14 @@
                 "a connection takes nothing"
             );
             self.servers.attempts.remove(&key);
-            return front.happened(self, now, key.0, key.1, Happened::NotWritten, Load::default());
+            return core.on_attempt_result(
+                self,
+                now,
+                key.0,
+                key.1,
+                AttemptResult::NotWritten,
+                Load::default(),
+            );
         };
         link.open.insert(of, key);
         link.upstream.last_sent_at = now;
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -5,7 +5,7 @@
 use crate::wire::{Stream, converse, keeps_little, look, piece, writer};
 use ivyward::front::{Load, ServerId, Standing};
 use ivyward_edge::{UpstreamPolicy, UpstreamState};
-use ivyward_session::{Front, Happened};
+use ivyward_session::{AttemptResult, SessionCore};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Kind, Ref};
 use rand::RngExt;
@@ -31,7 +31,9 @@
 impl Hands {
     /// A new connection to a server, for which the one unused for longest gives way where there are too many; none where
     /// the server is not listed, or none can give way.
-    pub(super) fn new_link(&mut self, front: &mut Front, now: Duration, server: ServerId) -> Option<u64> {
+    pub(super) fn new_link(
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId,
+    ) -> Option<u64> {
         if self.servers.links.len() >= self.servers.most {
             let idle = |link: &Link| {
                 let unused = link.open.is_empty() && link.tests.is_empty() && link.waiting.is_empty();
@@ -42,7 +44,7 @@
                 (link.upstream.last_received_at.max(link.upstream.last_sent_at), **id)
             });
             let way = way.map(|(id, _)| *id)?;
-            self.link_lost(front, now, way, "closed");
+            self.link_lost(core, now, way, "closed");
         }
         self.open_link(now, server)
     }
@@ -60,25 +62,25 @@
             let stream = match connect(address, within).await {
                 Ok(stream) => stream,
                 Err(error) => {
-                    return queue.tell(move |front, hands, now| hands.unreached(front, now, id, &error));
+                    return queue.tell(move |core, hands, now| hands.unreached(core, now, id, &error));
                 }
             };
             keeps_little(&stream);
             let (stream, told) = (Rc::new(stream), queue.clone());
             let stands = stream.clone();
-            queue.tell(move |front, hands, now| hands.link_up(front, now, id, stands));
+            queue.tell(move |core, hands, now| hands.link_up(core, now, id, stands));
             let heard = move |had: oneshot::Sender<()>| {
-                told.tell(move |front, hands, now| {
-                    if hands.server_wrote(front, now, id, piece) {
+                told.tell(move |core, hands, now| {
+                    if hands.server_wrote(core, now, id, piece) {
                         had.send(()).ok();
                     }
                 });
             };
             converse(stream, outgoing, heard).await;
-            queue.tell(move |front, hands, now| {
+            queue.tell(move |core, hands, now| {
                 // What came before the connection broke still counts.
-                hands.server_wrote(front, now, id, look);
-                hands.link_lost(front, now, id, "closed");
+                hands.server_wrote(core, now, id, look);
+                hands.link_lost(core, now, id, "closed");
             });
         });
         let link = Link {
@@ -99,7 +101,7 @@
         Some(id)
     }
 
-    pub(super) fn link_up(&mut self, front: &mut Front, now: Duration, id: u64, stream: Stream) {
+    pub(super) fn link_up(&mut self, core: &mut SessionCore, now: Duration, id: u64, stream: Stream) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         let server = link.server;
         let (set_ups, tests) = (link.waiting.len(), link.tests.len());
@@ -112,7 +114,7 @@
         }
         tracing::debug!(server = self.word(server), connection = id, set_ups, tests, "a connection stands");
         if self.servers.unreached.remove(&server).is_some_and(|unreached| unreached.refused) {
-            self.all_lost(front, now, server);
+            self.all_lost(core, now, server);
         }
         for of in self.servers.owed_releases.remove(&server).unwrap_or_default().into_keys() {
             // What was set up there anew meanwhile is another.
@@ -123,13 +125,13 @@
             tracing::debug!(of, server, connection = id, anew, stands, written, "an owed release");
         }
         for key in waiting {
-            self.write_set_up(front, now, id, key);
+            self.write_set_up(core, now, id, key);
         }
     }
 
     /// A connection didn't come about: nothing that waited for it ran. Refused, the process there is dead, and what
     /// played there is over.
-    pub(super) fn unreached(&mut self, front: &mut Front, now: Duration, id: u64, error: &io::Error) {
+    pub(super) fn unreached(&mut self, core: &mut SessionCore, now: Duration, id: u64, error: &io::Error) {
         let Some(link) = self.servers.links.remove(&id) else { return };
         let (server, refused) = (link.server, error.kind() == io::ErrorKind::ConnectionRefused);
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -142,10 +144,10 @@
         }
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, Load::default());
+                core.on_attempt_result(self, now, key.0, key.1, AttemptResult::NotConnected, Load::default());
             }
         }
-        self.fail_tests(front, now, server, link.tests);
+        self.fail_tests(core, now, server, link.tests);
         let before = self.servers.unreached.get(&server).copied();
         let since = self.servers.upstreams.unreachable_since(now, before.map(|b| (b.since, b.last_tried)));
         let alone = !self.servers.links_to(server).any(|(_, link)| link.up);
@@ -158,12 +160,12 @@
         if refused && self.list.standing(server) != Standing::Draining || lost {
             self.servers.owed_releases.remove(&server);
             self.servers.unreached.remove(&server);
-            self.all_lost(front, now, server);
+            self.all_lost(core, now, server);
         }
     }
 
     /// A connection is over: what was open on it may have run.
-    pub(super) fn link_lost(&mut self, front: &mut Front, now: Duration, id: u64, why: &str) {
+    pub(super) fn link_lost(&mut self, core: &mut SessionCore, now: Duration, id: u64, why: &str) {
         let Some(link) = self.servers.links.remove(&id) else { return };
         link.task.abort();
         let server = link.server;
@@ -171,14 +173,14 @@
         tracing::debug!(server = self.word(server), connection = id, ?open, why, "a connection is lost");
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, Load::default());
+                core.on_attempt_result(self, now, key.0, key.1, AttemptResult::NotConnected, Load::default());
             }
         }
         for key in link.open.into_values() {
-            front.happened(self, now, key.0, key.1, Happened::Broke, Load::default());
+            core.on_attempt_result(self, now, key.0, key.1, AttemptResult::ConnectionBroken, Load::default());
             self.servers.attempts.remove(&key);
         }
-        self.fail_tests(front, now, server, link.tests);
+        self.fail_tests(core, now, server, link.tests);
         if link.up && self.stands.any_on(server, id) {
             // An end that was lost with it is told again on the next connection opened, whatever others there are.
             self.open_link(now, server);
@@ -211,11 +213,11 @@
     }
 
     /// Looks after connections to servers.
-    pub fn sweep_servers(&mut self, front: &mut Front, now: Duration) {
+    pub fn sweep_servers(&mut self, core: &mut SessionCore, now: Duration) {
         self.forget_releases(now);
         let all: BTreeSet<_> = self.servers.links.values().map(|link| link.server).collect();
         for server in all {
-            self.sweep_server(front, now, server);
+            self.sweep_server(core, now, server);
         }
         let (upstreams, list) = (&self.servers.upstreams, &self.list);
         self.servers.unreached.retain(|server, of| {
@@ -234,7 +236,7 @@
         owed.retain(|_, releases| !releases.is_empty());
     }
 
-    fn sweep_server(&mut self, front: &mut Front, now: Duration, server: ServerId) {
+    fn sweep_server(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let stand = self.stands.any_at(server);
         let links: Vec<_> =
             self.servers.links_to(server).filter(|(_, link)| link.up).map(|(id, _)| id).collect();
@@ -243,7 +245,7 @@
         let live = |id: &&u64| self.servers.links[*id].retiring.is_none();
         let mut left = links.iter().filter(live).count();
         for id in links {
-            self.sweep_link(front, now, (id, server), heard, &mut left);
+            self.sweep_link(core, now, (id, server), heard, &mut left);
         }
         let all_up = self.servers.links_to(server).all(|(_, link)| link.up);
         if stand && all_up && self.servers.upstreams.is_server_silent(now, heard) {
@@ -255,20 +257,20 @@
     /// Closes a connection that is of no use, or tests it. `heard`: when its server last was on any; `left`: how many to it
     /// are in use.
     fn sweep_link(
-        &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), heard: Duration,
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), heard: Duration,
         left: &mut usize,
     ) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(since) = link.retiring {
             // A server that hangs, or is cut off, may tell ends on it when it goes on.
             if now >= since + UpstreamPolicy::RELEASE_TIMEOUT {
-                self.link_lost(front, now, id, "retired and not closed");
+                self.link_lost(core, now, id, "retired and not closed");
             }
             return;
         }
         if self.servers.upstreams.is_partial_overdue(now, &link.upstream) {
             *left -= 1;
-            return self.spoilt(front, now, id, "the rest of a message doesn't come");
+            return self.spoilt(core, now, id, "the rest of a message doesn't come");
         }
         self.servers.upstreams.check_test(now, &mut link.upstream);
         let idle = link.open.is_empty() && link.tests.is_empty();
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Came, look};
 use ivyward::front::{Load, News, ServerId};
 use ivyward_options as options;
-use ivyward_session::{Front, Happened, Over};
+use ivyward_session::{AttemptResult, EndReason, SessionCore};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, line};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -23,11 +23,11 @@
 
 impl Hands {
     /// Asks a server for its load.
-    pub fn probe_there(&mut self, front: &mut Front, now: Duration, server: ServerId) {
+    pub fn probe_there(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let of = Ref(self.servers.chance.random());
         let upstream = self.servers.usable_link(server, None);
-        let Some(id) = upstream.or_else(|| self.new_link(front, now, server)) else {
-            return front.probed(self, now, server, None);
+        let Some(id) = upstream.or_else(|| self.new_link(core, now, server)) else {
+            return core.on_probe_result(self, now, server, None);
         };
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         link.tests.insert(of);
@@ -37,26 +37,26 @@
         let (queue, within) = (self.queue.clone(), self.servers.connect);
         spawn_local(async move {
             sleep(within).await;
-            queue.tell(move |front, hands, now| {
+            queue.tell(move |core, hands, now| {
                 let link = hands.servers.links.get_mut(&id);
                 if link.is_some_and(|link| link.tests.remove(&of)) {
-                    front.probed(hands, now, server, None);
+                    core.on_probe_result(hands, now, server, None);
                 }
             });
         });
     }
 
     pub(super) fn fail_tests(
-        &mut self, front: &mut Front, now: Duration, server: ServerId, tests: BTreeSet<Ref>,
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, tests: BTreeSet<Ref>,
     ) {
         for _ in tests {
-            front.probed(self, now, server, None);
+            core.on_probe_result(self, now, server, None);
         }
     }
 
     /// What a server's connection has brought. Whether more may come.
     pub(super) fn server_wrote(
-        &mut self, front: &mut Front, now: Duration, id: u64, read: fn(&TcpStream) -> Came,
+        &mut self, core: &mut SessionCore, now: Duration, id: u64, read: fn(&TcpStream) -> Came,
     ) -> bool {
         let link = self.servers.links.get(&id);
         let Some(stream) = link.and_then(|link| link.stream.as_ref()) else { return false };
@@ -65,20 +65,20 @@
             Came::Closed(bytes) | Came::Reset(bytes) => (bytes, true),
         };
         if !bytes.is_empty() {
-            self.server_said(front, now, id, &bytes);
+            self.server_said(core, now, id, &bytes);
         }
         !closed && self.servers.links.contains_key(&id)
     }
 
     /// Reads what the connections hold on which set-ups are open.
-    pub fn reads_servers(&mut self, front: &mut Front, now: Duration) {
+    pub fn reads_servers(&mut self, core: &mut SessionCore, now: Duration) {
         let open = self.servers.links.iter().filter(|(_, link)| !link.open.is_empty()).map(|(id, _)| *id);
         for id in open.collect::<Vec<_>>() {
-            self.server_wrote(front, now, id, look);
+            self.server_wrote(core, now, id, look);
         }
     }
 
-    pub(super) fn server_said(&mut self, front: &mut Front, now: Duration, id: u64, piece: &[u8]) {
+    pub(super) fn server_said(&mut self, core: &mut SessionCore, now: Duration, id: u64, piece: &[u8]) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         link.messages.push(piece);
         link.upstream.record_received(now);
@@ -88,51 +88,51 @@
             let message = match link.messages.cut() {
                 Ok(None) => return link.upstream.set_partial(now, link.messages.begun()),
                 Ok(Some(message)) => message.to_vec(),
-                Err(wrong) => return self.spoilt(front, now, id, &wrong),
+                Err(wrong) => return self.spoilt(core, now, id, &wrong),
             };
             let done = match binary::read(&message) {
-                Ok(signal) => self.message(front, now, (id, server), &signal),
+                Ok(signal) => self.message(core, now, (id, server), &signal),
                 Err(wrong) => Err(wrong),
             };
             if let Err(wrong) = done {
-                return self.spoilt(front, now, id, &wrong);
+                return self.spoilt(core, now, id, &wrong);
             }
         }
     }
 
     /// What came can't be read: nothing more on this connection can be believed.
-    pub(super) fn spoilt(&mut self, front: &mut Front, now: Duration, id: u64, wrong: &str) {
+    pub(super) fn spoilt(&mut self, core: &mut SessionCore, now: Duration, id: u64, wrong: &str) {
         if let Some(left_out) = self.log_limiter.check(now, "a server's message") {
             tracing::info!(wrong, left_out, "a server's message can't be read");
         }
-        self.link_lost(front, now, id, "spoilt");
+        self.link_lost(core, now, id, "spoilt");
     }
 
     pub(super) fn message(
-        &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
     ) -> Result<(), String> {
         let of = signal.of;
         let load = signal.text(Field::Report).map(options::load);
         if let Some(load) = load {
-            self.log_report(front, server, load);
+            self.log_report(core, server, load);
         }
         let load = load.unwrap_or_default();
         let Some(link) = self.servers.links.get_mut(&id) else { return Ok(()) };
         match signal.kind {
-            Kind::Answer => self.answer(front, now, (id, server), signal, load)?,
+            Kind::Answer => self.answer(core, now, (id, server), signal, load)?,
             Kind::Release => {
                 let cause = signal.cause.ok_or("a release without a cause")?;
-                self.server_released(front, now, (id, server), (of, cause), load);
+                self.server_released(core, now, (id, server), (of, cause), load);
             }
             Kind::Tested => {
                 if link.tests.remove(&of) {
-                    front.probed(self, now, server, (signal.cause == Some(1)).then_some(load));
+                    core.on_probe_result(self, now, server, (signal.cause == Some(1)).then_some(load));
                 }
             }
             Kind::Test => {
                 self.servers.write(id, binary::write(Kind::Tested, of, &[], Some(1), None));
             }
-            Kind::Note => self.note(front, now, (id, server), signal),
+            Kind::Note => self.note(core, now, (id, server), signal),
             Kind::Heard => {
                 let (of, server) = (format!("{:016x}", of.0), self.word(server));
                 tracing::debug!(of, server, connection = id, "a release is acknowledged");
@@ -143,18 +143,18 @@
     }
 
     /// Beside what the module believes: what passed on the sockets here.
-    fn log_report(&self, front: &Front, server: ServerId, load: Load) {
+    fn log_report(&self, core: &SessionCore, server: ServerId, load: Load) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let out = self.servers.attempts.values().filter(|attempt| attempt.server == server).count();
-        let (there, believed) = (self.stands.at(server).len(), front.believed(server));
+        let (there, believed) = (self.stands.at(server).len(), core.server_estimate(server));
         tracing::debug!(server = self.word(server), ?load, ?believed, there, out, "a report");
     }
 
     /// The session stands: its answer is passed on.
     fn answer(
-        &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
         load: Load,
     ) -> Result<(), String> {
         let of = signal.of;
@@ -174,44 +174,46 @@
         let stand = Stand { server, key: key_there, client: None, since: now, link: Some(id) };
         self.stands.insert(of, stand);
         self.line = Some(line);
-        front.happened(self, now, key.0, key.1, Happened::Plays, load);
+        core.on_attempt_result(self, now, key.0, key.1, AttemptResult::Playing, load);
         self.line = None;
         Ok(())
     }
 
     /// A server ended a set-up, or what stood.
     fn server_released(
-        &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), (of, cause): (Ref, u8),
-        load: Load,
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId),
+        (of, cause): (Ref, u8), load: Load,
     ) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(key) = link.open.remove(&of) {
             self.servers.attempts.remove(&key);
             let what = match cause {
-                FULL => Happened::Refused,
-                MOOT => Happened::NotWritten,
-                ERROR => Happened::Errored,
-                _ => Happened::Broke,
+                FULL => AttemptResult::Refused,
+                MOOT => AttemptResult::NotWritten,
+                ERROR => AttemptResult::ServerError,
+                _ => AttemptResult::ConnectionBroken,
             };
             tracing::debug!(server = self.word(server), cause, ?what, "a set-up ended");
-            return front.happened(self, now, key.0, key.1, what, load);
+            return core.on_attempt_result(self, now, key.0, key.1, what, load);
         }
-        front.reported(now, server, load);
+        core.on_load_report(now, server, load);
         let stands = self.stands.get(of).is_some_and(|stand| stand.server == server);
         if ![OK, CANCELLED, LOST].contains(&cause) && stands {
             // Guards against a second answer that takes back the first: what may play there ends there too.
             self.end_there(server, of);
         }
         let why = match cause {
-            OK => Over::Ended,
-            CANCELLED => Over::Left,
-            _ => Over::Lost,
+            OK => EndReason::Completed,
+            CANCELLED => EndReason::ViewerLeft,
+            _ => EndReason::ServerLost,
         };
-        self.session_over(front, now, server, of, cause, why);
+        self.session_over(core, now, server, of, cause, why);
     }
 
     /// News of a session that is being set up, or stands.
-    fn note(&mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), signal: &Signal) {
+    fn note(
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
+    ) {
         let open = self.servers.links.get(&id).and_then(|link| link.open.get(&signal.of)).map(|key| key.0);
         let stand = self.stands.get(signal.of).filter(|stand| stand.server == server);
         let viewing = open.or(stand.map(|stand| stand.key.1));
@@ -224,6 +226,6 @@
             _ => return,
         };
         tracing::debug!(server = self.word(server), ?news, fresh = open.is_some(), "a note");
-        viewing.into_iter().for_each(|viewing| front.news(now, server, viewing, news));
+        viewing.into_iter().for_each(|viewing| core.on_server_update(now, server, viewing, news));
     }
 }
--- a/crates/node/src/servers/sessions.rs
+++ b/crates/node/src/servers/sessions.rs
@@ -3,7 +3,7 @@
 use super::LOST;
 use crate::shell::Hands;
 use ivyward::front::ServerId;
-use ivyward_session::{Front, Over};
+use ivyward_session::{EndReason, SessionCore};
 use ivyward_signal::Ref;
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 pub(super) const CANCELLED: u8 = 31;
 
 impl Hands {
-    pub(super) fn all_lost(&mut self, front: &mut Front, now: Duration, server: ServerId) {
+    pub(super) fn all_lost(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let there: Vec<_> = self.stands.at(server).collect();
         if !there.is_empty() {
             tracing::info!(server = self.word(server), sessions = there.len(), "a server is lost");
         }
         for of in there {
-            self.session_over(front, now, server, of, LOST, Over::Lost);
+            self.session_over(core, now, server, of, LOST, EndReason::ServerLost);
         }
     }
 
     /// Ends what stood at servers whose process is known from the list to have ended.
-    pub fn processes_ended(&mut self, front: &mut Front, now: Duration) {
+    pub fn processes_ended(&mut self, core: &mut SessionCore, now: Duration) {
         let servers: Vec<_> = self.stands.servers().collect();
         for server in servers {
             if self.list.is_replaced(server) {
-                self.all_lost(front, now, server);
+                self.all_lost(core, now, server);
                 continue;
             }
             let born = self.list.row(server).and_then(|row| row.listed.born).unwrap_or_default();
             let earlier = |of: &Ref| self.stands.get(*of).is_some_and(|stand| stand.since < born);
             for of in self.stands.at(server).filter(earlier).collect::<Vec<_>>() {
-                self.session_over(front, now, server, of, LOST, Over::Lost);
+                self.session_over(core, now, server, of, LOST, EndReason::ServerLost);
             }
         }
     }
@@ -43,7 +43,8 @@
 
     /// A session that stood there is over.
     pub(super) fn session_over(
-        &mut self, front: &mut Front, now: Duration, server: ServerId, of: Ref, cause: u8, why: Over,
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, of: Ref, cause: u8,
+        why: EndReason,
     ) {
         if self.stands.get(of).is_none_or(|stand| stand.server != server) {
             return;
@@ -60,6 +61,6 @@
         if cause != CANCELLED {
             self.tell_viewer(now, of, stand.client, cause);
         }
-        front.over(self, now, server, stand.key, why);
+        core.on_viewing_ended(self, now, server, stand.key, why);
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -6,7 +6,7 @@
 use crate::viewers::Viewers;
 use ivyward::front::{PackageId, ServerId, TitleId, ViewingId};
 use ivyward_edge::LogRateLimiter;
-use ivyward_session::{Answer, Birth, Breach, Effects, Front, SessionId, Timer, TuneIn};
+use ivyward_session::{Answer, Effects, Incarnation, SessionCore, SessionId, Timer, TuneIn, Violation};
 use ivyward_signal::Ref;
 use ivyward_turns::{Queue, Timers};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stand {
     pub server: ServerId,
-    pub key: (Birth, ViewingId, TuneIn),
+    pub key: (Incarnation, ViewingId, TuneIn),
     pub client: Option<u64>,
     /// Since when it stands, or was handed to us.
     pub since: Duration,
@@ -124,10 +124,10 @@
             let queue = self.queue.clone();
             spawn_local(async move {
                 sleep(SETTLES).await;
-                queue.tell(|front, hands, now| {
+                queue.tell(|core, hands, now| {
                     hands.swept = now;
                     let held = hands.held.take().unwrap_or_default();
-                    held.into_iter().for_each(|key| hands.dispatch(front, now, key));
+                    held.into_iter().for_each(|key| hands.dispatch(core, now, key));
                 });
             });
         }
@@ -141,9 +141,9 @@
     }
 
     /// Guards against an answer that came while this process stood still, and is taken for none as its limit is over.
-    fn catches_up(&mut self, front: &mut Front, now: Duration) {
+    fn catches_up(&mut self, core: &mut SessionCore, now: Duration) {
         if self.held.is_none() && self.stood_still(now) {
-            self.reads_servers(front, now);
+            self.reads_servers(core, now);
         }
     }
 }
@@ -159,14 +159,14 @@
     ) {
         let of = Ref(who.0.0 as u64);
         self.servers.attempt((vw, tune_in), of, server, rung, self.queue.now() + limit);
-        self.queue.tell(move |front, hands, now| hands.dispatch(front, now, (vw, tune_in)));
+        self.queue.tell(move |core, hands, now| hands.dispatch(core, now, (vw, tune_in)));
     }
 
-    fn drop_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
         self.servers.drop_attempt((vw, tune_in));
     }
 
-    fn release(&mut self, server: ServerId, _: Birth, vw: ViewingId, tune_in: TuneIn) {
+    fn release(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, tune_in: TuneIn) {
         if let Some(of) = self.stands.of(vw) {
             self.stands.remove(of);
             return self.end_there(server, of);
@@ -174,25 +174,25 @@
         self.give_up((vw, tune_in));
     }
 
-    fn rung(&mut self, server: ServerId, _: Birth, vw: ViewingId, _: TuneIn, rung: usize) {
+    fn change_rung(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, _: TuneIn, rung: usize) {
         if let Some(of) = self.stands.of(vw) {
             self.new_rung(server, of, rung);
         }
     }
 
     fn probe(&mut self, server: ServerId) {
-        self.queue.tell(move |front, hands, now| hands.probe_there(front, now, server));
+        self.queue.tell(move |core, hands, now| hands.probe_there(core, now, server));
     }
 
-    fn fetched(&mut self, _: ServerId, _: Birth, _: ViewingId, _: TuneIn) {}
+    fn query_last_fetch(&mut self, _: ServerId, _: Incarnation, _: ViewingId, _: TuneIn) {}
 
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.set(self.queue.now() + after, timer);
     }
 
-    fn breach(&mut self, breach: Breach, vw: ViewingId) {
+    fn report_violation(&mut self, violation: Violation, vw: ViewingId) {
         if let Some(left_out) = self.log_limiter.check(self.queue.now(), "a rule") {
-            tracing::error!(?breach, viewing = vw.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = vw.0, left_out, "a rule is broken");
         }
     }
 }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::shell::Hands;
 use crate::viewers;
-use ivyward_session::Front;
+use ivyward_session::SessionCore;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -55,13 +55,13 @@
     }
 
     /// Answers what waits where it is time to, and ends where nothing is owed.
-    pub fn sweep(&self, front: &mut Front, hands: &mut Hands, now: Duration) {
+    pub fn sweep(&self, core: &mut SessionCore, hands: &mut Hands, now: Duration) {
         let Some(since) = self.told.get().map(|told| told.elapsed()) else { return };
         if since >= self.answers_after && !self.answered.replace(true) {
-            tracing::info!(waiting = front.waiting(), "what waits is answered before the kill");
-            front.stop(hands, now);
+            tracing::info!(waiting = core.pending_count(), "what waits is answered before the kill");
+            core.stop(hands, now);
         }
-        if since < COMING || !hands.owes_nothing(front) || !hands.viewers_are_done(front, now) {
+        if since < COMING || !hands.owes_nothing(core) || !hands.viewers_are_done(core, now) {
             return;
         }
         // Guards against a connection that waits to be taken as the end is decided: its request is still answered.
@@ -75,7 +75,7 @@
 
 impl Hands {
     /// Whether no set-up is without an answer and no session stands.
-    fn owes_nothing(&self, front: &Front) -> bool {
-        front.waiting() == 0 && self.viewers.open.is_empty() && self.stands.count() == 0
+    fn owes_nothing(&self, core: &SessionCore) -> bool {
+        core.pending_count() == 0 && self.viewers.open.is_empty() && self.stands.count() == 0
     }
 }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -4,7 +4,7 @@
 use crate::wire::{Came, End, Stream, Writer, converse, look, piece, writer};
 use ivyward::front::{Cells, PackageId, TitleId};
 use ivyward_edge::{ClientLimits, ClientState, truncate_for_log};
-use ivyward_session::{Answer, Front, Over, RequestId, SessionId};
+use ivyward_session::{Answer, EndReason, RequestId, SessionCore, SessionId};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, id};
 use ivyward_turns::Queue;
@@ -196,15 +196,15 @@
         let queue = self.queue.clone();
         spawn_local(async move {
             let heard = |had: oneshot::Sender<()>| {
-                queue.tell(move |front, hands, now| {
-                    if hands.viewer_wrote(front, now, client) {
+                queue.tell(move |core, hands, now| {
+                    if hands.viewer_wrote(core, now, client) {
                         had.send(()).ok();
                     }
                 });
             };
             let untold = converse(talks, outgoing, heard).await;
-            queue.tell(move |front, hands, now| {
-                hands.left(front, now, client);
+            queue.tell(move |core, hands, now| {
+                hands.left(core, now, client);
                 // Its descriptor is free only now.
                 drop(place);
                 // What was taken and never put out is owed still.
@@ -225,17 +225,17 @@
     }
 
     /// A viewers' connection is over: nobody waits any more for what is open on it.
-    fn left(&mut self, front: &mut Front, now: Duration, client: u64) {
+    fn left(&mut self, core: &mut SessionCore, now: Duration, client: u64) {
         let Some(connection) = self.viewers.connections.remove(&client) else { return };
         let ClientState { open, stand, served, .. } = connection.client;
         tracing::debug!(client, open, stand, served, from = %connection.from, "a viewers' connection is over");
         let open = self.viewers.open.iter().filter(|(_, open)| open.client == client).map(|(of, _)| *of);
         for of in open.collect::<Vec<_>>() {
-            self.given_up(front, now, of);
+            self.given_up(core, now, of);
         }
     }
 
-    fn given_up(&mut self, front: &mut Front, now: Duration, of: Ref) {
+    fn given_up(&mut self, core: &mut SessionCore, now: Duration, of: Ref) {
         tracing::debug!(of = format!("{:016x}", of.0), "given up");
         let Some(open) = self.viewers.open.remove(&of) else { return };
         self.viewers.requests.remove(&open.request);
@@ -243,50 +243,50 @@
             .connections
             .entry(open.client)
             .and_modify(|c| c.client.open = c.client.open.saturating_sub(1));
-        front.closed(self, now, SessionId(of.0.into()), open.request);
+        core.on_request_closed(self, now, SessionId(of.0.into()), open.request);
     }
 
     /// One piece of what a viewers' connection has brought. Whether more may come.
-    fn viewer_wrote(&mut self, front: &mut Front, now: Duration, client: u64) -> bool {
+    fn viewer_wrote(&mut self, core: &mut SessionCore, now: Duration, client: u64) -> bool {
         let Some(connection) = self.viewers.connections.get_mut(&client) else { return false };
         // Guards against one that was told to close and has spoken since: it stays, and may be told again.
         (connection.had, connection.leaving) = (connection.had + 1, false);
         let came = piece(&connection.stream);
-        self.viewer_came(front, now, client, came)
+        self.viewer_came(core, now, client, came)
     }
 
     /// Reads what the connection on which a set-up was asked for holds by now. Guards against a set-up sent on for a viewer
     /// whose close or give-up lies unread: it came while its connection waited to be taken, behind a queue, or while this
     /// process stood still. Whether that is all there is.
-    pub fn look_at_viewer(&mut self, front: &mut Front, now: Duration, of: Ref) -> bool {
+    pub fn look_at_viewer(&mut self, core: &mut SessionCore, now: Duration, of: Ref) -> bool {
         let Some(client) = self.viewers.open.get(&of).map(|open| open.client) else { return true };
         let Some(connection) = self.viewers.connections.get(&client) else { return true };
         let came = look(&connection.stream);
         let more = matches!(came, Came::More(_));
-        self.viewer_came(front, now, client, came);
+        self.viewer_came(core, now, client, came);
         !more
     }
 
     /// Whether a viewers' connection is over, by what its socket holds.
-    fn has_gone(&mut self, front: &mut Front, now: Duration, client: u64) -> bool {
+    fn has_gone(&mut self, core: &mut SessionCore, now: Duration, client: u64) -> bool {
         let Some(connection) = self.viewers.connections.get(&client) else { return true };
         let came = look(&connection.stream);
-        !self.viewer_came(front, now, client, came)
+        !self.viewer_came(core, now, client, came)
     }
 
-    fn viewer_came(&mut self, front: &mut Front, now: Duration, client: u64, came: Came) -> bool {
+    fn viewer_came(&mut self, core: &mut SessionCore, now: Duration, client: u64, came: Came) -> bool {
         let reset = matches!(came, Came::Reset(_));
         let (bytes, closed) = match came {
             Came::Bytes(bytes) | Came::More(bytes) => (bytes, false),
             Came::Closed(bytes) | Came::Reset(bytes) => (bytes, true),
         };
         if !bytes.is_empty() {
-            self.viewer_said(front, now, client, &bytes);
+            self.viewer_said(core, now, client, &bytes);
         }
         let told = self.viewers.connections.get_mut(&client).filter(|_| reset);
         let told = told.map(|connection| std::mem::take(&mut connection.told)).unwrap_or_default();
         if closed {
-            self.left(front, now, client);
+            self.left(core, now, client);
         }
         // What was told as the connection broke was read by nobody.
         for ((of, cause), _) in told.into_iter().filter(|(_, at)| now < *at + ClientLimits::UNREAD) {
@@ -295,7 +295,7 @@
         self.viewers.connections.contains_key(&client)
     }
 
-    fn viewer_said(&mut self, front: &mut Front, now: Duration, client: u64, piece: &[u8]) {
+    fn viewer_said(&mut self, core: &mut SessionCore, now: Duration, client: u64, piece: &[u8]) {
         let Some(connection) = self.viewers.connections.get_mut(&client) else { return };
         connection.lines.push(piece);
         loop {
@@ -312,13 +312,13 @@
                         let (from, wrong) = (connection.from, truncate_for_log(&wrong));
                         tracing::info!(%from, wrong, left_out, "a viewer's line can't be read");
                     }
-                    return self.left(front, now, client);
+                    return self.left(core, now, client);
                 }
             };
             (connection.client.last, connection.leaving) = (now, false);
             match signal.kind {
-                Kind::SetUp => self.asked(front, now, client, &signal),
-                Kind::Release => self.viewer_ends(front, now, client, signal.of),
+                Kind::SetUp => self.asked(core, now, client, &signal),
+                Kind::Release => self.viewer_ends(core, now, client, signal.of),
                 Kind::Test => {
                     connection.client.answered = true;
                     if let Ok(line) = line::write(Kind::Tested, signal.of, &[], Some(1), None) {
@@ -330,14 +330,14 @@
         }
     }
 
-    fn asked(&mut self, front: &mut Front, now: Duration, client: u64, signal: &Signal) {
+    fn asked(&mut self, core: &mut SessionCore, now: Duration, client: u64, signal: &Signal) {
         let of = signal.of;
         let wrong = self.viewers.wrong(signal);
         let known = self.viewers.open.contains_key(&of) || self.stands.get(of).is_some();
         if let Some(word) = signal.extra("at") {
             // No answer is wanted, and it may name what is held already.
             if wrong.is_none() && !known {
-                self.handed(front, now, client, signal, word);
+                self.handed(core, now, client, signal, word);
             }
             return;
         }
@@ -376,7 +376,7 @@
         self.viewers.open.insert(of, open);
         self.viewers.requests.insert(request, of);
         self.viewers.connections.entry(client).and_modify(|c| c.client.open += 1);
-        front.asked_once(self, now, request, SessionId(of.0.into()), about, left);
+        core.on_single_request(self, now, request, SessionId(of.0.into()), about, left);
     }
 
     fn about(&self, signal: &Signal) -> (PackageId, TitleId, usize) {
@@ -388,7 +388,7 @@
     }
 
     /// A session that plays at a server already.
-    fn handed(&mut self, front: &mut Front, now: Duration, client: u64, signal: &Signal, word: &str) {
+    fn handed(&mut self, core: &mut SessionCore, now: Duration, client: u64, signal: &Signal, word: &str) {
         let Some(server) = self.list.id(word) else {
             return tracing::info!(
                 word = truncate_for_log(word),
@@ -398,7 +398,7 @@
         let (package, title, top) = self.about(signal);
         // Its rung comes in a note.
         let session = SessionId(signal.of.0.into());
-        if let Some(key) = front.handed(self, now, server, session, (package, title, (0, top))) {
+        if let Some(key) = core.adopt_viewing(self, now, server, session, (package, title, (0, top))) {
             self.stands
                 .insert(signal.of, Stand { server, key, client: Some(client), since: now, link: None });
             self.reach(server);
@@ -406,13 +406,13 @@
     }
 
     /// A viewer gives a set-up up, or ends a session that stands.
-    fn viewer_ends(&mut self, front: &mut Front, now: Duration, client: u64, of: Ref) {
+    fn viewer_ends(&mut self, core: &mut SessionCore, now: Duration, client: u64, of: Ref) {
         if self.viewers.open.get(&of).is_some_and(|open| open.client == client) {
-            return self.given_up(front, now, of);
+            return self.given_up(core, now, of);
         }
         if let Some(stand) = self.stands.remove(of) {
             self.end_there(stand.server, of);
-            front.over(self, now, stand.server, stand.key, Over::Left);
+            core.on_viewing_ended(self, now, stand.server, stand.key, EndReason::ViewerLeft);
         }
         self.viewers.owed.remove(&of);
         if let Ok(line) = line::write(Kind::Heard, of, &[], None, None) {
@@ -436,12 +436,12 @@
                 }
                 self.viewers.connections.entry(open.client).and_modify(|c| c.client.served = true);
                 let told = self.viewers.say(open.client, line);
-                self.queue.tell(move |front, hands, now| {
+                self.queue.tell(move |core, hands, now| {
                     hands.pay(now, open.client);
                     // Guards against a viewer that takes no answer, or had gone before it: nobody watches.
-                    if !told || hands.has_gone(front, now, open.client) {
-                        hands.left(front, now, open.client);
-                        hands.viewer_ends(front, now, open.client, of);
+                    if !told || hands.has_gone(core, now, open.client) {
+                        hands.left(core, now, open.client);
+                        hands.viewer_ends(core, now, open.client, of);
                     }
                 });
             }
@@ -481,13 +481,13 @@
 
     /// Reads what all viewers' connections hold, and whether nothing is left to be read, answered or written: then nobody
     /// loses anything if they all close. Guards against a request that came as the end was decided.
-    pub fn viewers_are_done(&mut self, front: &mut Front, now: Duration) -> bool {
+    pub fn viewers_are_done(&mut self, core: &mut SessionCore, now: Duration) -> bool {
         let mut dry = true;
         for client in self.viewers.connections.keys().copied().collect::<Vec<_>>() {
             let came = self.viewers.connections.get(&client).map(|connection| look(&connection.stream));
             let Some(came) = came else { continue };
             dry &= matches!(&came, Came::Closed(_) | Came::Reset(_)) || came == Came::Bytes(vec![]);
-            self.viewer_came(front, now, client, came);
+            self.viewer_came(core, now, client, came);
         }
         let written = |c: &Connection| c.writer.unsent() == 0;
         dry && self.viewers.open.is_empty()
--- a/crates/peers/src/cores.rs
+++ b/crates/peers/src/cores.rs
@@ -8,7 +8,7 @@
 use ivyward_replica::{
     Asker, Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word,
 };
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 use std::time::Duration;
@@ -74,7 +74,8 @@
     }
 
     fn kept(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
+        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     ) {
         let starts = starts.iter().map(|of| start(&self.group, *of)).collect();
         let about = self.about(frame::KEPT, session, claim);
@@ -94,15 +95,15 @@
         self.say(to, self.about(frame::TAKEN_BACK, session, claim));
     }
 
-    fn recall(&mut self, to: Member, birth: Birth) {
+    fn recall(&mut self, to: Member, birth: Incarnation) {
         self.say(to, Frame { kind: frame::RECALL, birth: birth.0, ..Frame::default() });
     }
 
-    fn row(&mut self, _: Member, birth: Birth, session: SessionId, held: &Held) {
+    fn row(&mut self, _: Member, birth: Incarnation, session: SessionId, held: &Held) {
         self.telling.push(Frame { birth: birth.0, ..frame::row(&self.group, session, held) });
     }
 
-    fn rows(&mut self, to: Member, birth: Birth, count: u64) {
+    fn rows(&mut self, to: Member, birth: Incarnation, count: u64) {
         let mut rows = std::mem::take(&mut self.telling);
         rows.push(Frame { kind: frame::ROWS, birth: birth.0, count, ..Frame::default() });
         self.rows.push((to, rows));
@@ -112,7 +113,7 @@
         self.notes.push_back((Note::held(&self.group, session, held), true));
     }
 
-    fn store_start(&mut self, member: Member, birth: Birth) {
+    fn store_start(&mut self, member: Member, birth: Incarnation) {
         self.notes.push_back((Note::Start(self.group.name(member).into(), birth), true));
     }
 
@@ -167,7 +168,7 @@
 pub struct Cores {
     group: Group,
     me: Member,
-    pub birth: Birth,
+    pub birth: Incarnation,
     pub keeper: Keeper,
     pub asker: Asker,
     pub revoked: Common<SessionId>,
@@ -185,7 +186,8 @@
     /// `birth`: this start, above all before. `word`: how often [`Cores::turn`] is called. `span`: how long what is told
     /// is held. `stored`: what was on disk.
     pub fn new(
-        group: Group, me: Member, birth: Birth, word: Duration, span: Duration, now: Duration, stored: Stored,
+        group: Group, me: Member, birth: Incarnation, word: Duration, span: Duration, now: Duration,
+        stored: Stored,
     ) -> Cores {
         let kept = (stored.sessions, stored.starts);
         let out = Outbox {
@@ -327,7 +329,7 @@
     /// Each field goes straight into a call.
     fn takes(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
         let (group, out) = (&self.group, &mut self.out);
-        let (session, birth) = (|| frame::session(&frame.session), Birth(frame.birth));
+        let (session, birth) = (|| frame::session(&frame.session), Incarnation(frame.birth));
         let claim = || frame::claim(group, frame.claim.as_ref()?);
         match frame.kind {
             // Guards against a disk that takes nothing, or less than is claimed.
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -6,7 +6,7 @@
 use crate::store::{Note, Store};
 use crate::{Config, link};
 use ivyward_replica::{ClaimNo, Member, Word};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     /// The store can't be opened, or the address is in use; the line names which.
-    pub async fn start(config: Config, birth: Birth) -> Result<Peers, String> {
+    pub async fn start(config: Config, birth: Incarnation) -> Result<Peers, String> {
         let Config { group, name, listen, others, word, span, connect, state_dir } = config;
         let me = group.member(&name).ok_or(format!("{name}: is no member of the group"))?;
         let (store, stored) = Store::open(&state_dir, &group)?;
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -2,7 +2,7 @@
 //! number them alike.
 
 use ivyward_replica::{Claim, ClaimNo, Group, Held, Log, Member, Record};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -98,21 +98,21 @@
     Who { name: group.name(claim.by).into(), birth: claim.birth.0, no: claim.no.0 }
 }
 
-pub fn start(group: &Group, (member, birth): (Member, Birth)) -> Who {
+pub fn start(group: &Group, (member, birth): (Member, Incarnation)) -> Who {
     Who { name: group.name(member).into(), birth: birth.0, no: 0 }
 }
 
 /// None for a member that is none of the group.
 pub fn claim(group: &Group, who: &Who) -> Option<Claim> {
-    Some(Claim { by: group.member(&who.name)?, birth: Birth(who.birth), no: ClaimNo(who.no) })
+    Some(Claim { by: group.member(&who.name)?, birth: Incarnation(who.birth), no: ClaimNo(who.no) })
 }
 
 pub fn claims(group: &Group, all: &[Who]) -> Option<std::collections::BTreeSet<Claim>> {
     all.iter().map(|who| claim(group, who)).collect()
 }
 
-pub fn starts(group: &Group, all: &[Who]) -> Option<Vec<(Member, Birth)>> {
-    all.iter().map(|who| Some((group.member(&who.name)?, Birth(who.birth)))).collect()
+pub fn starts(group: &Group, all: &[Who]) -> Option<Vec<(Member, Incarnation)>> {
+    all.iter().map(|who| Some((group.member(&who.name)?, Incarnation(who.birth)))).collect()
 }
 
 pub fn head(group: &Group, (log, head): (&Log, &u64)) -> Who {
@@ -120,7 +120,8 @@
 }
 
 pub fn heads(group: &Group, all: &[Who]) -> Option<BTreeMap<Log, u64>> {
-    let head = |who: &Who| Some((Log { of: group.member(&who.name)?, birth: Birth(who.birth) }, who.no));
+    let head =
+        |who: &Who| Some((Log { of: group.member(&who.name)?, birth: Incarnation(who.birth) }, who.no));
     all.iter().map(head).collect()
 }
 
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use ivyward_replica::{Group, Member};
-use ivyward_session::Birth;
+use ivyward_session::Incarnation;
 use prost::Message;
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 }
 
 /// What a member says first on each path.
-pub fn hello(group: &Group, me: Member, birth: Birth) -> Frame {
+pub fn hello(group: &Group, me: Member, birth: Incarnation) -> Frame {
     Frame {
         kind: frame::HELLO,
         name: group.name(me).into(),
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{self, Frame};
 use ivyward_replica::{Group, Held, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 pub enum Note {
     Held(SessionId, Vec<u8>),
     Forgotten(SessionId),
-    Start(String, Birth),
+    Start(String, Incarnation),
     Whole,
 }
 
@@ -39,7 +39,7 @@
 pub struct Stored {
     pub whole: bool,
     pub sessions: BTreeMap<SessionId, Held>,
-    pub starts: BTreeMap<Member, Birth>,
+    pub starts: BTreeMap<Member, Incarnation>,
 }
 
 #[derive(Clone)]
@@ -88,7 +88,9 @@
             let starts = change.open_table(STARTS).map_err(told(&file))?;
             for row in starts.iter().map_err(told(&file))? {
                 let (name, birth) = row.map_err(told(&file))?;
-                stored.starts.extend(group.member(name.value()).map(|member| (member, Birth(birth.value()))));
+                stored
+                    .starts
+                    .extend(group.member(name.value()).map(|member| (member, Incarnation(birth.value()))));
             }
             stored
         };
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Config, Cores, Frame, HEAD, Peers, Store, Stored, greets, hello};
 use futures_util::future::join_all;
 use ivyward_replica::{Claim, ClaimNo, Group, Held, Member, Word};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use prost::Message;
 use std::collections::BTreeSet;
 use std::fs;
@@ -20,7 +20,7 @@
 }
 
 fn held(no: u64) -> Held {
-    let claim = |no| Claim { by: Member(1), birth: Birth(5), no: ClaimNo(no) };
+    let claim = |no| Claim { by: Member(1), birth: Incarnation(5), no: ClaimNo(no) };
     Held { claims: BTreeSet::from([claim(no)]), taken_back: BTreeSet::from([claim(no + 1)]) }
 }
 
@@ -43,14 +43,14 @@
             Note::held(&abc, SessionId(1), &held(1)),
             Note::held(&abc, SessionId(2), &held(2)),
             Note::held(&abc, SessionId(1), &held(7)),
-            Note::Start("b".into(), Birth(9)),
+            Note::Start("b".into(), Incarnation(9)),
         ];
         store.write(&notes).expect("written");
         store.write(&[Note::Forgotten(SessionId(2))]).expect("written");
     }
     let (store, stored) = open(&abc).expect("a store");
     assert_eq!(stored.sessions.into_iter().collect::<Vec<_>>(), [(SessionId(1), held(7))]);
-    assert_eq!(stored.starts.into_iter().collect::<Vec<_>>(), [(Member(1), Birth(9))]);
+    assert_eq!(stored.starts.into_iter().collect::<Vec<_>>(), [(Member(1), Incarnation(9))]);
     drop(store);
     let wrong = told(open(&group(&["a", "b", "d"])));
     assert!(wrong.contains("keeper.redb: it was written for another: group"), "{wrong}");
@@ -91,7 +91,7 @@
         for i in 0..2 {
             let config = config(i);
             Store::begin(&config.state_dir, &config.group).expect("begun");
-            peers.push(Peers::start(config, Birth(1)).await.expect("a member"));
+            peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
         let claims = (1..=MANY).map(|session| {
             let peers = peers[0].clone();
@@ -102,7 +102,7 @@
             }
         });
         assert!(join_all(claims).await.into_iter().all(|word| word == Word::Granted));
-        let late = Peers::start(config(2), Birth(2)).await.expect("a member");
+        let late = Peers::start(config(2), Incarnation(2)).await.expect("a member");
         let end = Instant::now() + Duration::from_secs(20);
         while late.page().await["catching_up"] == true {
             assert!(Instant::now() < end, "never caught up: {}", late.page().await);
@@ -148,11 +148,11 @@
         state_dir: dir.join(names[i]).to_string_lossy().into_owned(),
     };
     let (ours, c) = (group(&names), Member(2));
-    let good = hello(&ours, c, Birth(3));
+    let good = hello(&ours, c, Incarnation(3));
     // What each is refused for; and whether it is told the group as it is here.
     let other = group(&["a", "b", "d"]);
     let cases = [
-        ("another list", hello(&other, Member(0), Birth(1)), Refused::Group("a".into())),
+        ("another list", hello(&other, Member(0), Incarnation(1)), Refused::Group("a".into())),
         ("another digest", Frame { digest: vec![1, 2, 3], ..good.clone() }, Refused::Group("c".into())),
         ("an older revision", Frame { revision: 2, ..good.clone() }, Refused::Revision("c".into(), 2)),
         ("no member", Frame { name: "zed".into(), ..good.clone() }, Refused::NoMember("zed".into())),
@@ -171,7 +171,7 @@
         for i in 0..2 {
             let config = config(i);
             Store::begin(&config.state_dir, &config.group).expect("begun");
-            peers.push(Peers::start(config, Birth(1)).await.expect("a member"));
+            peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
         for (what, first, refused) in &cases {
             let told = says(at(0), &written(std::slice::from_ref(first))).await;
@@ -227,7 +227,8 @@
     ];
     for (heard, at_once, later) in cases {
         let mut now = Duration::from_secs(1);
-        let mut cores = Cores::new(group.clone(), Member(0), Birth(2), word, span, now, Stored::default());
+        let mut cores =
+            Cores::new(group.clone(), Member(0), Incarnation(2), word, span, now, Stored::default());
         cores.start(now);
         cores.out.frames.clear();
         let tells = |cores: &mut Cores, now| {
@@ -258,7 +259,7 @@
     }
     // Nobody answers: it is told all the same, after some turns.
     let mut now = Duration::ZERO;
-    let mut cores = Cores::new(group, Member(0), Birth(1), word, span, now, Stored::default());
+    let mut cores = Cores::new(group, Member(0), Incarnation(1), word, span, now, Stored::default());
     cores.start(now);
     cores.revoke(now, SessionId(7));
     (0..4).for_each(|_| {
--- a/crates/replica/src/asker.rs
+++ b/crates/replica/src/asker.rs
@@ -1,7 +1,7 @@
 //! One member's claims: asked of the keepers, decided by their majority, taken back where the set-up never ran.
 
 use crate::{Claim, ClaimNo, Effects, Group, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
@@ -28,7 +28,7 @@
     session: SessionId,
     keepers: BTreeSet<Member>,
     /// Who keeps it, and the start that said so.
-    kept: BTreeMap<Member, Birth>,
+    kept: BTreeMap<Member, Incarnation>,
     /// Who does not, and whether since another is kept.
     unkept: BTreeMap<Member, bool>,
     until: Duration,
@@ -38,10 +38,10 @@
 pub struct Asker {
     group: Group,
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     asks: BTreeMap<ClaimNo, Ask>,
     /// Starts without memory, as keepers tell of each other.
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     owed: BTreeMap<(Member, ClaimNo), SessionId>,
     /// Behind which those owed are asked again.
     owed_asked: Option<(Member, ClaimNo)>,
@@ -50,7 +50,7 @@
 
 impl Asker {
     /// `birth`: this start, above all before.
-    pub fn new(group: Group, me: Member, birth: Birth) -> Asker {
+    pub fn new(group: Group, me: Member, birth: Incarnation) -> Asker {
         let (asks, starts, owed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Asker { group, me, birth, asks, starts, owed, owed_asked: None, last: 0 }
     }
@@ -75,8 +75,8 @@
     }
 
     pub fn kept(
-        &mut self, out: &mut impl Effects, from: Member, claim: Claim, birth: Birth,
-        starts: &[(Member, Birth)],
+        &mut self, out: &mut impl Effects, from: Member, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     ) {
         for (member, birth) in starts {
             let known = self.starts.entry(*member).or_insert(*birth);
--- a/crates/replica/src/common.rs
+++ b/crates/replica/src/common.rs
@@ -8,7 +8,7 @@
 //! on its way.
 
 use crate::Member;
-use ivyward_session::Birth;
+use ivyward_session::Incarnation;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
     pub of: Member,
-    pub birth: Birth,
+    pub birth: Incarnation,
 }
 
 /// A record with its number, and how long it is still to be held.
@@ -86,7 +86,7 @@
     }
 
     /// `birth`: this start, above all before; `span`: how long a record is held at most.
-    pub fn new(me: Member, birth: Birth, span: Duration) -> Common<R> {
+    pub fn new(me: Member, birth: Incarnation, span: Duration) -> Common<R> {
         Common { own: Log { of: me, birth }, span, logs: BTreeMap::new() }
     }
 
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -1,7 +1,7 @@
 //! What one member keeps for all.
 
 use crate::{Claim, Effects, Group, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     Kept(SessionId, Claim),
     TakenBack(SessionId, Claim),
     /// What is held is told to one that recalls.
-    Rows(Member, Birth),
+    Rows(Member, Incarnation),
     /// That one has told all that it holds.
     Told(Member),
 }
@@ -60,12 +60,12 @@
 pub struct Keeper {
     group: Group,
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     span: Duration,
     sessions: BTreeMap<SessionId, (Held, Duration)>,
     ends: BTreeSet<(Duration, SessionId)>,
     /// Of each that came back without memory, the last such start.
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     recalls: Option<Recalls>,
     /// Of each note that is not on disk yet, what then follows.
     then: VecDeque<Option<Then>>,
@@ -75,8 +75,8 @@
     /// `birth`: this start, above all before; `span`: how long a claim is kept. `stored`: what was on disk, none where
     /// there was no memory, or where it was never whole.
     pub fn new(
-        group: Group, me: Member, birth: Birth, span: Duration, now: Duration, whole: bool,
-        (sessions, starts): (BTreeMap<SessionId, Held>, BTreeMap<Member, Birth>),
+        group: Group, me: Member, birth: Incarnation, span: Duration, now: Duration, whole: bool,
+        (sessions, starts): (BTreeMap<SessionId, Held>, BTreeMap<Member, Incarnation>),
     ) -> Keeper {
         // Each for its whole span anew: no clock of before the start is believed.
         let ends = sessions.keys().map(|session| (now + span, *session)).collect();
@@ -199,7 +199,7 @@
     }
 
     /// A member came back without memory and asks for what it may have kept.
-    pub fn recalled(&mut self, out: &mut impl Effects, from: Member, birth: Birth) {
+    pub fn recalled(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation) {
         // Guards against two that have forgotten and confirm each other that there was nothing.
         if self.recalls.is_some() || self.starts.get(&from).is_some_and(|known| *known > birth) {
             return;
@@ -218,8 +218,8 @@
 
     /// One session of what another keeps, told since this start recalls.
     pub fn row(
-        &mut self, out: &mut impl Effects, now: Duration, from: Member, birth: Birth, session: SessionId,
-        held: &Held,
+        &mut self, out: &mut impl Effects, now: Duration, from: Member, birth: Incarnation,
+        session: SessionId, held: &Held,
     ) {
         let Some(recalls) = self.recalls.as_mut().filter(|_| birth == self.birth) else { return };
         if !recalls.told.contains(&from) {
@@ -233,7 +233,7 @@
     }
 
     /// That was all, so many sessions.
-    pub fn rows(&mut self, out: &mut impl Effects, from: Member, birth: Birth, count: u64) {
+    pub fn rows(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation, count: u64) {
         let Some(recalls) = self.recalls.as_mut().filter(|_| birth == self.birth) else { return };
         let came = recalls.rows.get(&from).map_or(0, BTreeSet::len) as u64;
         // Guards against rows that were lost on the way.
@@ -276,7 +276,7 @@
         }
     }
 
-    fn tell_rows(&self, out: &mut impl Effects, to: Member, birth: Birth) {
+    fn tell_rows(&self, out: &mut impl Effects, to: Member, birth: Incarnation) {
         let ours = self.sessions.iter().filter(|(session, _)| self.group.keepers(**session).contains(&to));
         let count = ours.map(|(session, (held, _))| out.row(to, birth, *session, held)).count();
         out.rows(to, birth, count as u64);
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -25,7 +25,7 @@
 pub use group::Group;
 pub use keeper::{Held, Keeper};
 
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 
 /// A manager of the group: its place in the list of names in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
     pub by: Member,
-    pub birth: Birth,
+    pub birth: Incarnation,
     pub no: ClaimNo,
 }
 
@@ -50,7 +50,8 @@
     /// To the claim's manager: `birth`, this start of the keeper, keeps it. `starts`: of others that came back without
     /// memory, as far as it knows.
     fn kept(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
+        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     );
     /// To the claim's manager: not kept, since another is (`taken`), or since the keeper abstains.
     fn unkept(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool);
@@ -59,14 +60,14 @@
     /// To the claim's manager: it is taken back here.
     fn taken_back(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To a member: this start came back without memory; what does that one hold that is also kept here?
-    fn recall(&mut self, to: Member, birth: Birth);
+    fn recall(&mut self, to: Member, birth: Incarnation);
     /// To one that recalls: one session; then how many there were.
-    fn row(&mut self, to: Member, birth: Birth, session: SessionId, held: &Held);
-    fn rows(&mut self, to: Member, birth: Birth, count: u64);
+    fn row(&mut self, to: Member, birth: Incarnation, session: SessionId, held: &Held);
+    fn rows(&mut self, to: Member, birth: Incarnation, count: u64);
     /// To disk, in order, each one note of which [`Keeper::stored`] is told: what is held of a session; a member's start
     /// without memory; that this memory is whole.
     fn store(&mut self, session: SessionId, held: &Held);
-    fn store_start(&mut self, member: Member, birth: Birth);
+    fn store_start(&mut self, member: Member, birth: Incarnation);
     fn store_whole(&mut self);
     /// From disk, whenever that may be; no note.
     fn forget(&mut self, session: SessionId);
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -1,7 +1,7 @@
 //! The cores of three members in a small world, through every order of what may happen to them; and tables of their parts.
 
 use crate::{Asker, Claim, ClaimNo, Common, Effects, Group, Held, Keeper, Log, Member, Record, Tells, Word};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -20,26 +20,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Says {
     Claim(Claim),
-    Kept(Claim, Birth, Vec<(Member, Birth)>),
+    Kept(Claim, Incarnation, Vec<(Member, Incarnation)>),
     Unkept(Claim, bool),
     TakeBack(Claim),
     TakenBack(Claim),
-    Recall(Birth),
-    Row(Birth, Held),
-    Rows(Birth, u64),
+    Recall(Incarnation),
+    Row(Incarnation, Held),
+    Rows(Incarnation, u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Note {
     Held(Held),
-    Start(Member, Birth),
+    Start(Member, Incarnation),
     Whole,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Disk {
     held: Option<Held>,
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     whole: bool,
 }
 
@@ -47,7 +47,7 @@
 struct Node {
     keeper: Keeper,
     asker: Asker,
-    birth: Birth,
+    birth: Incarnation,
     disk: Disk,
     unsynced: Vec<Note>,
 }
@@ -94,7 +94,7 @@
 
 struct Hands<'a> {
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     wire: &'a mut BTreeSet<(Member, Member, Says)>,
     notes: &'a mut Vec<Note>,
     granted: &'a mut BTreeSet<Claim>,
@@ -111,7 +111,10 @@
     fn claim(&mut self, to: Member, _: SessionId, claim: Claim) {
         self.say(to, Says::Claim(claim));
     }
-    fn kept(&mut self, to: Member, _: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)]) {
+    fn kept(
+        &mut self, to: Member, _: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
+    ) {
         let told = if self.defect == Defect::StartsNotTold { &[] } else { starts };
         self.say(to, Says::Kept(claim, birth, told.to_vec()));
     }
@@ -124,19 +127,19 @@
     fn taken_back(&mut self, to: Member, _: SessionId, claim: Claim) {
         self.say(to, Says::TakenBack(claim));
     }
-    fn recall(&mut self, to: Member, birth: Birth) {
+    fn recall(&mut self, to: Member, birth: Incarnation) {
         self.say(to, Says::Recall(birth));
     }
-    fn row(&mut self, to: Member, birth: Birth, _: SessionId, held: &Held) {
+    fn row(&mut self, to: Member, birth: Incarnation, _: SessionId, held: &Held) {
         self.say(to, Says::Row(birth, held.clone()));
     }
-    fn rows(&mut self, to: Member, birth: Birth, count: u64) {
+    fn rows(&mut self, to: Member, birth: Incarnation, count: u64) {
         self.say(to, Says::Rows(birth, count));
     }
     fn store(&mut self, _: SessionId, held: &Held) {
         self.notes.push(Note::Held(held.clone()));
     }
-    fn store_start(&mut self, member: Member, birth: Birth) {
+    fn store_start(&mut self, member: Member, birth: Incarnation) {
         self.notes.push(Note::Start(member, birth));
     }
     fn store_whole(&mut self) {
@@ -154,7 +157,7 @@
     Group::new((0..members).map(|i| (format!("m{i}"), 0)).collect(), usize::from(members))
 }
 
-fn node(me: Member, members: u16, birth: Birth, disk: Disk) -> Node {
+fn node(me: Member, members: u16, birth: Incarnation, disk: Disk) -> Node {
     let sessions = disk.held.clone().map(|held| (SESSION, held)).into_iter().collect();
     let stored = (sessions, disk.starts.clone());
     let keeper = Keeper::new(group(members), me, birth, SPAN, NOW, disk.whole, stored);
@@ -167,7 +170,7 @@
         let whole = Disk { whole: true, ..Disk::default() };
         let members = asks.len() as u16;
         World {
-            nodes: (0..members).map(|i| node(Member(i), members, Birth(1), whole.clone())).collect(),
+            nodes: (0..members).map(|i| node(Member(i), members, Incarnation(1), whole.clone())).collect(),
             wire: BTreeSet::new(),
             granted: BTreeSet::new(),
             sent: BTreeSet::new(),
@@ -225,7 +228,7 @@
             (true, Defect::ForgetfulCounts) => Disk { whole: true, ..Disk::default() },
             (true, _) => Disk::default(),
         };
-        let birth = Birth(old.birth.0 + 1);
+        let birth = Incarnation(old.birth.0 + 1);
         self.nodes[usize::from(at.0)] = node(at, members, birth, disk);
         // What it was granted and had not sent goes with it.
         self.granted.retain(|claim| claim.by != at);
@@ -494,7 +497,7 @@
 impl Copies {
     fn new(members: u16, seed: u64) -> Copies {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |of| (Common::new(of, Birth(1), SPAN), Said::default());
+        let copy = |of| (Common::new(of, Incarnation(1), SPAN), Said::default());
         let copies = group.members().map(copy).collect();
         let (late, chance) = (vec![], Pcg64Mcg::seed_from_u64(seed));
         Copies { copies, now: NOW, late, chance, sent: [0; 2], turns: 0, passes_on: false }
@@ -518,7 +521,7 @@
 
     /// Forgets all, and starts anew.
     fn restart(&mut self, at: usize, birth: u64) {
-        let fresh = Common::new(Member(at as u16), Birth(birth), SPAN);
+        let fresh = Common::new(Member(at as u16), Incarnation(birth), SPAN);
         self.copies[at] = (fresh, Said::default());
         let mut asked = self.others(at);
         asked.truncate(3);
@@ -685,7 +688,7 @@
             all.passes_on = true;
             all.add(0, 7);
             all.carry(0, |_, to| to == 4 && !heard);
-            let log = Log { of: Member(0), birth: Birth(1) };
+            let log = Log { of: Member(0), birth: Incarnation(1) };
             all.restart(0, 2);
             all.add(0, 8);
             all.carry(0, |_, to| to == 4 && !heard);
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,15 +1,15 @@
-//! The session core: viewings from request to end. Events come in by the methods of [`Front`], each with `now`, the
+//! The session core: viewings from request to end. Events come in by the methods of [`SessionCore`], each with `now`, the
 //! span since the start; what is to be done goes out through [`Effects`]. It knows no sockets and no clock, and decides
 //! nothing that the module decides: it keeps what a viewing has out, tells endings apart and hands them on.
 
-mod book;
-mod decides;
-mod fence;
-mod front;
+mod policy;
+mod rule_guard;
+mod session_core;
+mod session_table;
 
-pub use decides::Decides;
-pub use fence::{Breach, Fence};
-pub use front::Front;
+pub use policy::Policy;
+pub use rule_guard::{RuleGuard, Violation};
+pub use session_core::SessionCore;
 
 use ivyward::front::{PackageId, ServerId, TitleId, ViewingId, Why};
 use std::time::Duration;
@@ -28,13 +28,13 @@
 
 /// A start of a manager: servers turn away what an earlier one sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Birth(pub u64);
+pub struct Incarnation(pub u64);
 
 /// What provably happened to a set-up on its socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
+pub enum AttemptResult {
     /// The server plays it.
-    Plays,
+    Playing,
     /// No connection came about.
     NotConnected,
     /// Not one byte of it was written.
@@ -42,35 +42,35 @@
     /// The server turned it away and says that it never ran.
     Refused,
     /// The server answered with an error.
-    Errored,
+    ServerError,
     /// The connection broke after a byte was written, on a fresh connection or on a used one.
-    Broke,
+    ConnectionBroken,
 }
 
 /// Why a viewing ended while it played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    Ended,
+pub enum EndReason {
+    Completed,
     /// The viewer stopped fetching, or left.
-    Left,
+    ViewerLeft,
     /// Its server was lost.
-    Lost,
+    ServerLost,
 }
 
 /// Why a request is blocked or aborted: what the module says, or what the core knows before that is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cause {
-    Decided(Why),
+pub enum FailureCause {
+    ByPolicy(Why),
     /// Paid, and it may have run before.
-    Spent,
+    AlreadyUsed,
     /// Given up while a server may still be setting it up.
-    GivenUp,
+    Abandoned,
     /// Its patience ended without any answer.
-    Late,
+    AnswerOverdue,
     /// The manager ends.
-    Ends,
+    ShuttingDown,
     /// Paid, and no majority of its keepers could be reached.
-    Alone,
+    NoMajority,
 }
 
 /// The one answer to a request.
@@ -79,7 +79,7 @@
     /// It plays there, up to that rung; `birth`: of the start that set it up, `turn`: of the token that goes with it.
     Plays {
         server: ServerId,
-        birth: Birth,
+        birth: Incarnation,
         vw: ViewingId,
         tune_in: TuneIn,
         rung: usize,
@@ -87,11 +87,11 @@
     },
     Blocked {
         come_back: Option<Duration>,
-        why: Cause,
+        why: FailureCause,
     },
     /// It failed; a server may have begun.
     Aborted {
-        why: Cause,
+        why: FailureCause,
     },
     /// The session is watching something else.
     Conflict,
@@ -105,37 +105,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
     /// The module's own, with its token.
-    Module(u64),
+    PolicyTimer(u64),
     /// The limit of a tune-in.
-    Limit(ViewingId, TuneIn),
+    TuneInTimeout(ViewingId, TuneIn),
     /// The last moment for a viewing's answer.
-    Answer(ViewingId),
+    AnswerDeadline(ViewingId),
     /// Whether its player still asks for manifests.
-    Seen(ViewingId),
+    IdleCheck(ViewingId),
     /// What a server plays of an earlier start is waited for no longer, for this request.
-    Word(RequestId),
+    InventoryTimeout(RequestId),
 }
 
 /// What the core has done by whoever drives it.
 pub trait Effects {
     fn answer(&mut self, request: RequestId, answer: Answer);
-    /// Connects to the server and, if `Front::sending` then allows it, sends the set-up. `who`: the session, and the
+    /// Connects to the server and, if `SessionCore::may_send_set_up` then allows it, sends the set-up. `who`: the session, and the
     /// highest rung that its player can use; `limit`: after which nobody waits for it.
     fn set_up(
         &mut self, who: (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId, rung: usize,
         about: (PackageId, TitleId), limit: Duration,
     );
     /// Nobody waits for this set-up any more: its connection is closed.
-    fn drop_set_up(&mut self, vw: ViewingId, tune_in: TuneIn);
+    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn);
     /// Whatever the server has of this tune-in ends, now or when it comes to it.
-    fn release(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn);
-    fn rung(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn, rung: usize);
+    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn);
+    fn change_rung(
+        &mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn, rung: usize,
+    );
     fn probe(&mut self, server: ServerId);
-    /// Asks a server when the player last fetched of that; `Front::fetched` is told.
-    fn fetched(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn);
-    fn wake(&mut self, after: Duration, timer: Timer);
+    /// Asks a server when the player last fetched of that; `SessionCore::on_last_fetch` is told.
+    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn);
+    fn set_timer(&mut self, after: Duration, timer: Timer);
     /// An assertion failed; it has changed nothing.
-    fn breach(&mut self, breach: Breach, vw: ViewingId);
+    fn report_violation(&mut self, violation: Violation, vw: ViewingId);
 }
 
 #[cfg(test)]
--- a/crates/session/src/decides.rs
+++ b/crates/session/src/policy.rs
@@ -6,78 +6,80 @@
 use std::time::Duration;
 
 /// The module's inputs; see there for what each means.
-pub trait Decides {
+pub trait Policy {
     fn start(&mut self, act: &mut dyn Actions, now: Duration);
-    fn listed(&mut self, now: Duration, list: &[Listed], extent: Extent);
-    fn asked(
+    fn on_server_list(&mut self, now: Duration, list: &[Listed], extent: Extent);
+    fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
         cells: Cells, top: usize, ends: Duration,
     );
-    fn plays(&mut self, now: Duration, vw: ViewingId, server: ServerId);
-    fn playing(
+    fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId);
+    fn restore_viewing(
         &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
         rungs: (usize, usize),
     );
-    fn ended(
+    fn on_tune_in_ended(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
         ending: Ending, terminal: bool, load: Load,
     );
-    fn left(&mut self, act: &mut dyn Actions, vw: ViewingId);
-    fn news(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: News);
-    fn reported(&mut self, now: Duration, server: ServerId, load: Load);
-    fn probed(&mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<Load>);
-    fn woken(&mut self, act: &mut dyn Actions, now: Duration, token: u64);
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId);
+    fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: News);
+    fn on_load_report(&mut self, now: Duration, server: ServerId, load: Load);
+    fn on_probe_result(&mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<Load>);
+    fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64);
     /// What is held of a server, to be compared with what passes on sockets: what is asked of its link and uplink over
     /// what they give, our viewings there, and bad endings kept.
-    fn believed(&self, _: ServerId) -> Option<([f64; 2], usize, usize)> {
+    fn server_estimate(&self, _: ServerId) -> Option<([f64; 2], usize, usize)> {
         None
     }
 }
 
-impl Decides for Manager {
+impl Policy for Manager {
     fn start(&mut self, act: &mut dyn Actions, now: Duration) {
         self.start(act, now);
     }
-    fn listed(&mut self, now: Duration, list: &[Listed], extent: Extent) {
+    fn on_server_list(&mut self, now: Duration, list: &[Listed], extent: Extent) {
         self.listed(now, list, extent);
     }
-    fn asked(
+    fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
         cells: Cells, top: usize, ends: Duration,
     ) {
         self.asked(act, now, vw, package, title, cells, top, ends);
     }
-    fn plays(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
+    fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
         self.plays(now, vw, server);
     }
-    fn playing(
+    fn restore_viewing(
         &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
         rungs: (usize, usize),
     ) {
         self.playing(now, vw, server, package, title, rungs);
     }
-    fn ended(
+    fn on_tune_in_ended(
         &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
         ending: Ending, terminal: bool, load: Load,
     ) {
         self.ended(act, now, vw, n, server, ending, terminal, load);
     }
-    fn left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
         self.left(act, vw);
     }
-    fn news(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: News) {
+    fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: News) {
         self.news(now, vw, server, news);
     }
-    fn reported(&mut self, now: Duration, server: ServerId, load: Load) {
+    fn on_load_report(&mut self, now: Duration, server: ServerId, load: Load) {
         self.reported(now, server, load);
     }
-    fn probed(&mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<Load>) {
+    fn on_probe_result(
+        &mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<Load>,
+    ) {
         self.probed(act, now, server, load);
     }
-    fn woken(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
+    fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.woken(act, now, token);
     }
-    fn believed(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
+    fn server_estimate(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
         self.believed(server)
     }
 }
--- a/crates/session/src/fence.rs
+++ b/crates/session/src/rule_guard.rs
@@ -8,7 +8,7 @@
 
 /// A rule that would be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Breach {
+pub enum Violation {
     LateAnswer,
     TwoTuneIns,
     PaidTwice,
@@ -21,7 +21,7 @@
 type Ration = (Duration, f64, f64);
 
 /// What has gone out, as the rules count it.
-pub struct Fence {
+pub struct RuleGuard {
     grace: Duration,
     ration: Option<Ration>,
     seats: Vec<usize>,
@@ -32,13 +32,13 @@
     taken: VecDeque<Duration>,
     further: VecDeque<Duration>,
     held: BTreeMap<(usize, TitleId), usize>,
-    pub counts: BTreeMap<Breach, u64>,
+    pub violation_counts: BTreeMap<Violation, u64>,
 }
 
-impl Fence {
+impl RuleGuard {
     /// `seats`: by package, 0 for no cap.
     pub fn new(grace: Duration, ration: Option<Ration>, seats: Vec<usize>) -> Self {
-        Fence {
+        RuleGuard {
             grace,
             ration,
             seats,
@@ -48,7 +48,7 @@
             taken: VecDeque::new(),
             further: VecDeque::new(),
             held: BTreeMap::new(),
-            counts: BTreeMap::new(),
+            violation_counts: BTreeMap::new(),
         }
     }
 
@@ -107,31 +107,31 @@
     pub(crate) fn sending(
         &mut self, now: Duration, session: SessionId, vw: ViewingId, server: ServerId,
         about: (usize, TitleId), (again, ran): (bool, bool),
-    ) -> Vec<Breach> {
-        let mut breaches = vec![];
+    ) -> Vec<Violation> {
+        let mut violations = vec![];
         if self.out.insert(session, vw).is_some() {
-            breaches.push(Breach::TwoTuneIns);
+            violations.push(Violation::TwoTuneIns);
         }
         if ran {
-            breaches.push(Breach::PaidTwice);
+            violations.push(Violation::PaidTwice);
         }
         if self.ended.get(&server).is_some_and(|(told, _)| now > *told + self.grace) {
-            breaches.push(Breach::AfterDrain);
+            violations.push(Violation::AfterDrain);
         }
         let seats = self.seats.get(about.0).copied().unwrap_or_default();
         if seats > 0 && self.held.get(&about).copied().unwrap_or_default() > seats {
-            breaches.push(Breach::Seats);
+            violations.push(Violation::Seats);
         }
         if let Some((span, free, share)) = self.ration.filter(|_| again) {
             self.further.push_back(now);
             while self.further.pop_front_if(|at| *at + span < now).is_some() {}
             while self.taken.pop_front_if(|at| *at + span <= now).is_some() {}
             if self.further.len() as f64 > free + share * self.taken.len() as f64 {
-                breaches.push(Breach::Ration);
+                violations.push(Violation::Ration);
             }
         }
-        breaches.iter().for_each(|breach| *self.counts.entry(*breach).or_default() += 1);
-        breaches
+        violations.iter().for_each(|violation| *self.violation_counts.entry(*violation).or_default() += 1);
+        violations
     }
 
     pub(crate) fn ended(&mut self, session: SessionId, vw: ViewingId) {
@@ -141,11 +141,11 @@
     }
 
     pub(crate) fn late(&mut self) {
-        *self.counts.entry(Breach::LateAnswer).or_default() += 1;
+        *self.violation_counts.entry(Violation::LateAnswer).or_default() += 1;
     }
 
     /// Servers that are known, and those that drain or are gone.
-    pub fn held(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.known.len() + self.ended.len()
     }
 
--- a/crates/session/src/front.rs
+++ b/crates/session/src/session_core.rs
@@ -1,9 +1,9 @@
 //! What may happen to a manager, and what is told of it to the module.
 
-use crate::book::{Book, Ended, Hand, Step, Viewing, with_sequence};
+use crate::session_table::{Ended, PolicyActions, SessionState, SessionTable, Viewing, with_sequence};
 use crate::{
-    Answer, Birth, Breach, Cause, Decides, Effects, Fence, Happened, Over, RequestId, SessionId, Timer,
-    TuneIn,
+    Answer, AttemptResult, Effects, EndReason, FailureCause, Incarnation, Policy, RequestId, RuleGuard,
+    SessionId, Timer, TuneIn, Violation,
 };
 use ivyward::front::{Cells, Ending, Extent, Listed, Load, News, PackageId, ServerId, TitleId, ViewingId};
 use ivyward_edge::{TokenChain, TokenOrigin};
@@ -29,9 +29,9 @@
 }
 
 /// A session manager without its sockets.
-pub struct Front {
-    module: Box<dyn Decides>,
-    book: Book,
+pub struct SessionCore {
+    policy: Box<dyn Policy>,
+    table: SessionTable,
     /// By package: patience, and whether it is paid at set-up.
     terms: Vec<(Duration, bool)>,
     /// How long after the patience an answer is still in time.
@@ -43,46 +43,57 @@
     idle: Option<Duration>,
     stopping: bool,
     /// Servers that have told what they play of earlier starts of ours, or have nothing.
-    heard: BTreeSet<ServerId>,
+    inventoried_servers: BTreeSet<ServerId>,
     words: Vec<Word>,
     /// What servers held for nobody, and what was taken over from earlier starts.
-    counts: (u64, u64),
+    inventory_counts: (u64, u64),
 }
 
-impl Front {
+impl SessionCore {
     /// `terms`: by package, the viewer's patience and whether it is paid at set-up; `slack`: how long after the patience
     /// an answer is still in time; `idle`: a player that neither asks nor fetches for so long has left, none where that is
     /// told; `paid`: how long a paid session that may have run is remembered at least, none where none comes again; `ration`: span, free and share of further
     /// tune-ins; `birth`: this start, above all before.
     pub fn new(
-        module: Box<dyn Decides>, fence: Fence, terms: Vec<(Duration, bool)>,
+        policy: Box<dyn Policy>, rule_guard: RuleGuard, terms: Vec<(Duration, bool)>,
         (slack, idle, paid): (Duration, Option<Duration>, Option<Duration>),
-        ration: Option<(Duration, f64, f64)>, birth: Birth,
+        ration: Option<(Duration, f64, f64)>, birth: Incarnation,
     ) -> Self {
-        let book = Book::new(ration, fence, birth, paid.is_some());
+        let table = SessionTable::new(ration, rule_guard, birth, paid.is_some());
         let (heard, words) = (BTreeSet::new(), vec![]);
-        Front { module, book, terms, slack, paid, idle, stopping: false, heard, words, counts: (0, 0) }
+        SessionCore {
+            policy,
+            table,
+            terms,
+            slack,
+            paid,
+            idle,
+            stopping: false,
+            inventoried_servers: heard,
+            words,
+            inventory_counts: (0, 0),
+        }
     }
 
     pub fn start(&mut self, out: &mut dyn Effects, now: Duration) {
-        self.module.start(&mut Hand { book: &mut self.book, out }, now);
+        self.policy.start(&mut PolicyActions { table: &mut self.table, out }, now);
     }
 
-    pub fn listed(&mut self, now: Duration, list: &[Listed], extent: Extent) {
+    pub fn on_server_list(&mut self, now: Duration, list: &[Listed], extent: Extent) {
         if extent != Extent::Changes {
             let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
-            self.book.fence.told_whole(now, &named);
+            self.table.rule_guard.told_whole(now, &named);
         }
-        list.iter().for_each(|listed| self.book.fence.told(now, listed.server, listed.standing));
+        list.iter().for_each(|listed| self.table.rule_guard.told(now, listed.server, listed.standing));
         // Guards against a fleet whose machines come back under new ids.
         let longest = self.terms.iter().map(|(patience, _)| *patience).max().unwrap_or_default();
-        self.book.fence.forget_gone(now, longest + self.slack);
-        self.heard.retain(|server| self.book.fence.knows(*server));
-        self.module.listed(now, list, extent);
+        self.table.rule_guard.forget_gone(now, longest + self.slack);
+        self.inventoried_servers.retain(|server| self.table.rule_guard.knows(*server));
+        self.policy.on_server_list(now, list, extent);
     }
 
     /// A viewer asks for a manifest. `shown`: what its token is; `valid`: when that ends.
-    pub fn asked(
+    pub fn on_request(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, session: SessionId,
         about: About, origin: TokenOrigin, valid: Duration,
     ) {
@@ -90,15 +101,15 @@
             return out.answer(request, Answer::Conflict);
         };
         let left_at = match origin {
-            TokenOrigin::Manager { birth, server, .. } => Some(server).filter(|_| birth < self.book.birth.0),
-            TokenOrigin::App { .. } => self.book.spent(now, session).flatten(),
+            TokenOrigin::Manager { birth, server, .. } => Some(server).filter(|_| birth < self.table.birth.0),
+            TokenOrigin::App { .. } => self.table.spent(now, session).flatten(),
         };
-        if let Some(server) = left_at.filter(|server| !self.heard.contains(server))
+        if let Some(server) = left_at.filter(|server| !self.inventoried_servers.contains(server))
             && !self.stopping
-            && !self.book.sessions.contains_key(&session)
+            && !self.table.sessions.contains_key(&session)
         {
             // Guards against a second set-up of what plays on from before our start.
-            out.wake(patience.mul_f64(WORD), Timer::Word(request));
+            out.set_timer(patience.mul_f64(WORD), Timer::InventoryTimeout(request));
             return self.words.push(Word {
                 request,
                 server,
@@ -113,7 +124,7 @@
     }
 
     /// A viewer asks once, by a request that says itself how long it waits; the session is that request's.
-    pub fn asked_once(
+    pub fn on_single_request(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, session: SessionId,
         about: About, patience: Duration,
     ) {
@@ -128,18 +139,18 @@
         let Some(&(_, once)) = self.terms.get(package.0) else {
             return out.answer(request, Answer::Conflict);
         };
-        if let Some(&vw) = self.book.sessions.get(&session) {
-            return self.asked_again(out, now, request, vw, title, origin, valid);
+        if let Some(&vw) = self.table.sessions.get(&session) {
+            return self.on_repeated_request(out, now, request, vw, title, origin, valid);
         }
         let begun = matches!(origin, TokenOrigin::Manager { .. });
         // Guards against a paid viewing set up again by a resend after its end, or after this manager's restart.
-        if once && (begun || self.book.spent(now, session).is_some()) {
-            return out.answer(request, Answer::Aborted { why: Cause::Spent });
+        if once && (begun || self.table.spent(now, session).is_some()) {
+            return out.answer(request, Answer::Aborted { why: FailureCause::AlreadyUsed });
         }
         if self.stopping {
-            return out.answer(request, Answer::Blocked { come_back: None, why: Cause::Ends });
+            return out.answer(request, Answer::Blocked { come_back: None, why: FailureCause::ShuttingDown });
         }
-        let vw = self.book.fresh();
+        let vw = self.table.fresh();
         let viewing = Viewing {
             session,
             package: package.0,
@@ -148,7 +159,7 @@
             once,
             requests: vec![request],
             answered: false,
-            step: Step::Deciding,
+            state: SessionState::Deciding,
             rung: 0,
             tune_ins: 0,
             seen: now,
@@ -156,22 +167,22 @@
             token_chain: TokenChain::new(origin),
             valid: valid.max(now + self.paid.unwrap_or_default()),
         };
-        self.book.viewings.insert(vw, viewing);
-        self.book.sessions.insert(session, vw);
-        self.book.fence.taken(now);
-        self.book.ration.iter_mut().for_each(|ration| ration.taken(now));
-        out.wake((ends + self.slack).saturating_sub(now), Timer::Answer(vw));
-        let hand = &mut Hand { book: &mut self.book, out };
-        self.module.asked(hand, now, vw, package, title, cells, top, ends);
+        self.table.viewings.insert(vw, viewing);
+        self.table.sessions.insert(session, vw);
+        self.table.rule_guard.taken(now);
+        self.table.ration.iter_mut().for_each(|ration| ration.taken(now));
+        out.set_timer((ends + self.slack).saturating_sub(now), Timer::AnswerDeadline(vw));
+        let actions = &mut PolicyActions { table: &mut self.table, out };
+        self.policy.on_request(actions, now, vw, package, title, cells, top, ends);
         self.settle(out, now);
     }
 
     /// A refresh, a resend, or two requests that cross: one viewing, never a second set-up.
-    fn asked_again(
+    fn on_repeated_request(
         &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, vw: ViewingId, title: TitleId,
         origin: TokenOrigin, valid: Duration,
     ) {
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
         if viewing.title != title {
             return out.answer(request, Answer::Conflict);
         }
@@ -182,27 +193,27 @@
         viewing.seen = now;
         viewing.valid = viewing.valid.max(valid).max(now + self.paid.unwrap_or_default());
         let (rung, answered) = (viewing.rung, viewing.answered);
-        match viewing.step {
-            Step::Plays { server, birth, tune_in } => {
+        match viewing.state {
+            SessionState::Plays { server, birth, tune_in } => {
                 let answer = Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 };
                 out.answer(request, with_sequence(answer, &mut viewing.token_chain));
             }
             // Guards against a second tune-in beside one that was given up but can't be called off.
             _ if answered => {
-                out.answer(request, Answer::Blocked { come_back: None, why: Cause::GivenUp });
+                out.answer(request, Answer::Blocked { come_back: None, why: FailureCause::Abandoned });
             }
             _ => viewing.requests.push(request),
         }
     }
 
     /// An earlier start set a paid session up there, as the last that it sent of it; it may have run.
-    pub fn spent(&mut self, session: SessionId, server: ServerId, until: Duration) {
-        self.book.spend(session, until, Some(server));
+    pub fn restore_paid_session(&mut self, session: SessionId, server: ServerId, until: Duration) {
+        self.table.spend(session, until, Some(server));
     }
 
     /// A server has told all that it plays of ours, or is known to have nothing: those that waited for that go on.
-    pub fn heard(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId) {
-        self.heard.insert(server);
+    pub fn on_inventory_complete(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId) {
+        self.inventoried_servers.insert(server);
         let (go, stay) = std::mem::take(&mut self.words).into_iter().partition(|word| word.server == server);
         self.words = stay;
         self.go_on(out, now, go);
@@ -216,27 +227,32 @@
 
     /// A server plays this for us. One that an earlier start set up is taken over as it is; what nobody of ours has any
     /// more is released, so that it holds no place. `rungs`: the one in force, and the highest of its player.
-    pub fn found(
+    pub fn on_running_tune_in(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Birth, ViewingId, TuneIn), session: SessionId,
+        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), session: SessionId,
         (package, title, (rung, top)): (PackageId, TitleId, (usize, usize)),
     ) {
-        let ours = self.book.viewings.get(&vw);
-        if ours.is_some_and(|viewing| match viewing.step {
+        let ours = self.table.viewings.get(&vw);
+        if ours.is_some_and(|viewing| match viewing.state {
             // Its answer may still be on the way.
-            Step::Out { server: at, tune_in: n, .. } => (birth, server, tune_in) == (self.book.birth, at, n),
-            Step::Plays { server: at, birth: of, tune_in: n } => (birth, server, tune_in) == (of, at, n),
-            Step::Deciding => false,
+            SessionState::Out { server: at, tune_in: n, .. } => {
+                (birth, server, tune_in) == (self.table.birth, at, n)
+            }
+            SessionState::Plays { server: at, birth: of, tune_in: n } => {
+                (birth, server, tune_in) == (of, at, n)
+            }
+            SessionState::Deciding => false,
         }) {
             return;
         }
-        let known = ours.is_some() || self.book.sessions.contains_key(&session);
-        let terms = self.terms.get(package.0).filter(|_| !known && !self.stopping && birth < self.book.birth);
+        let known = ours.is_some() || self.table.sessions.contains_key(&session);
+        let terms =
+            self.terms.get(package.0).filter(|_| !known && !self.stopping && birth < self.table.birth);
         let Some(&(_, once)) = terms else {
-            self.counts.0 += 1;
+            self.inventory_counts.0 += 1;
             return out.release(server, birth, vw, tune_in);
         };
-        self.counts.1 += 1;
+        self.inventory_counts.1 += 1;
         let viewing = Viewing {
             session,
             package: package.0,
@@ -245,7 +261,7 @@
             once,
             requests: vec![],
             answered: true,
-            step: Step::Plays { server, birth, tune_in },
+            state: SessionState::Plays { server, birth, tune_in },
             rung,
             tune_ins: 0,
             seen: now,
@@ -253,24 +269,24 @@
             token_chain: TokenChain::unknown(),
             valid: now + self.paid.unwrap_or_default(),
         };
-        self.book.viewings.insert(vw, viewing);
-        self.book.sessions.insert(session, vw);
-        self.book.fence.holds(package.0, title, true);
-        self.idle.into_iter().for_each(|idle| out.wake(idle, Timer::Seen(vw)));
-        self.module.playing(now, vw, server, package, title, (rung, top));
+        self.table.viewings.insert(vw, viewing);
+        self.table.sessions.insert(session, vw);
+        self.table.rule_guard.holds(package.0, title, true);
+        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(vw)));
+        self.policy.restore_viewing(now, vw, server, package, title, (rung, top));
     }
 
     /// A session's tokens are taken no more: what it has ends now.
-    pub fn revoked(&mut self, out: &mut dyn Effects, now: Duration, session: SessionId) {
+    pub fn on_revoked(&mut self, out: &mut dyn Effects, now: Duration, session: SessionId) {
         let (gone, stay): (Vec<_>, _) =
             std::mem::take(&mut self.words).into_iter().partition(|word| word.session == session);
         self.words = stay;
         gone.into_iter().for_each(|word| out.answer(word.request, Answer::Revoked));
-        let Some(&vw) = self.book.sessions.get(&session) else { return };
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
-        if let Step::Plays { server, birth, tune_in } = viewing.step {
+        let Some(&vw) = self.table.sessions.get(&session) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+        if let SessionState::Plays { server, birth, tune_in } = viewing.state {
             out.release(server, birth, vw, tune_in);
-            return self.over(out, now, server, (birth, vw, tune_in), Over::Left);
+            return self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
         }
         viewing.answered = true;
         std::mem::take(&mut viewing.requests).into_iter().for_each(|r| out.answer(r, Answer::Revoked));
@@ -278,26 +294,28 @@
     }
 
     /// A server's clock has gone astray: players' tokens are not taken there, so what plays there is over.
-    pub fn astray(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId) {
+    pub fn on_clock_skew(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId) {
         for (birth, vw, tune_in) in self.playing_at(server) {
             out.release(server, birth, vw, tune_in);
-            self.over(out, now, server, (birth, vw, tune_in), Over::Lost);
+            self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ServerLost);
         }
     }
 
-    fn playing_at(&self, server: ServerId) -> Vec<(Birth, ViewingId, TuneIn)> {
-        let there = |(vw, viewing): (&ViewingId, &Viewing)| match viewing.step {
-            Step::Plays { server: at, birth, tune_in } if at == server => Some((birth, *vw, tune_in)),
+    fn playing_at(&self, server: ServerId) -> Vec<(Incarnation, ViewingId, TuneIn)> {
+        let there = |(vw, viewing): (&ViewingId, &Viewing)| match viewing.state {
+            SessionState::Plays { server: at, birth, tune_in } if at == server => Some((birth, *vw, tune_in)),
             _ => None,
         };
-        self.book.viewings.iter().filter_map(there).collect()
+        self.table.viewings.iter().filter_map(there).collect()
     }
 
     /// The viewer closed a request before its answer.
-    pub fn closed(&mut self, out: &mut dyn Effects, now: Duration, session: SessionId, request: RequestId) {
+    pub fn on_request_closed(
+        &mut self, out: &mut dyn Effects, now: Duration, session: SessionId, request: RequestId,
+    ) {
         self.words.retain(|word| word.request != request);
-        let Some(&vw) = self.book.sessions.get(&session) else { return };
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
+        let Some(&vw) = self.table.sessions.get(&session) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
         let before = viewing.requests.len();
         viewing.requests.retain(|waiting| *waiting != request);
         if before == viewing.requests.len() || !viewing.requests.is_empty() || viewing.answered {
@@ -309,71 +327,74 @@
 
     /// Nobody waits for a viewing's answer any more.
     fn leaves(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId) {
-        let deciding = self.book.viewings.get(&vw).is_some_and(|viewing| viewing.step == Step::Deciding);
-        self.module.left(&mut Hand { book: &mut self.book, out }, vw);
+        let deciding =
+            self.table.viewings.get(&vw).is_some_and(|viewing| viewing.state == SessionState::Deciding);
+        self.policy.on_viewer_left(&mut PolicyActions { table: &mut self.table, out }, vw);
         if deciding {
-            self.book.forget(vw);
+            self.table.forget(vw);
         }
         self.settle(out, now);
     }
 
     /// The connection stands: may the set-up be written now? Told `NotWritten` at once where not.
-    pub fn sending(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn) -> bool {
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return false };
-        let Step::Out { server, tune_in: current, .. } = viewing.step else { return false };
+    pub fn may_send_set_up(
+        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn,
+    ) -> bool {
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return false };
+        let SessionState::Out { server, tune_in: current, .. } = viewing.state else { return false };
         if current != tune_in {
             return false;
         }
-        let further = self.book.ration.as_mut().filter(|_| tune_in.0 > 0);
+        let further = self.table.ration.as_mut().filter(|_| tune_in.0 > 0);
         // Guards against a drain or an end heard since the decision, and against tune-ins that slow connections bunch.
-        if self.book.fence.ending(server) || further.is_some_and(|ration| !ration.allows(now)) {
-            self.happened(out, now, vw, tune_in, Happened::NotWritten, Load::default());
+        if self.table.rule_guard.ending(server) || further.is_some_and(|ration| !ration.allows(now)) {
+            self.on_attempt_result(out, now, vw, tune_in, AttemptResult::NotWritten, Load::default());
             return false;
         }
-        viewing.step = Step::Out { server, tune_in, written: true };
+        viewing.state = SessionState::Out { server, tune_in, written: true };
         let (session, about) = (viewing.session, (viewing.package, viewing.title));
         let ran = viewing.once && viewing.ran;
         viewing.ran = true;
-        let breaches = self.book.fence.sending(now, session, vw, server, about, (tune_in.0 > 0, ran));
-        breaches.into_iter().for_each(|breach| out.breach(breach, vw));
+        let violations = self.table.rule_guard.sending(now, session, vw, server, about, (tune_in.0 > 0, ran));
+        violations.into_iter().for_each(|violation| out.report_violation(violation, vw));
         true
     }
 
     /// The connection stands, but the keepers of a paid session gave no leave: it was set up elsewhere (`taken`), or no
     /// majority of them was reached. Nothing of it went out, and nothing will.
-    pub fn unclaimed(
+    pub fn on_claim_denied(
         &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, taken: bool,
         come_back: Option<Duration>,
     ) {
-        let Some((server, _)) = self.book.take_out(vw, tune_in) else { return };
-        let about = self.book.viewings.get(&vw).map(|viewing| (viewing.session, viewing.valid));
+        let Some((server, _)) = self.table.take_out(vw, tune_in) else { return };
+        let about = self.table.viewings.get(&vw).map(|viewing| (viewing.session, viewing.valid));
         if let Some((session, valid)) = about.filter(|_| taken) {
-            self.book.spend(session, valid, None);
+            self.table.spend(session, valid, None);
         }
         let answer = match taken {
-            true => Answer::Aborted { why: Cause::Spent },
-            false => Answer::Blocked { come_back, why: Cause::Alone },
+            true => Answer::Aborted { why: FailureCause::AlreadyUsed },
+            false => Answer::Blocked { come_back, why: FailureCause::NoMajority },
         };
-        self.book.answer(out, vw, answer);
+        self.table.answer(out, vw, answer);
         self.ended(out, now, Ended { vw, tune_in, server, ending: Ending::Unsent }, Load::default());
         self.settle(out, now);
     }
 
     /// What became of a set-up.
-    pub fn happened(
-        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, what: Happened,
+    pub fn on_attempt_result(
+        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, what: AttemptResult,
         load: Load,
     ) {
         let ending = match what {
-            Happened::Plays => return self.plays(out, now, vw, tune_in, load),
-            Happened::NotConnected => Ending::Unreachable,
-            Happened::NotWritten => Ending::Unsent,
-            Happened::Refused => Ending::TurnedAway,
-            Happened::Errored => Ending::Errored,
-            Happened::Broke => Ending::Broken,
+            AttemptResult::Playing => return self.plays(out, now, vw, tune_in, load),
+            AttemptResult::NotConnected => Ending::Unreachable,
+            AttemptResult::NotWritten => Ending::Unsent,
+            AttemptResult::Refused => Ending::TurnedAway,
+            AttemptResult::ServerError => Ending::Errored,
+            AttemptResult::ConnectionBroken => Ending::Broken,
         };
-        let Some((server, _)) = self.book.take_out(vw, tune_in) else { return };
-        if let Some(viewing) = self.book.viewings.get_mut(&vw).filter(|_| ending.never_ran()) {
+        let Some((server, _)) = self.table.take_out(vw, tune_in) else { return };
+        if let Some(viewing) = self.table.viewings.get_mut(&vw).filter(|_| ending.never_ran()) {
             viewing.ran = false;
         }
         if ending == Ending::Unreachable {
@@ -381,161 +402,163 @@
         }
         // What may have run there is not left to its lease.
         if !ending.never_ran() {
-            out.release(server, self.book.birth, vw, tune_in);
+            out.release(server, self.table.birth, vw, tune_in);
         }
         self.ended(out, now, Ended { vw, tune_in, server, ending }, load);
         self.settle(out, now);
     }
 
     fn reached_nobody(&mut self, now: Duration, tune_in: TuneIn) {
-        self.book.ration.iter_mut().filter(|_| tune_in.0 > 0).for_each(|ration| ration.reached_nobody(now));
+        self.table.ration.iter_mut().filter(|_| tune_in.0 > 0).for_each(|ration| ration.reached_nobody(now));
     }
 
     fn plays(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, load: Load) {
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
-        let Step::Out { server, tune_in: current, .. } = viewing.step else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+        let SessionState::Out { server, tune_in: current, .. } = viewing.state else { return };
         if current != tune_in {
             return;
         }
-        let birth = self.book.birth;
-        viewing.step = Step::Plays { server, birth, tune_in };
+        let birth = self.table.birth;
+        viewing.state = SessionState::Plays { server, birth, tune_in };
         let (rung, answered) = (viewing.rung, viewing.answered);
-        self.book.fence.ended(viewing.session, vw);
-        self.module.reported(now, server, load);
-        self.module.plays(now, vw, server);
+        self.table.rule_guard.ended(viewing.session, vw);
+        self.policy.on_load_report(now, server, load);
+        self.policy.on_playing(now, vw, server);
         if answered {
             // The viewer left while it was set up.
             out.release(server, birth, vw, tune_in);
-            return self.over(out, now, server, (birth, vw, tune_in), Over::Left);
+            return self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
         }
-        self.idle.into_iter().for_each(|idle| out.wake(idle, Timer::Seen(vw)));
-        self.book.answer(out, vw, Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 });
+        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(vw)));
+        self.table.answer(out, vw, Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 });
     }
 
     /// A viewing that played is over.
-    pub fn over(
+    pub fn on_viewing_ended(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Birth, ViewingId, TuneIn), why: Over,
+        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), why: EndReason,
     ) {
-        let plays = Step::Plays { server, birth, tune_in };
-        if self.book.viewings.get(&vw).is_none_or(|viewing| viewing.step != plays) {
+        let plays = SessionState::Plays { server, birth, tune_in };
+        if self.table.viewings.get(&vw).is_none_or(|viewing| viewing.state != plays) {
             return;
         }
-        self.book.forget(vw);
+        self.table.forget(vw);
         let ending = match why {
-            Over::Ended => Ending::Served,
-            Over::Left => Ending::CalledOff,
-            Over::Lost => Ending::Broken,
+            EndReason::Completed => Ending::Served,
+            EndReason::ViewerLeft => Ending::CalledOff,
+            EndReason::ServerLost => Ending::Broken,
         };
-        let hand = &mut Hand { book: &mut self.book, out };
+        let actions = &mut PolicyActions { table: &mut self.table, out };
         // The module counts the tune-ins of its own start only; what it found playing is its first.
-        let n = if birth == hand.book.birth { tune_in.0 } else { 0 };
-        self.module.ended(hand, now, vw, n, server, ending, true, Load::default());
+        let n = if birth == actions.table.birth { tune_in.0 } else { 0 };
+        self.policy.on_tune_in_ended(actions, now, vw, n, server, ending, true, Load::default());
         self.settle(out, now);
     }
 
     /// A server's connection is lost, or stands again and it says what it plays for us: the others there are over.
-    pub fn still(
+    pub fn on_inventory(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        playing: &[(Birth, ViewingId, TuneIn)],
+        playing: &[(Incarnation, ViewingId, TuneIn)],
     ) {
         for held in self.playing_at(server).into_iter().filter(|held| !playing.contains(held)) {
-            self.over(out, now, server, held, Over::Lost);
+            self.on_viewing_ended(out, now, server, held, EndReason::ServerLost);
         }
     }
 
     /// A player has asked for no manifest for long: how long ago it last fetched a segment, as its server says; none
     /// where that says nothing, or plays it no more.
-    pub fn fetched(
+    pub fn on_last_fetch(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Birth, ViewingId, TuneIn), quiet: Option<Duration>,
+        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), quiet: Option<Duration>,
     ) {
-        let plays = Step::Plays { server, birth, tune_in };
-        let Some(viewing) = self.book.viewings.get_mut(&vw).filter(|viewing| viewing.step == plays) else {
+        let plays = SessionState::Plays { server, birth, tune_in };
+        let Some(viewing) = self.table.viewings.get_mut(&vw).filter(|viewing| viewing.state == plays) else {
             return;
         };
         viewing.seen = viewing.seen.max(now.saturating_sub(quiet.unwrap_or(now)));
         let (quiet, idle) = (now.saturating_sub(viewing.seen), self.idle.unwrap_or(Duration::MAX));
         if quiet < idle {
-            return out.wake(idle - quiet, Timer::Seen(vw));
+            return out.set_timer(idle - quiet, Timer::IdleCheck(vw));
         }
         // Guards against a place held for nobody where the server itself stands still and says nothing.
         out.release(server, birth, vw, tune_in);
-        self.over(out, now, server, (birth, vw, tune_in), Over::Left);
+        self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
     }
 
     /// A viewing that another start, or nobody of ours, set up plays there and is handed to us. None where its session
     /// has a viewing here already.
-    pub fn handed(
+    pub fn adopt_viewing(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId, session: SessionId,
         (package, title, rungs): (PackageId, TitleId, (usize, usize)),
-    ) -> Option<(Birth, ViewingId, TuneIn)> {
-        let key = (Birth(self.book.birth.0.checked_sub(1)?), self.book.fresh(), TuneIn(0));
-        let unknown = !self.book.sessions.contains_key(&session) && self.terms.get(package.0).is_some();
-        unknown.then(|| self.found(out, now, server, key, session, (package, title, rungs)))?;
+    ) -> Option<(Incarnation, ViewingId, TuneIn)> {
+        let key = (Incarnation(self.table.birth.0.checked_sub(1)?), self.table.fresh(), TuneIn(0));
+        let unknown = !self.table.sessions.contains_key(&session) && self.terms.get(package.0).is_some();
+        unknown.then(|| self.on_running_tune_in(out, now, server, key, session, (package, title, rungs)))?;
         Some(key)
     }
 
     /// What the module holds of a server.
-    pub fn believed(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
-        self.module.believed(server)
+    pub fn server_estimate(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
+        self.policy.server_estimate(server)
     }
 
     /// A load report that came with neither an ending nor a probe.
-    pub fn reported(&mut self, now: Duration, server: ServerId, load: Load) {
-        self.module.reported(now, server, load);
+    pub fn on_load_report(&mut self, now: Duration, server: ServerId, load: Load) {
+        self.policy.on_load_report(now, server, load);
     }
 
-    pub fn news(&mut self, now: Duration, server: ServerId, vw: ViewingId, news: News) {
-        self.module.news(now, vw, server, news);
+    pub fn on_server_update(&mut self, now: Duration, server: ServerId, vw: ViewingId, news: News) {
+        self.policy.on_server_update(now, vw, server, news);
     }
 
     /// What a probe brought; none for no answer.
-    pub fn probed(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId, load: Option<Load>) {
-        self.module.probed(&mut Hand { book: &mut self.book, out }, now, server, load);
+    pub fn on_probe_result(
+        &mut self, out: &mut dyn Effects, now: Duration, server: ServerId, load: Option<Load>,
+    ) {
+        self.policy.on_probe_result(&mut PolicyActions { table: &mut self.table, out }, now, server, load);
         self.settle(out, now);
     }
 
-    pub fn woken(&mut self, out: &mut dyn Effects, now: Duration, timer: Timer) {
+    pub fn on_timer(&mut self, out: &mut dyn Effects, now: Duration, timer: Timer) {
         match timer {
-            Timer::Module(token) => {
-                self.module.woken(&mut Hand { book: &mut self.book, out }, now, token);
+            Timer::PolicyTimer(token) => {
+                self.policy.on_timer(&mut PolicyActions { table: &mut self.table, out }, now, token);
                 self.settle(out, now);
             }
-            Timer::Limit(vw, tune_in) => {
-                let Some((server, written)) = self.book.take_out(vw, tune_in) else { return };
-                out.drop_set_up(vw, tune_in);
+            Timer::TuneInTimeout(vw, tune_in) => {
+                let Some((server, written)) = self.table.take_out(vw, tune_in) else { return };
+                out.cancel_set_up(vw, tune_in);
                 // Without a byte written it can't have run.
                 let ending = if written { Ending::Unanswered } else { Ending::Unreachable };
                 if written {
-                    out.release(server, self.book.birth, vw, tune_in);
+                    out.release(server, self.table.birth, vw, tune_in);
                 } else {
                     self.reached_nobody(now, tune_in);
                 }
                 self.ended(out, now, Ended { vw, tune_in, server, ending }, Load::default());
                 self.settle(out, now);
             }
-            Timer::Seen(vw) => {
-                let Some(viewing) = self.book.viewings.get(&vw) else { return };
-                let Step::Plays { server, birth, tune_in } = viewing.step else { return };
+            Timer::IdleCheck(vw) => {
+                let Some(viewing) = self.table.viewings.get(&vw) else { return };
+                let SessionState::Plays { server, birth, tune_in } = viewing.state else { return };
                 let (quiet, idle) = (now.saturating_sub(viewing.seen), self.idle.unwrap_or(Duration::MAX));
                 if quiet < idle {
-                    return out.wake(idle - quiet, Timer::Seen(vw));
+                    return out.set_timer(idle - quiet, Timer::IdleCheck(vw));
                 }
-                out.fetched(server, birth, vw, tune_in);
+                out.query_last_fetch(server, birth, vw, tune_in);
             }
-            Timer::Word(request) => {
+            Timer::InventoryTimeout(request) => {
                 let (go, stay) =
                     std::mem::take(&mut self.words).into_iter().partition(|word| word.request == request);
                 self.words = stay;
                 self.go_on(out, now, go);
             }
-            Timer::Answer(vw) => {
+            Timer::AnswerDeadline(vw) => {
                 // Guards against any answer forgotten: the viewer's patience is over.
-                if self.book.viewings.get(&vw).is_some_and(|viewing| !viewing.answered) {
-                    self.book.fence.late();
-                    out.breach(Breach::LateAnswer, vw);
-                    self.book.answer(out, vw, Answer::Aborted { why: Cause::Late });
+                if self.table.viewings.get(&vw).is_some_and(|viewing| !viewing.answered) {
+                    self.table.rule_guard.late();
+                    out.report_violation(Violation::LateAnswer, vw);
+                    self.table.answer(out, vw, Answer::Aborted { why: FailureCause::AnswerOverdue });
                 }
             }
         }
@@ -547,21 +570,21 @@
         let words = std::mem::take(&mut self.words);
         self.go_on(out, now, words);
         let waiting: Vec<_> =
-            self.book.viewings.iter().filter(|(_, v)| !v.answered).map(|(vw, _)| *vw).collect();
+            self.table.viewings.iter().filter(|(_, v)| !v.answered).map(|(vw, _)| *vw).collect();
         for vw in waiting {
-            let viewing = &self.book.viewings[&vw];
+            let viewing = &self.table.viewings[&vw];
             let ran = viewing.once && viewing.ran;
-            if let Step::Out { server, tune_in, written } = viewing.step {
-                self.book.take_out(vw, tune_in);
-                out.drop_set_up(vw, tune_in);
+            if let SessionState::Out { server, tune_in, written } = viewing.state {
+                self.table.take_out(vw, tune_in);
+                out.cancel_set_up(vw, tune_in);
                 if written {
-                    out.release(server, self.book.birth, vw, tune_in);
+                    out.release(server, self.table.birth, vw, tune_in);
                 }
-                self.book.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
+                self.table.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
             }
-            let why = Cause::Ends;
+            let why = FailureCause::ShuttingDown;
             let answer = if ran { Answer::Aborted { why } } else { Answer::Blocked { come_back: None, why } };
-            self.book.answer(out, vw, answer);
+            self.table.answer(out, vw, answer);
         }
         self.settle(out, now);
     }
@@ -569,48 +592,50 @@
     /// Tells the module of an ending, and forgets the viewing where nothing follows.
     fn ended(&mut self, out: &mut dyn Effects, now: Duration, ended: Ended, load: Load) {
         let Ended { vw, tune_in, server, ending } = ended;
-        let answered = self.book.viewings.get(&vw).is_none_or(|viewing| viewing.answered);
-        let hand = &mut Hand { book: &mut self.book, out };
-        self.module.ended(hand, now, vw, tune_in.0, server, ending, answered, load);
-        if answered && self.book.viewings.get(&vw).is_some_and(|viewing| viewing.step == Step::Deciding) {
-            self.book.forget(vw);
+        let answered = self.table.viewings.get(&vw).is_none_or(|viewing| viewing.answered);
+        let actions = &mut PolicyActions { table: &mut self.table, out };
+        self.policy.on_tune_in_ended(actions, now, vw, tune_in.0, server, ending, answered, load);
+        if answered
+            && self.table.viewings.get(&vw).is_some_and(|viewing| viewing.state == SessionState::Deciding)
+        {
+            self.table.forget(vw);
         }
     }
 
     fn settle(&mut self, out: &mut dyn Effects, now: Duration) {
-        while let Some(ended) = self.book.ended.pop_front() {
+        while let Some(ended) = self.table.ended.pop_front() {
             self.ended(out, now, ended, Load::default());
         }
     }
 
-    pub fn live(&self) -> usize {
-        self.book.viewings.len()
+    pub fn viewing_count(&self) -> usize {
+        self.table.viewings.len()
     }
 
     /// Viewings without an answer yet.
-    pub fn waiting(&self) -> usize {
-        self.words.len() + self.book.viewings.values().filter(|viewing| !viewing.answered).count()
+    pub fn pending_count(&self) -> usize {
+        self.words.len() + self.table.viewings.values().filter(|viewing| !viewing.answered).count()
     }
 
     /// What servers held for nobody and was released, and what was taken over from earlier starts.
-    pub fn counts(&self) -> (u64, u64) {
-        self.counts
+    pub fn inventory_counts(&self) -> (u64, u64) {
+        self.inventory_counts
     }
 
-    pub fn breaches(&self) -> &BTreeMap<Breach, u64> {
-        &self.book.fence.counts
+    pub fn violations(&self) -> &BTreeMap<Violation, u64> {
+        &self.table.rule_guard.violation_counts
     }
 
     /// What is held by server: standings, those that have told what they play, and paid sessions that are remembered.
-    pub fn held(&self) -> usize {
-        self.book.fence.held() + self.heard.len() + self.book.spent_count()
+    pub fn entry_count(&self) -> usize {
+        self.table.rule_guard.entry_count() + self.inventoried_servers.len() + self.table.spent_count()
     }
 
     /// Whether any id, set-up or session is left of viewings.
     pub fn is_empty(&self) -> bool {
-        self.book.viewings.is_empty()
-            && self.book.sessions.is_empty()
+        self.table.viewings.is_empty()
+            && self.table.sessions.is_empty()
             && self.words.is_empty()
-            && self.book.fence.out() == 0
+            && self.table.rule_guard.out() == 0
     }
 }
