--- a/crates/session/src/book.rs
+++ b/crates/session/src/session_table.rs
@@ -1,6 +1,6 @@
 //! What is held of viewings, and what the module's actions change in it.
 
-use crate::{Answer, Birth, Cause, Effects, Fence, RequestId, SessionId, Timer, TuneIn};
+use crate::{Answer, Effects, FailureCause, Incarnation, RequestId, RuleGuard, SessionId, Timer, TuneIn};
 use ivyward::front::{Actions, Ending, PackageId, ServerId, TitleId, ViewingId, Why};
 use ivyward_edge::TokenChain;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -8,13 +8,13 @@
 
 /// Where a viewing is, and with it what its next result means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum SessionState {
     /// Nothing is out; the module may be waiting for probes.
     Deciding,
     /// A tune-in is out. `written`: its first byte has gone or may have.
     Out { server: ServerId, tune_in: TuneIn, written: bool },
     /// `birth`: of the manager's start that set it up.
-    Plays { server: ServerId, birth: Birth, tune_in: TuneIn },
+    Plays { server: ServerId, birth: Incarnation, tune_in: TuneIn },
 }
 
 pub(crate) struct Viewing {
@@ -27,7 +27,7 @@
     /// Those that wait for the answer.
     pub requests: Vec<RequestId>,
     pub answered: bool,
-    pub step: Step,
+    pub state: SessionState,
     pub rung: usize,
     pub tune_ins: u16,
     /// When its player last asked.
@@ -82,7 +82,7 @@
     pub ending: Ending,
 }
 
-pub(crate) struct Book {
+pub(crate) struct SessionTable {
     pub viewings: BTreeMap<ViewingId, Viewing>,
     pub sessions: BTreeMap<SessionId, ViewingId>,
     /// Paid sessions that may have run, until their tokens end; and where, if an earlier start of ours set them up.
@@ -91,9 +91,9 @@
     spent_until: BTreeSet<(Duration, SessionId)>,
     pub ended: VecDeque<Ended>,
     pub ration: Option<Ration>,
-    pub fence: Fence,
+    pub rule_guard: RuleGuard,
     pub last: u32,
-    pub birth: Birth,
+    pub birth: Incarnation,
     /// Whether paid sessions that may have run are remembered.
     remembers: bool,
 }
@@ -106,16 +106,18 @@
     answer
 }
 
-impl Book {
-    pub fn new(ration: Option<(Duration, f64, f64)>, fence: Fence, birth: Birth, remembers: bool) -> Self {
-        Book {
+impl SessionTable {
+    pub fn new(
+        ration: Option<(Duration, f64, f64)>, rule_guard: RuleGuard, birth: Incarnation, remembers: bool,
+    ) -> Self {
+        SessionTable {
             viewings: BTreeMap::new(),
             sessions: BTreeMap::new(),
             spent: BTreeMap::new(),
             spent_until: BTreeSet::new(),
             ended: VecDeque::new(),
             ration: ration.map(Ration::new),
-            fence,
+            rule_guard,
             // Ids of different starts lie apart, so that what an earlier one left keeps its own.
             last: (birth.0 as u32).wrapping_mul(0x9E37_79B9),
             birth,
@@ -140,7 +142,7 @@
         for request in std::mem::take(&mut viewing.requests) {
             out.answer(request, with_sequence(answer, &mut viewing.token_chain));
         }
-        if !matches!(answer, Answer::Plays { .. }) && viewing.step == Step::Deciding {
+        if !matches!(answer, Answer::Plays { .. }) && viewing.state == SessionState::Deciding {
             self.forget(vw);
         }
     }
@@ -148,10 +150,10 @@
     /// The viewing is over and nothing of it is out.
     pub fn forget(&mut self, vw: ViewingId) {
         let Some(viewing) = self.viewings.remove(&vw) else { return };
-        if viewing.step != Step::Deciding {
-            self.fence.holds(viewing.package, viewing.title, false);
+        if viewing.state != SessionState::Deciding {
+            self.rule_guard.holds(viewing.package, viewing.title, false);
         }
-        self.fence.ended(viewing.session, vw);
+        self.rule_guard.ended(viewing.session, vw);
         if self.sessions.get(&viewing.session) == Some(&vw) {
             self.sessions.remove(&viewing.session);
         }
@@ -185,59 +187,59 @@
     /// Takes the tune-in off a viewing if it is that one.
     pub fn take_out(&mut self, vw: ViewingId, tune_in: TuneIn) -> Option<(ServerId, bool)> {
         let viewing = self.viewings.get_mut(&vw)?;
-        let Step::Out { server, tune_in: out, written } = viewing.step else { return None };
+        let SessionState::Out { server, tune_in: out, written } = viewing.state else { return None };
         if out != tune_in {
             return None;
         }
-        viewing.step = Step::Deciding;
-        self.fence.holds(viewing.package, viewing.title, false);
-        self.fence.ended(viewing.session, vw);
+        viewing.state = SessionState::Deciding;
+        self.rule_guard.holds(viewing.package, viewing.title, false);
+        self.rule_guard.ended(viewing.session, vw);
         Some((server, written))
     }
 }
 
 /// The module's hand in the book, for one event.
-pub(crate) struct Hand<'a> {
-    pub book: &'a mut Book,
+pub(crate) struct PolicyActions<'a> {
+    pub table: &'a mut SessionTable,
     pub out: &'a mut dyn Effects,
 }
 
-impl Actions for Hand<'_> {
+impl Actions for PolicyActions<'_> {
     fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
         let tune_in = TuneIn(viewing.tune_ins);
         viewing.tune_ins += 1;
-        viewing.step = Step::Out { server, tune_in, written: false };
-        self.book.fence.holds(viewing.package, viewing.title, true);
+        viewing.state = SessionState::Out { server, tune_in, written: false };
+        self.table.rule_guard.holds(viewing.package, viewing.title, true);
         let about = (PackageId(viewing.package), viewing.title);
         self.out.set_up((viewing.session, viewing.top), vw, tune_in, server, viewing.rung, about, limit);
-        self.out.wake(limit, Timer::Limit(vw, tune_in));
+        self.out.set_timer(limit, Timer::TuneInTimeout(vw, tune_in));
     }
 
     fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: Why) {
-        self.book.answer(self.out, vw, Answer::Blocked { come_back, why: Cause::Decided(why) });
+        self.table.answer(self.out, vw, Answer::Blocked { come_back, why: FailureCause::ByPolicy(why) });
     }
 
     fn abort(&mut self, vw: ViewingId, why: Why) {
-        self.book.answer(self.out, vw, Answer::Aborted { why: Cause::Decided(why) });
+        self.table.answer(self.out, vw, Answer::Aborted { why: FailureCause::ByPolicy(why) });
     }
 
     fn call_off(&mut self, vw: ViewingId, tune_in: u16) {
         let tune_in = TuneIn(tune_in);
         // One that plays by now is not called off.
-        let Some((server, written)) = self.book.take_out(vw, tune_in) else { return };
-        self.out.drop_set_up(vw, tune_in);
+        let Some((server, written)) = self.table.take_out(vw, tune_in) else { return };
+        self.out.cancel_set_up(vw, tune_in);
         if written {
-            self.out.release(server, self.book.birth, vw, tune_in);
+            self.out.release(server, self.table.birth, vw, tune_in);
         }
-        self.book.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
+        self.table.ended.push_back(Ended { vw, tune_in, server, ending: Ending::CalledOff });
     }
 
     fn set_rung(&mut self, vw: ViewingId, rung: usize) {
-        let Some(viewing) = self.book.viewings.get_mut(&vw) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
         viewing.rung = rung;
-        if let Step::Plays { server, birth, tune_in } = viewing.step {
-            self.out.rung(server, birth, vw, tune_in, rung);
+        if let SessionState::Plays { server, birth, tune_in } = viewing.state {
+            self.out.change_rung(server, birth, vw, tune_in, rung);
         }
     }
 
@@ -246,6 +248,6 @@
     }
 
     fn wake(&mut self, after: Duration, token: u64) {
-        self.out.wake(after, Timer::Module(token));
+        self.out.set_timer(after, Timer::PolicyTimer(token));
     }
 }
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use crate::{Answer, Breach, Cause, Happened, Over, Timer, TuneIn};
+use crate::{Answer, AttemptResult, EndReason, FailureCause, Timer, TuneIn, Violation};
 use ivyward::front::{Extent, KindId, Listed, Load, ServerId, Standing, ViewingId, Why, ZoneId};
 use ivyward_edge::TokenOrigin;
 use world::{BIRTH, Did, EARLIER, World, ms, server, session};
@@ -26,14 +26,14 @@
 
 #[test]
 fn what_follows_an_ending_goes_by_what_is_proved() {
-    use Happened::*;
+    use AttemptResult::*;
     // What happened, whether the plain and the paid package are set up again after it, and whether it is released.
     let cases = [
         (NotConnected, true, true, false),
         (NotWritten, true, true, false),
         (Refused, true, true, false),
-        (Errored, true, false, true),
-        (Broke, true, false, true),
+        (ServerError, true, false, true),
+        (ConnectionBroken, true, false, true),
     ];
     for (what, plain, paid, released) in cases {
         for (package, again) in [(PLAIN, plain), (PAID, paid)] {
@@ -48,10 +48,10 @@
             if !again {
                 assert_eq!(
                     answers(&world),
-                    [&Answer::Aborted { why: Cause::Decided(Why::Ran) }],
+                    [&Answer::Aborted { why: FailureCause::ByPolicy(Why::Ran) }],
                     "{what:?} of package {package}"
                 );
-                assert!(world.front.is_empty());
+                assert!(world.core.is_empty());
             }
         }
     }
@@ -65,7 +65,7 @@
     // Two requests cross, a refresh while it plays, another title under the same session.
     world.asks(2, session(1), PLAIN);
     assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
+    world.happens(vw, n, AttemptResult::Playing);
     world.asks(3, session(1), PLAIN);
     world.asks_for(4, session(1), PLAIN, 1);
     let set_ups = world.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
@@ -73,8 +73,8 @@
     assert_eq!((set_ups, all.len()), (1, 4), "{:?}", world.did);
     assert!(all[..3].iter().all(|answer| matches!(answer, Answer::Plays { tune_in, .. } if *tune_in == n)));
     assert_eq!(all[3], &Answer::Conflict);
-    world.over(vw, n, Over::Ended);
-    assert!(world.front.is_empty());
+    world.over(vw, n, EndReason::Completed);
+    assert!(world.core.is_empty());
 }
 
 #[test]
@@ -87,11 +87,11 @@
             let (vw, n) = out(&world);
             assert!(world.sending(vw, n));
             if limit_first {
-                world.fires(Timer::Limit(vw, n));
-                world.happens(vw, n, Happened::Plays);
+                world.fires(Timer::TuneInTimeout(vw, n));
+                world.happens(vw, n, AttemptResult::Playing);
             } else {
-                world.happens(vw, n, Happened::Plays);
-                world.fires(Timer::Limit(vw, n));
+                world.happens(vw, n, AttemptResult::Playing);
+                world.fires(Timer::TuneInTimeout(vw, n));
             }
             let plays =
                 answers(&world).iter().filter(|answer| matches!(answer, Answer::Plays { .. })).count();
@@ -99,7 +99,7 @@
             assert_eq!(world.released(vw, n), limit_first, "what may have run there is released");
             world.runs(ms(20_000));
             assert_eq!(answers(&world).len(), 1, "{:?}", world.did);
-            assert_eq!(world.front.breaches().len(), 0);
+            assert_eq!(world.core.violations().len(), 0);
         }
     }
 }
@@ -113,23 +113,25 @@
             let (vw, n) = out(&world);
             assert!(world.sending(vw, n));
             // The module's timer for a viewer's patience, then the core's own last moment.
-            let patience = |world: &mut World| world.fires(Timer::Module(1 << 32 | u64::from(vw.0)));
+            let patience = |world: &mut World| world.fires(Timer::PolicyTimer(1 << 32 | u64::from(vw.0)));
             if patience_first {
                 patience(&mut world);
-                world.happens(vw, n, Happened::Plays);
+                world.happens(vw, n, AttemptResult::Playing);
             } else {
-                world.happens(vw, n, Happened::Plays);
+                world.happens(vw, n, AttemptResult::Playing);
                 patience(&mut world);
             }
-            world.fires(Timer::Answer(vw));
+            world.fires(Timer::AnswerDeadline(vw));
             let wanted = match (patience_first, package) {
                 (false, _) => matches!(answers(&world)[..], [Answer::Plays { .. }]),
-                (true, PAID) => matches!(answers(&world)[..], [Answer::Aborted { why: Cause::Decided(_) }]),
+                (true, PAID) => {
+                    matches!(answers(&world)[..], [Answer::Aborted { why: FailureCause::ByPolicy(_) }])
+                }
                 (true, _) => matches!(answers(&world)[..], [Answer::Blocked { .. }]),
             };
             assert!(wanted, "package {package}, patience first: {patience_first}: {:?}", world.did);
             assert_eq!(world.released(vw, n), patience_first);
-            assert!(world.front.breaches().is_empty());
+            assert!(world.core.violations().is_empty());
         }
     }
 }
@@ -143,10 +145,10 @@
         if written {
             assert!(world.sending(vw, n));
         }
-        world.fires(Timer::Limit(vw, n));
+        world.fires(Timer::TuneInTimeout(vw, n));
         assert_eq!(world.released(vw, n), written);
         assert!(!world.sending(vw, n), "a set-up given up on is not written any more");
-        let aborted = answers(&world).contains(&&Answer::Aborted { why: Cause::Decided(Why::Ran) });
+        let aborted = answers(&world).contains(&&Answer::Aborted { why: FailureCause::ByPolicy(Why::Ran) });
         assert_eq!(aborted, written, "{:?}", world.did);
     }
 }
@@ -177,14 +179,14 @@
             assert!(world.sending(vw, n));
         }
         world.closes(1, session(1));
-        assert_eq!(world.front.live(), 1, "another request still waits");
+        assert_eq!(world.core.viewing_count(), 1, "another request still waits");
         world.closes(2, session(1));
         if plays_late {
-            world.happens(vw, n, Happened::Plays);
+            world.happens(vw, n, AttemptResult::Playing);
         }
         assert_eq!(world.released(vw, n), written);
         world.runs(ms(20_000));
-        assert!(world.front.is_empty() && answers(&world).is_empty(), "{:?}", world.did);
+        assert!(world.core.is_empty() && answers(&world).is_empty(), "{:?}", world.did);
     }
 }
 
@@ -192,10 +194,10 @@
 fn a_paid_session_that_may_have_run_is_never_set_up_again() {
     type Ends = fn(&mut World, ViewingId, TuneIn);
     let cases: [(&str, Ends, bool); 5] = [
-        ("played to its end", |w, vw, n| w.played(vw, n, Over::Ended), true),
-        ("its server was lost", |w, vw, n| w.played(vw, n, Over::Lost), true),
-        ("it broke", |w, vw, n| w.happens(vw, n, Happened::Broke), true),
-        ("no answer came", |w, vw, n| w.fires(Timer::Limit(vw, n)), true),
+        ("played to its end", |w, vw, n| w.played(vw, n, EndReason::Completed), true),
+        ("its server was lost", |w, vw, n| w.played(vw, n, EndReason::ServerLost), true),
+        ("it broke", |w, vw, n| w.happens(vw, n, AttemptResult::ConnectionBroken), true),
+        ("no answer came", |w, vw, n| w.fires(Timer::TuneInTimeout(vw, n)), true),
         ("turned away everywhere", |w, _, _| w.refuses_all(), false),
     ];
     for (name, ends, spent) in cases {
@@ -204,7 +206,7 @@
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
         ends(&mut world, vw, n);
-        assert!(world.front.is_empty(), "{name}");
+        assert!(world.core.is_empty(), "{name}");
         world.did.clear();
         world.asks(2, session(1), PAID);
         let again = world.did.iter().any(|did| matches!(did, Did::SetUp(..)));
@@ -213,7 +215,7 @@
     // After a restart only the token still tells that it was set up.
     let mut world = World::new();
     world.asks_begun(1, session(1), PAID);
-    assert_eq!(answers(&world), [&Answer::Aborted { why: Cause::Spent }]);
+    assert_eq!(answers(&world), [&Answer::Aborted { why: FailureCause::AlreadyUsed }]);
 }
 
 #[test]
@@ -223,15 +225,15 @@
         world.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
+        world.happens(vw, n, AttemptResult::Playing);
     }
     let (vw, n) = out(&world);
     let at = world.server_of(vw, n);
     let there = world.at(at);
     world.still(at, &[(vw, n)]);
-    assert_eq!(world.front.live(), 6 - there + 1);
+    assert_eq!(world.core.viewing_count(), 6 - there + 1);
     world.still(at, &[]);
-    assert_eq!(world.front.live(), 6 - there);
+    assert_eq!(world.core.viewing_count(), 6 - there);
 }
 
 #[test]
@@ -240,16 +242,16 @@
     world.asks(1, session(1), PLAIN);
     let (vw, n) = out(&world);
     assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
+    world.happens(vw, n, AttemptResult::Playing);
     for _ in 0..4 {
         world.runs(ms(6000));
         world.asks(2, session(1), PLAIN);
     }
-    assert_eq!(world.front.live(), 1, "it asks for manifests");
+    assert_eq!(world.core.viewing_count(), 1, "it asks for manifests");
     world.runs(ms(9500));
     assert!(world.did.contains(&Did::Fetched(vw)), "it asks no more, so its server is asked of it");
     world.fetched(vw, n, None);
-    assert!(world.front.is_empty() && world.released(vw, n));
+    assert!(world.core.is_empty() && world.released(vw, n));
 }
 
 #[test]
@@ -262,14 +264,14 @@
             assert!(world.sending(vw, n));
         }
         if i == 3 {
-            world.happens(vw, n, Happened::Plays);
+            world.happens(vw, n, AttemptResult::Playing);
         }
     }
     world.stop();
-    let why = Cause::Ends;
+    let why = FailureCause::ShuttingDown;
     let blocked = Answer::Blocked { come_back: None, why };
     let all = answers(&world);
-    assert_eq!((all.len(), world.front.waiting()), (4, 0));
+    assert_eq!((all.len(), world.core.pending_count()), (4, 0));
     assert_eq!([all[1], all[2], all[3]], [&blocked, &blocked, &Answer::Aborted { why }]);
     world.asks(9, session(9), PLAIN);
     assert_eq!(answers(&world).last(), Some(&&blocked), "nothing new is taken");
@@ -290,7 +292,7 @@
     }
     world.runs(ms(60_000));
     assert_eq!(answers(&world).len(), 400);
-    assert!(world.front.is_empty() && world.front.breaches().is_empty(), "{:?}", world.front.breaches());
+    assert!(world.core.is_empty() && world.core.violations().is_empty(), "{:?}", world.core.violations());
 }
 
 #[test]
@@ -301,36 +303,36 @@
         if i < 3 {
             let (vw, n) = out(&world);
             assert!(world.sending(vw, n));
-            world.happens(vw, n, Happened::Plays);
+            world.happens(vw, n, AttemptResult::Playing);
         }
     }
-    let seats = Answer::Blocked { come_back: None, why: Cause::Decided(Why::Seats) };
+    let seats = Answer::Blocked { come_back: None, why: FailureCause::ByPolicy(Why::Seats) };
     assert_eq!(answers(&world).last(), Some(&&seats));
     // The fence alone, handed what must not be.
-    let mut fence = world::fence();
+    let mut rule_guard = world::rule_guard();
     let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::front::TitleId(0)));
-    let send = |fence: &mut crate::Fence, at, vw, again, ran| {
-        fence.sending(ms(at), session(1), vw, server(1), about, (again, ran))
+    let send = |rule_guard: &mut crate::RuleGuard, at, vw, again, ran| {
+        rule_guard.sending(ms(at), session(1), vw, server(1), about, (again, ran))
     };
-    assert_eq!(send(&mut fence, 0, one, false, false), []);
-    assert_eq!(send(&mut fence, 1, two, false, false), [Breach::TwoTuneIns]);
-    fence.ended(session(1), two);
-    assert_eq!(send(&mut fence, 2, one, false, true), [Breach::PaidTwice]);
-    fence.ended(session(1), one);
-    fence.told(ms(10), server(1), Standing::Draining);
-    assert_eq!(send(&mut fence, 260, one, false, false), []);
-    fence.ended(session(1), one);
-    assert_eq!(send(&mut fence, 261, one, false, false), [Breach::AfterDrain]);
-    fence.ended(session(1), one);
-    fence.told(ms(300), server(1), Standing::Ready);
-    (0..3).for_each(|_| fence.holds(about.0, about.1, true));
-    assert_eq!(send(&mut fence, 301, one, false, false), [Breach::Seats]);
-    fence.holds(about.0, about.1, false);
-    for (i, breaches) in [vec![], vec![], vec![Breach::Ration]].into_iter().enumerate() {
-        fence.ended(session(1), one);
-        assert_eq!(send(&mut fence, 400 + i as u64, one, true, false), breaches);
+    assert_eq!(send(&mut rule_guard, 0, one, false, false), []);
+    assert_eq!(send(&mut rule_guard, 1, two, false, false), [Violation::TwoTuneIns]);
+    rule_guard.ended(session(1), two);
+    assert_eq!(send(&mut rule_guard, 2, one, false, true), [Violation::PaidTwice]);
+    rule_guard.ended(session(1), one);
+    rule_guard.told(ms(10), server(1), Standing::Draining);
+    assert_eq!(send(&mut rule_guard, 260, one, false, false), []);
+    rule_guard.ended(session(1), one);
+    assert_eq!(send(&mut rule_guard, 261, one, false, false), [Violation::AfterDrain]);
+    rule_guard.ended(session(1), one);
+    rule_guard.told(ms(300), server(1), Standing::Ready);
+    (0..3).for_each(|_| rule_guard.holds(about.0, about.1, true));
+    assert_eq!(send(&mut rule_guard, 301, one, false, false), [Violation::Seats]);
+    rule_guard.holds(about.0, about.1, false);
+    for (i, violations) in [vec![], vec![], vec![Violation::Ration]].into_iter().enumerate() {
+        rule_guard.ended(session(1), one);
+        assert_eq!(send(&mut rule_guard, 400 + i as u64, one, true, false), violations);
     }
-    assert_eq!(fence.counts.values().sum::<u64>(), 5);
+    assert_eq!(rule_guard.violation_counts.values().sum::<u64>(), 5);
 }
 
 #[test]
@@ -341,13 +343,13 @@
     for i in 1..=3 {
         world.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&world);
-        world.happens(vw, n, Happened::NotConnected);
+        world.happens(vw, n, AttemptResult::NotConnected);
         waiting.push(out(&world));
         world.runs(ms(10));
     }
     let sent: Vec<_> = waiting.into_iter().map(|(vw, n)| world.sending(vw, n)).collect();
     assert_eq!(sent, [true, true, false], "two are free");
-    assert!(world.front.breaches().is_empty());
+    assert!(world.core.violations().is_empty());
     world.runs(ms(20_000));
     assert_eq!(answers(&world).len(), 3);
 }
@@ -361,12 +363,12 @@
         for i in 1..=3 {
             world.asks(i, session(u128::from(i)), PLAIN);
             let (vw, n) = out(&world);
-            world.happens(vw, n, Happened::NotConnected);
+            world.happens(vw, n, AttemptResult::NotConnected);
             let (vw, n) = out(&world);
             if i == 1 && limit {
-                world.fires(Timer::Limit(vw, n));
+                world.fires(Timer::TuneInTimeout(vw, n));
             } else if i == 1 {
-                world.happens(vw, n, Happened::NotConnected);
+                world.happens(vw, n, AttemptResult::NotConnected);
             } else {
                 sent.push(world.sending(vw, n));
             }
@@ -382,7 +384,7 @@
         world.asks(1, session(1), PLAIN);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.happens_with(vw, n, Happened::Refused, Load { link: Some(full), uplink: Some(full) });
+        world.happens_with(vw, n, AttemptResult::Refused, Load { link: Some(full), uplink: Some(full) });
         world.runs(ms(20_000));
         assert_eq!(answers(&world).len(), 1, "{full}");
     }
@@ -396,11 +398,11 @@
         world.asks(1, session(1), PLAIN);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
+        world.happens(vw, n, AttemptResult::Playing);
         world.runs(ms(9500));
         assert_eq!(world.did.iter().filter(|did| **did == Did::Fetched(vw)).count(), 1);
         world.fetched(vw, n, quiet);
-        assert_eq!((world.front.is_empty(), world.released(vw, n)), (over, over), "{quiet:?}");
+        assert_eq!((world.core.is_empty(), world.released(vw, n)), (over, over), "{quiet:?}");
         world.runs(ms(9500));
         let asked = world.did.iter().filter(|did| **did == Did::Fetched(vw)).count();
         assert_eq!(asked, if over { 1 } else { 2 }, "{quiet:?}");
@@ -414,7 +416,7 @@
     world.asks(1, session(1), PLAIN);
     let (vw, n) = out(&world);
     assert!(world.sending(vw, n));
-    world.happens(vw, n, Happened::Plays);
+    world.happens(vw, n, AttemptResult::Playing);
     // The turn shown, and that of the token given with the answer; none where it is not taken.
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
     for (request, (sequence, next)) in (2..).zip(cases) {
@@ -426,7 +428,11 @@
         };
         assert_eq!(given, next, "sequence {sequence}");
     }
-    assert_eq!((world.front.live(), world.set_ups().len()), (1, 1), "whatever is shown, it is one viewing");
+    assert_eq!(
+        (world.core.viewing_count(), world.set_ups().len()),
+        (1, 1),
+        "whatever is shown, it is one viewing"
+    );
 }
 
 #[test]
@@ -434,7 +440,7 @@
     let mut world = World::new();
     world.finds(server(2), EARLIER, 70, session(1), PAID);
     world.finds(server(2), EARLIER, 70, session(1), PAID);
-    assert_eq!((world.front.live(), world.front.counts()), (1, (0, 1)));
+    assert_eq!((world.core.viewing_count(), world.core.inventory_counts()), (1, (0, 1)));
     // Its player goes on at the same server, paid or not, without a set-up.
     let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
     world.asks_with(1, session(1), PAID, 0, origin);
@@ -447,10 +453,10 @@
     // The same session again elsewhere, and one of our own start that we know nothing of, are nobody's.
     world.finds(server(3), EARLIER, 71, session(1), PAID);
     world.finds(server(3), BIRTH, 72, session(2), PLAIN);
-    assert_eq!((world.front.live(), world.front.counts()), (1, (2, 1)));
+    assert_eq!((world.core.viewing_count(), world.core.inventory_counts()), (1, (2, 1)));
     assert!([71, 72].into_iter().all(|vw| world.released(ViewingId(vw), TuneIn(2))));
     world.still(server(2), &[]);
-    assert!(world.front.is_empty(), "it went with its server");
+    assert!(world.core.is_empty(), "it went with its server");
 }
 
 #[test]
@@ -460,7 +466,7 @@
     for (word, package) in [(0, PLAIN), (0, PAID), (1, PLAIN), (1, PAID), (2, PLAIN), (2, PAID)] {
         let mut world = World::new();
         world.asks_with(1, session(1), package, 0, origin);
-        assert_eq!((world.front.waiting(), world.did.len()), (1, 0), "it waits");
+        assert_eq!((world.core.pending_count(), world.did.len()), (1, 0), "it waits");
         match word {
             0 => {
                 world.finds(server(2), EARLIER, 70, session(1), package);
@@ -471,19 +477,19 @@
         }
         match (word, package) {
             (0, _) => assert!(matches!(answers(&world)[..], [Answer::Plays { .. }]), "{:?}", world.did),
-            (_, PAID) => assert_eq!(answers(&world), [&Answer::Aborted { why: Cause::Spent }]),
+            (_, PAID) => assert_eq!(answers(&world), [&Answer::Aborted { why: FailureCause::AlreadyUsed }]),
             _ => assert_eq!(world.set_ups().len(), 1, "it is set up anew"),
         }
         // Closed or stopped while it waits, it is answered or gone.
         world.closes(1, session(1));
         world.stop();
-        assert_eq!(world.front.waiting(), 0);
+        assert_eq!(world.core.pending_count(), 0);
     }
     let mut world = World::new();
     world.asks_with(1, session(1), PLAIN, 0, origin);
     world.stop();
-    assert_eq!(answers(&world), [&Answer::Blocked { come_back: None, why: Cause::Ends }]);
-    assert!(world.front.is_empty());
+    assert_eq!(answers(&world), [&Answer::Blocked { come_back: None, why: FailureCause::ShuttingDown }]);
+    assert!(world.core.is_empty());
 }
 
 #[test]
@@ -499,9 +505,9 @@
         world.asks(u64::from(turn), session(u128::from(turn)), PAID);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.played(vw, n, Over::Ended);
+        world.played(vw, n, EndReason::Completed);
         world.runs(ms(60_000));
-        held.push(world.front.held());
+        held.push(world.core.entry_count());
     }
     assert!(held[39] <= held[12], "after 13 turns {}, after 40 {}", held[12], held[39]);
 }
@@ -587,7 +593,7 @@
                     assert!(world.sending(vw, n));
                 }
                 if matches!(stage, Stage::Playing | Stage::Releasing) {
-                    world.happens(vw, n, Happened::Plays);
+                    world.happens(vw, n, AttemptResult::Playing);
                 }
                 if stage == Stage::Releasing {
                     world.fetched(vw, n, None);
@@ -615,15 +621,15 @@
                 if !written && world.sending(vw, n) {
                     assert!(!(ends && to == at), "{told}: sent where the list says that it ends");
                 }
-                world.happens(vw, n, Happened::Plays);
+                world.happens(vw, n, AttemptResult::Playing);
             }
             if let Some((vw, n)) = world.set_ups().last().copied() {
-                world.over(vw, n, Over::Ended);
+                world.over(vw, n, EndReason::Completed);
             }
             world.runs(ms(20_000));
             let answered = answers(&world).len();
-            assert_eq!((answered, world.front.breaches().len()), (1, 0), "{told}: {:?}", world.did);
-            assert!(world.front.is_empty(), "{told}: something is left, {:?}", world.did);
+            assert_eq!((answered, world.core.violations().len()), (1, 0), "{told}: {:?}", world.did);
+            assert!(world.core.is_empty(), "{told}: something is left, {:?}", world.did);
         }
     }
 }
@@ -643,17 +649,17 @@
         if back {
             world.lists(&[(server(3), Standing::Ready)]);
         }
-        world.happens(vw, n, Happened::Refused);
+        world.happens(vw, n, AttemptResult::Refused);
         let again = world.set_ups().len() == 2;
         assert_eq!(again, back && at < 3000, "back: {back}, after {at} ms: {:?}", world.did);
         if again {
             let (vw, n) = out(&world);
             assert_eq!((world.server_of(vw, n), world.sending(vw, n)), (server(3), true));
-            world.played(vw, n, Over::Ended);
+            world.played(vw, n, EndReason::Completed);
         }
         world.runs(ms(20_000));
-        assert_eq!((answers(&world).len(), world.front.breaches().len()), (1, 0), "{at}: {:?}", world.did);
-        assert!(world.front.is_empty());
+        assert_eq!((answers(&world).len(), world.core.violations().len()), (1, 0), "{at}: {:?}", world.did);
+        assert!(world.core.is_empty());
     }
 }
 
@@ -672,13 +678,13 @@
                 assert!(world.sending(vw, n));
             }
             if step > 2 {
-                world.happens(vw, n, Happened::Plays);
+                world.happens(vw, n, AttemptResult::Playing);
             }
         }
         world.revokes(session(1));
         let wanted = if step < 3 { 1 } else { 0 };
         let revoked = answers(&world).iter().filter(|answer| ***answer == Answer::Revoked).count();
-        assert_eq!((revoked, world.front.is_empty()), (wanted, true), "step {step}: {:?}", world.did);
+        assert_eq!((revoked, world.core.is_empty()), (wanted, true), "step {step}: {:?}", world.did);
         if step > 1 {
             let (vw, n) = out(&world);
             assert!(world.released(vw, n), "step {step}");
@@ -693,13 +699,13 @@
         world.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&world);
         assert!(world.sending(vw, n));
-        world.happens(vw, n, Happened::Plays);
+        world.happens(vw, n, AttemptResult::Playing);
     }
     let (vw, n) = out(&world);
     let at = world.server_of(vw, n);
     let there = world.at(at);
     world.goes_astray(at);
-    assert_eq!(world.front.live(), 6 - there);
+    assert_eq!(world.core.viewing_count(), 6 - there);
     assert!(world.released(vw, n));
 }
 
@@ -728,32 +734,32 @@
         );
         world.runs(ms(60_000));
         assert_eq!(answers(&world).len(), 1);
-        assert!(world.front.is_empty(), "{package} {patience}");
+        assert!(world.core.is_empty(), "{package} {patience}");
         assert!(
             !world.did.iter().any(|did| matches!(did, Did::Fetched(_) | Did::Breach(_))),
             "{:?}",
             world.did
         );
         // The same once more: nothing is remembered that would refuse it.
-        let before = world.front.held();
+        let before = world.core.entry_count();
         world.asks_once(2, session(1), package, ms(patience));
-        assert_eq!((world.front.live(), world.front.held()), (1, before));
+        assert_eq!((world.core.viewing_count(), world.core.entry_count()), (1, before));
     }
 }
 
 #[test]
 fn a_session_that_is_handed_over_plays_until_it_ends() {
     for package in [PLAIN, PAID, SEATED] {
-        for why in [Over::Ended, Over::Left, Over::Lost] {
+        for why in [EndReason::Completed, EndReason::ViewerLeft, EndReason::ServerLost] {
             let mut world = World::of_requests();
             let key = world.handed(server(3), session(5), package).expect("taken");
             assert_eq!(world.handed(server(3), session(5), package), None, "named twice");
             world.runs(ms(120_000));
-            assert_eq!(world.front.live(), 1, "it plays for as long as nobody ends it");
+            assert_eq!(world.core.viewing_count(), 1, "it plays for as long as nobody ends it");
             world.ends(server(2), key, why);
-            assert_eq!(world.front.live(), 1, "not there");
+            assert_eq!(world.core.viewing_count(), 1, "not there");
             world.ends(server(3), key, why);
-            assert!(world.front.is_empty(), "{package} {why:?}");
+            assert!(world.core.is_empty(), "{package} {why:?}");
             assert!(answers(&world).is_empty() && !world.released(key.1, key.2), "{:?}", world.did);
         }
     }
--- a/crates/session/src/tests/world.rs
+++ b/crates/session/src/tests/world.rs
@@ -1,7 +1,8 @@
 //! A small world for the core: six servers, three packages, time that a test moves.
 
 use crate::{
-    Answer, Birth, Breach, Effects, Fence, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
+    Answer, AttemptResult, Effects, EndReason, Incarnation, RequestId, RuleGuard, SessionCore, SessionId,
+    Timer, TuneIn, Violation,
 };
 use ivyward::front::*;
 use ivyward::policy::Manager;
@@ -11,8 +12,8 @@
 use std::time::Duration;
 
 /// This start, and one before it.
-pub const BIRTH: Birth = Birth(7);
-pub const EARLIER: Birth = Birth(6);
+pub const BIRTH: Incarnation = Incarnation(7);
+pub const EARLIER: Incarnation = Incarnation(6);
 const BEGIN: Duration = Duration::from_secs(1000);
 
 /// Rationed as bytes go out; the module of this world counts generously.
@@ -39,7 +40,7 @@
     Release(ServerId, ViewingId, TuneIn),
     Fetched(ViewingId),
     Probe(ServerId),
-    Breach(Breach),
+    Breach(Violation),
 }
 
 #[derive(Default)]
@@ -58,37 +59,37 @@
     ) {
         self.did.push(Did::SetUp(vw, n, server));
     }
-    fn drop_set_up(&mut self, vw: ViewingId, n: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Drop(vw, n));
     }
-    fn release(&mut self, server: ServerId, _: Birth, vw: ViewingId, n: TuneIn) {
+    fn release(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Release(server, vw, n));
     }
-    fn rung(&mut self, _: ServerId, _: Birth, _: ViewingId, _: TuneIn, _: usize) {}
+    fn change_rung(&mut self, _: ServerId, _: Incarnation, _: ViewingId, _: TuneIn, _: usize) {}
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(server));
     }
-    fn fetched(&mut self, _: ServerId, _: Birth, vw: ViewingId, _: TuneIn) {
+    fn query_last_fetch(&mut self, _: ServerId, _: Incarnation, vw: ViewingId, _: TuneIn) {
         self.did.push(Did::Fetched(vw));
     }
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.push((after, timer));
     }
-    fn breach(&mut self, breach: Breach, _: ViewingId) {
-        self.did.push(Did::Breach(breach));
+    fn report_violation(&mut self, violation: Violation, _: ViewingId) {
+        self.did.push(Did::Breach(violation));
     }
 }
 
 pub struct World {
-    pub front: Front,
+    pub core: SessionCore,
     pub did: Vec<Did>,
     now: Duration,
     timers: BTreeMap<(Duration, u64), Timer>,
     order: u64,
 }
 
-pub fn fence() -> Fence {
-    Fence::new(ms(250), Some((ms(5000), 2.0, 0.0)), vec![0, 0, 2])
+pub fn rule_guard() -> RuleGuard {
+    RuleGuard::new(ms(250), Some((ms(5000), 2.0, 0.0)), vec![0, 0, 2])
 }
 
 impl World {
@@ -109,7 +110,7 @@
     fn of(probe: bool, sessions: Option<(Duration, Duration)>) -> World {
         let package =
             |once, seats| Package { value: 1.0, target: ms(1000), once, scale: 1.0, floor: 0, top: 1, seats };
-        let module = Manager::new(
+        let policy = Manager::new(
             (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
             Ladder { rates: vec![100.0, 200.0], worths: vec![0.5, 1.0], switch: 0.5 },
             Network {
@@ -126,12 +127,12 @@
             Some(Ration::new(ms(5000), 1000.0, 1.0)),
             vec![package(false, 0), package(true, 0), package(false, 2)],
         );
-        let fence = fence();
+        let rule_guard = rule_guard();
         let terms = vec![(ms(3000), false), (ms(3000), true), (ms(3000), false)];
         let spans = (ms(40), sessions.map(|(idle, _)| idle), sessions.map(|(_, paid)| paid));
-        let front = Front::new(Box::new(module), fence, terms, spans, Some(RATION), BIRTH);
-        let mut world = World { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
-        world.turn(|front, hands, now| front.start(hands, now));
+        let core = SessionCore::new(Box::new(policy), rule_guard, terms, spans, Some(RATION), BIRTH);
+        let mut world = World { core, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
+        world.turn(|core, hands, now| core.start(hands, now));
         let all: Vec<_> = (0..6).map(|i| (server(i), Standing::Ready)).collect();
         world.lists(&all);
         // Warm by now.
@@ -140,9 +141,9 @@
         world
     }
 
-    fn turn<T>(&mut self, act: impl FnOnce(&mut Front, &mut dyn Effects, Duration) -> T) -> T {
+    fn turn<T>(&mut self, act: impl FnOnce(&mut SessionCore, &mut dyn Effects, Duration) -> T) -> T {
         let mut hands = Hands::default();
-        let came = act(&mut self.front, &mut hands, self.now);
+        let came = act(&mut self.core, &mut hands, self.now);
         self.did.extend(hands.did);
         for (after, timer) in hands.timers {
             self.order += 1;
@@ -157,13 +158,13 @@
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), timer) = entry.remove_entry();
             self.now = at;
-            self.turn(|front, hands, now| front.woken(hands, now, timer));
+            self.turn(|core, hands, now| core.on_timer(hands, now, timer));
         }
         self.now = until;
     }
 
     pub fn fires(&mut self, timer: Timer) {
-        self.turn(|front, hands, now| front.woken(hands, now, timer));
+        self.turn(|core, hands, now| core.on_timer(hands, now, timer));
     }
 
     pub fn asks(&mut self, request: u64, session: SessionId, package: usize) {
@@ -176,7 +177,7 @@
 
     pub fn asks_begun(&mut self, request: u64, session: SessionId, package: usize) {
         // Its server has told that it has nothing of ours.
-        self.turn(|front, hands, now| front.heard(hands, now, server(0)));
+        self.turn(|core, hands, now| core.on_inventory_complete(hands, now, server(0)));
         let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(0), sequence: 1 };
         self.asks_with(request, session, package, 0, origin);
     }
@@ -189,88 +190,88 @@
         &mut self, request: u64, session: SessionId, package: usize, title: u64, origin: TokenOrigin,
     ) {
         let about = (PackageId(package), TitleId(title), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, hands, now| {
-            front.asked(hands, now, RequestId(request), session, about, origin, now + ms(60_000));
+        self.turn(|core, hands, now| {
+            core.on_request(hands, now, RequestId(request), session, about, origin, now + ms(60_000));
         });
     }
 
     /// A request that says itself how long it waits.
     pub fn asks_once(&mut self, request: u64, session: SessionId, package: usize, patience: Duration) {
         let about = (PackageId(package), TitleId(0), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, hands, now| {
-            front.asked_once(hands, now, RequestId(request), session, about, patience)
+        self.turn(|core, hands, now| {
+            core.on_single_request(hands, now, RequestId(request), session, about, patience)
         });
     }
 
     /// A session that plays is handed to us.
     pub fn handed(
         &mut self, at: ServerId, session: SessionId, package: usize,
-    ) -> Option<(Birth, ViewingId, TuneIn)> {
+    ) -> Option<(Incarnation, ViewingId, TuneIn)> {
         let about = (PackageId(package), TitleId(0), (0, 1));
-        self.turn(|front, hands, now| front.handed(hands, now, at, session, about))
+        self.turn(|core, hands, now| core.adopt_viewing(hands, now, at, session, about))
     }
 
-    pub fn ends(&mut self, at: ServerId, key: (Birth, ViewingId, TuneIn), why: Over) {
-        self.turn(|front, hands, now| front.over(hands, now, at, key, why));
+    pub fn ends(&mut self, at: ServerId, key: (Incarnation, ViewingId, TuneIn), why: EndReason) {
+        self.turn(|core, hands, now| core.on_viewing_ended(hands, now, at, key, why));
     }
 
     pub fn hears(&mut self, at: ServerId) {
-        self.turn(|front, hands, now| front.heard(hands, now, at));
+        self.turn(|core, hands, now| core.on_inventory_complete(hands, now, at));
     }
 
     /// A server plays that for us.
-    pub fn finds(&mut self, at: ServerId, birth: Birth, vw: u32, session: SessionId, package: usize) {
+    pub fn finds(&mut self, at: ServerId, birth: Incarnation, vw: u32, session: SessionId, package: usize) {
         let (tune_in, about) = ((birth, ViewingId(vw), TuneIn(2)), (PackageId(package), TitleId(0), (1, 1)));
-        self.turn(|front, hands, now| front.found(hands, now, at, tune_in, session, about));
+        self.turn(|core, hands, now| core.on_running_tune_in(hands, now, at, tune_in, session, about));
     }
 
     /// The server of a viewing says when its player last fetched.
     pub fn fetched(&mut self, vw: ViewingId, n: TuneIn, quiet: Option<Duration>) {
         let at = self.server_of(vw, n);
-        self.turn(|front, hands, now| front.fetched(hands, now, at, (BIRTH, vw, n), quiet));
+        self.turn(|core, hands, now| core.on_last_fetch(hands, now, at, (BIRTH, vw, n), quiet));
     }
 
     pub fn revokes(&mut self, session: SessionId) {
-        self.turn(|front, hands, now| front.revoked(hands, now, session));
+        self.turn(|core, hands, now| core.on_revoked(hands, now, session));
     }
 
     pub fn goes_astray(&mut self, at: ServerId) {
-        self.turn(|front, hands, now| front.astray(hands, now, at));
+        self.turn(|core, hands, now| core.on_clock_skew(hands, now, at));
     }
 
     pub fn closes(&mut self, request: u64, session: SessionId) {
-        self.turn(|front, hands, now| front.closed(hands, now, session, RequestId(request)));
+        self.turn(|core, hands, now| core.on_request_closed(hands, now, session, RequestId(request)));
     }
 
     pub fn sending(&mut self, vw: ViewingId, n: TuneIn) -> bool {
-        self.turn(|front, hands, now| front.sending(hands, now, vw, n))
+        self.turn(|core, hands, now| core.may_send_set_up(hands, now, vw, n))
     }
 
-    pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: Happened) {
+    pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult) {
         self.happens_with(vw, n, what, Load::default());
     }
 
-    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: Happened, load: Load) {
-        self.turn(|front, hands, now| front.happened(hands, now, vw, n, what, load));
+    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult, load: Load) {
+        self.turn(|core, hands, now| core.on_attempt_result(hands, now, vw, n, what, load));
     }
 
-    pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
+    pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
         let at = self.server_of(vw, n);
-        self.turn(|front, hands, now| front.over(hands, now, at, (BIRTH, vw, n), why));
+        self.turn(|core, hands, now| core.on_viewing_ended(hands, now, at, (BIRTH, vw, n), why));
     }
 
-    pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
-        self.happens(vw, n, Happened::Plays);
+    pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
+        self.happens(vw, n, AttemptResult::Playing);
         self.over(vw, n, why);
     }
 
     pub fn still(&mut self, at: ServerId, playing: &[(ViewingId, TuneIn)]) {
         let playing: Vec<_> = playing.iter().map(|(vw, n)| (BIRTH, *vw, *n)).collect();
-        self.turn(|front, hands, now| front.still(hands, now, at, &playing));
+        self.turn(|core, hands, now| core.on_inventory(hands, now, at, &playing));
     }
 
     pub fn stop(&mut self) {
-        self.turn(|front, hands, now| front.stop(hands, now));
+        self.turn(|core, hands, now| core.stop(hands, now));
     }
 
     /// A line of the list as it usually is.
@@ -285,7 +286,7 @@
     }
 
     pub fn lists_as(&mut self, rows: &[Listed], extent: Extent) {
-        self.turn(|front, _, now| front.listed(now, rows, extent));
+        self.turn(|core, _, now| core.on_server_list(now, rows, extent));
     }
 
     pub fn now(&self) -> Duration {
@@ -294,14 +295,14 @@
 
     /// A probe of a server is answered.
     pub fn probed(&mut self, at: ServerId, load: Option<Load>) {
-        self.turn(|front, hands, now| front.probed(hands, now, at, load));
+        self.turn(|core, hands, now| core.on_probe_result(hands, now, at, load));
     }
 
     /// Turns the set-up that is out away until nothing is out any more.
     pub fn refuses_all(&mut self) {
-        while let Some((vw, n)) = self.set_ups().last().copied().filter(|_| self.front.waiting() > 0) {
+        while let Some((vw, n)) = self.set_ups().last().copied().filter(|_| self.core.pending_count() > 0) {
             self.sending(vw, n);
-            self.happens(vw, n, Happened::Refused);
+            self.happens(vw, n, AttemptResult::Refused);
         }
     }
 
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one task that holds a session core, whatever the protocol round it: its clock, the queue of what happened, and the
 //! timers. Nothing here decides.
 
-use ivyward_session::{Effects, Front, Timer};
+use ivyward_session::{Effects, SessionCore, Timer};
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -66,11 +66,11 @@
     fn timers(&mut self) -> &mut Timers;
 
     /// Timers are due: what came before them and may lie unread is told first.
-    fn catches_up(&mut self, _: &mut Front, _: Duration) {}
+    fn catches_up(&mut self, _: &mut SessionCore, _: Duration) {}
 }
 
 /// Something that happened, handed to the core in its turn.
-type Job<H> = Box<dyn FnOnce(&mut Front, &mut H, Duration)>;
+type Job<H> = Box<dyn FnOnce(&mut SessionCore, &mut H, Duration)>;
 
 /// The queue into the core.
 pub struct Queue<H> {
@@ -100,7 +100,7 @@
 
 impl<H: Hands> Queue<H> {
     /// Puts something that happened into the queue.
-    pub fn tell(&self, job: impl FnOnce(&mut Front, &mut H, Duration) + 'static) {
+    pub fn tell(&self, job: impl FnOnce(&mut SessionCore, &mut H, Duration) + 'static) {
         self.waiting.set(self.waiting.get() + 1);
         self.jobs.send((self.clock.now(), Box::new(job))).ok();
     }
@@ -118,16 +118,16 @@
 impl<H: Hands> Turns<H> {
     /// Hands the core what comes, until nobody can put anything into the queue. `turned` is told when something had its
     /// turn, and how long it waited.
-    pub async fn run(mut self, front: &mut Front, hands: &mut H, turned: impl Fn(Duration, Duration)) {
+    pub async fn run(mut self, core: &mut SessionCore, hands: &mut H, turned: impl Fn(Duration, Duration)) {
         loop {
             let due = hands.timers().next().map(|at| self.clock.instant(at));
             tokio::select! {
                 biased;
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + NEVER)) => {
                     let now = self.clock.now();
-                    hands.catches_up(front, now);
+                    hands.catches_up(core, now);
                     while let Some(timer) = hands.timers().due(now) {
-                        front.woken(hands, now, timer);
+                        core.on_timer(hands, now, timer);
                     }
                 }
                 job = self.jobs.recv() => match job {
@@ -135,7 +135,7 @@
                         let now = self.clock.now();
                         self.waiting.set(self.waiting.get().saturating_sub(1));
                         turned(now, now.saturating_sub(told));
-                        job(front, hands, now);
+                        job(core, hands, now);
                     }
                     None => return,
                 },
