--- a/crates/edge/src/overload_gate.rs
+++ b/crates/edge/src/overload_gate.rs
@@ -6,7 +6,7 @@
 
 /// Turns at the core that a viewing needs before its answer: to be taken, to be sent, and to hear what came of it.
 const TURNS: u32 = 3;
-/// New connections wait in the listener's queue while a turn takes this part of the shortest_patience patience.
+/// New connections wait in the listener's queue while a turn takes this part of the shortest patience.
 const STRAINED: f64 = 0.125;
 
 /// What is known of how long things wait here: the last few turns at the core, and the last few answers.
@@ -34,7 +34,7 @@
     }
 
     /// The longest of the last turns. Guards against a flood that has gone and left its samples behind: what is older
-    /// than the shortest_patience patience counts no more.
+    /// than the shortest patience counts no more.
     fn lag(&self, now: Duration) -> Duration {
         let late = self.queue_delays.iter().filter(|(at, _)| *at + self.shortest_patience > now);
         late.map(|(_, waited)| *waited).max().unwrap_or_default()
