--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -4,9 +4,9 @@
 use ivyward::policy::Manager;
 use ivyward::state::{Ladder, Limits, Network, Package, Prices, RetryBudget, SlowStart};
 use ivyward_dash::token::Keys;
-use ivyward_edge::Refresh;
+use ivyward_edge::RefreshSchedule;
 use ivyward_replica::Group;
-use ivyward_session::Fence;
+use ivyward_session::RuleGuard;
 use ivyward_settings::{Fault, Part, twice};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -77,7 +77,7 @@
     }
     // Guards against tokens that end before their players can have asked for the next ones.
     let (patience, segment) = (patiences(settings), manifest.span("segment_s"));
-    let least = Refresh::margin(segment, patience.1) + segment;
+    let least = RefreshSchedule::margin(segment, patience.1) + segment;
     if tokens.span("life_s") < least {
         let least = least.as_secs_f64();
         faults.push(
@@ -146,7 +146,7 @@
 }
 
 /// The decision module, as the settings have it.
-pub fn module(settings: &Part) -> Manager {
+pub fn policy(settings: &Part) -> Manager {
     let (manager, network) = (settings.one("manager"), settings.one("network"));
     let (cold, limits, ladder) = (settings.one("cold"), settings.one("limits"), settings.one("ladder"));
     let rungs = ladder.list("rung");
@@ -190,9 +190,9 @@
     )
 }
 
-pub fn fence(settings: &Part) -> Fence {
+pub fn rule_guard(settings: &Part) -> RuleGuard {
     let seats = settings.list("package").iter().map(|package| package.count("seats")).collect();
-    Fence::new(settings.one("network").span("drain_grace_s"), ration(settings), seats)
+    RuleGuard::new(settings.one("network").span("drain_grace_s"), ration(settings), seats)
 }
 
 fn peers_faults(settings: &Part) -> Vec<Fault> {
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -5,10 +5,14 @@
 use crate::tally::{Tally, Told};
 use crate::{Ended, link, list, setup};
 use ivyward::interface::{ListScope, PackageId, ServerEntry, ServerId, ServerState, TitleId, ViewingId};
-use ivyward_edge::{Calendar, Doors, Errand, Gate, Seldom, Ticket, Turn};
+use ivyward_edge::{
+    Admission, ClockConsensus, ConnectionLimits, LogRateLimiter, OverloadGate, Purpose, WaiterId,
+};
 use ivyward_event_loop::{Clock, EventSender, Timers, channel};
 use ivyward_peers::Peers;
-use ivyward_session::{Answer, Birth, Breach, Decides, Effects, Front, RequestId, SessionId, Timer, TuneIn};
+use ivyward_session::{
+    Answer, Effects, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer, TuneIn, Violation,
+};
 use ivyward_settings::Part;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -51,13 +55,13 @@
     /// Other managers, and how long a viewer is told to stay away when too few of them are reached.
     pub peers: Option<Peers>,
     pub come_back: Option<Duration>,
-    pub gate: RefCell<Gate>,
+    pub overload_gate: RefCell<OverloadGate>,
     spans: Clock,
     clock: Rc<dyn Fn() -> Duration>,
-    calendar: RefCell<Calendar>,
-    doors: RefCell<Doors>,
+    clock_consensus: RefCell<ClockConsensus>,
+    connection_limits: RefCell<ConnectionLimits>,
     /// Those that wait for a place at a server.
-    turns: RefCell<BTreeMap<Ticket, oneshot::Sender<()>>>,
+    admission_waiters: RefCell<BTreeMap<WaiterId, oneshot::Sender<()>>>,
     events: EventSender<DaemonHost>,
     /// Servers whose notes are followed.
     links: RefCell<BTreeMap<ServerId, AbortHandle>>,
@@ -72,7 +76,7 @@
     /// The notes that found the queue too long.
     unheard: Cell<u64>,
     tally: RefCell<Tally>,
-    seldom: RefCell<Seldom>,
+    log_limiter: RefCell<LogRateLimiter>,
     /// Lines that the log left out by itself.
     dropped: Lines,
 }
@@ -85,7 +89,7 @@
     /// # Errors
     /// The settings don't fit together.
     pub fn start(
-        settings: &Part, module: Box<dyn Decides>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
+        settings: &Part, policy: Box<dyn Policy>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
         peers: Option<Peers>, address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
     ) -> Result<Shell, String> {
         let (manager, limits) = (settings.one("manager"), settings.one("limits"));
@@ -109,11 +113,11 @@
             paid_for: limits.span("paid_for_s"),
             peers,
             come_back: limits.has("come_back_s").then(|| limits.span("come_back_s")),
-            gate: RefCell::new(Gate::new(setup::patiences(settings).0)),
+            overload_gate: RefCell::new(OverloadGate::new(setup::patiences(settings).0)),
             clock,
-            calendar: RefCell::new(Calendar::new(settings.one("tokens").span("skew_s"))),
-            doors: RefCell::new(Doors::new(limits.count("connections"))),
-            turns: RefCell::default(),
+            clock_consensus: RefCell::new(ClockConsensus::new(settings.one("tokens").span("skew_s"))),
+            connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
+            admission_waiters: RefCell::default(),
             spans,
             events,
             links: RefCell::default(),
@@ -127,20 +131,20 @@
             requests: Cell::new(0),
             unheard: Cell::new(0),
             tally: RefCell::default(),
-            seldom: RefCell::default(),
+            log_limiter: RefCell::default(),
             dropped,
         };
         let shell = Shell(Rc::new(inner));
         // A player asks again after each refresh, late by the time of a segment at most.
         let idle = (manifest.span("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
         let spans = (SLACK, Some(idle), Some(limits.span("paid_for_s")));
-        let mut front = Front::new(
-            module,
-            setup::fence(settings),
+        let mut core = SessionCore::new(
+            policy,
+            setup::rule_guard(settings),
             setup::terms(settings),
             spans,
             setup::ration(settings),
-            Birth(birth),
+            Incarnation(birth),
         );
         let mut host = DaemonHost {
             shell: shell.clone(),
@@ -148,16 +152,16 @@
             answers: BTreeMap::new(),
             out: BTreeMap::new(),
         };
-        front.start(&mut host, shell.now());
+        core.start(&mut host, shell.now());
         let date = shell.date();
         for (session, server, until) in spent {
-            front.spent(session, server, shell.now() + until.saturating_sub(date));
+            core.restore_paid_session(session, server, shell.now() + until.saturating_sub(date));
         }
         let known = setup::servers(settings);
         if !known.is_empty() {
             let extent = if settings.has("list_address") { ListScope::Restored } else { ListScope::Full };
             let known = shell.follow(&known, extent);
-            front.listed(shell.now(), &known, extent);
+            core.on_server_list(shell.now(), &known, extent);
         }
         if let Ok(list) = settings.text("list_address").parse() {
             spawn_local(list::follow(shell.clone(), list));
@@ -172,7 +176,9 @@
         let turned = shell.clone();
         spawn_local(async move {
             event_loop
-                .run(&mut front, &mut host, |now, waited| turned.0.gate.borrow_mut().turn(now, waited))
+                .run(&mut core, &mut host, |now, waited| {
+                    turned.0.overload_gate.borrow_mut().record_queue_delay(now, waited)
+                })
                 .await;
         });
         Ok(shell)
@@ -183,12 +189,12 @@
     }
 
     /// Puts something that happened into the queue.
-    pub fn tell(&self, event: impl FnOnce(&mut Front, &mut DaemonHost, Duration) + 'static) {
+    pub fn tell(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
         self.0.events.send(event);
     }
 
     /// The same for what may be left out. Guards against servers that send notes faster than they are handled.
-    pub fn tell_if_free(&self, event: impl FnOnce(&mut Front, &mut DaemonHost, Duration) + 'static) {
+    pub fn tell_if_free(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
         if self.0.events.waiting() < NOTES {
             return self.tell(event);
         }
@@ -203,24 +209,24 @@
 
     /// Whether a line of a kind that may come in floods is written; then how many were left out before it.
     pub fn line(&self, kind: &'static str) -> Option<u64> {
-        self.0.seldom.borrow_mut().line(self.now(), kind)
+        self.0.log_limiter.borrow_mut().check(self.now(), kind)
     }
 
     /// What was left out: lines of floods, lines of a log that nobody reads, notes.
     fn left_out(&self) -> (u64, u64, u64) {
-        (self.0.seldom.borrow().left_out(), (self.0.dropped)(), self.0.unheard.get())
+        (self.0.log_limiter.borrow().suppressed(), (self.0.dropped)(), self.0.unheard.get())
     }
 
     /// What requests were answered and why, what was left out, and what is held by server.
     pub fn counts(&self) -> Value {
         let (floods, dropped, notes) = self.left_out();
-        let (places, tickets) = self.0.doors.borrow().count();
+        let (places, tickets) = self.0.connection_limits.borrow().count();
         json!({
             "answers": self.0.tally.borrow().page(),
             "left_out": {"lines_of_floods": floods, "lines_of_the_log": dropped, "notes": notes},
             "held": {
                 "servers": self.0.rows.borrow().len(), "links": self.0.links.borrow().len(),
-                "clocks": self.0.calendar.borrow().len(), "connections": self.0.pool.count(),
+                "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.count(),
                 "places": places + tickets, "queue": self.0.events.waiting(),
             },
         })
@@ -228,7 +234,7 @@
 
     /// The date to go by: our own clock's, unless most servers say otherwise.
     pub fn date(&self) -> Duration {
-        let (date, believed) = self.0.calendar.borrow_mut().date(self.now(), (self.0.clock)());
+        let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)());
         if !believed {
             tracing::debug!("our own clock is not believed");
         }
@@ -250,14 +256,14 @@
 
     /// A server answered with its date.
     pub fn dated(&self, server: ServerId, date: Duration) {
-        self.0.calendar.borrow_mut().heard(self.now(), server, date);
+        self.0.clock_consensus.borrow_mut().record(self.now(), server, date);
         self.judge(server);
     }
 
     /// Guards against a server whose clock jumps: its players' tokens are not taken there, so it gets nothing new, and
     /// what plays there is over.
     fn judge(&self, server: ServerId) {
-        let off = self.0.calendar.borrow().astray(server);
+        let off = self.0.clock_consensus.borrow().is_skewed(server);
         let changed = if off {
             self.0.astray.borrow_mut().insert(server)
         } else {
@@ -267,10 +273,10 @@
         let Some(row) = row.filter(|_| changed) else { return };
         tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
         let row = self.seen(row);
-        self.tell(move |front, host, now| {
-            front.listed(now, &[row], ListScope::Changes);
+        self.tell(move |core, host, now| {
+            core.on_server_list(now, &[row], ListScope::Changes);
             if off {
-                front.astray(host, now, server);
+                core.on_clock_skew(host, now, server);
             }
         });
     }
@@ -290,12 +296,12 @@
             tracing::info!(answers, floods, log, notes, "answered; left out so far");
         }
         let (now, (_, believed)) =
-            (self.now(), self.0.calendar.borrow_mut().date(self.now(), (self.0.clock)()));
+            (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)()));
         if !believed {
             tracing::error!("our clock lies far from the servers' clocks: theirs is gone by");
         }
         self.forget_gone();
-        let silent = self.0.calendar.borrow().silent(now, SWEEP * SILENT);
+        let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP * SILENT);
         for server in silent {
             spawn_local(link::ask_date(self.clone(), server));
         }
@@ -315,23 +321,24 @@
         }
         let rows = self.0.rows.borrow();
         self.0.astray.borrow_mut().retain(|server| rows.contains_key(server));
-        self.0.calendar.borrow_mut().retain(|server| rows.contains_key(&server));
-        self.0.doors.borrow_mut().retain(|server| rows.contains_key(&server));
+        self.0.clock_consensus.borrow_mut().retain(|server| rows.contains_key(&server));
+        self.0.connection_limits.borrow_mut().retain(|server| rows.contains_key(&server));
     }
 
     /// A place for a connection to a server, of use until `until`; none where it would come too late.
-    pub async fn place(&self, server: ServerId, errand: Errand, until: Duration) -> Option<Place> {
-        let (ticket, turn) = self.0.doors.borrow_mut().ask(self.now(), server, errand, until);
-        let mut place = Place { shell: self.clone(), server, errand, ticket, since: None, asked: true };
+    pub async fn place(&self, server: ServerId, purpose: Purpose, until: Duration) -> Option<Place> {
+        let (waiter_id, turn) =
+            self.0.connection_limits.borrow_mut().acquire_slot(self.now(), server, purpose, until);
+        let mut place = Place { shell: self.clone(), server, purpose, waiter_id, since: None, asked: true };
         match turn {
-            Turn::Never => {
+            Admission::Rejected => {
                 place.asked = false;
                 return None;
             }
-            Turn::Now => {}
-            Turn::Waits => {
+            Admission::Granted => {}
+            Admission::Queued => {
                 let (tell, told) = oneshot::channel();
-                self.0.turns.borrow_mut().insert(ticket, tell);
+                self.0.admission_waiters.borrow_mut().insert(waiter_id, tell);
                 timeout(until.saturating_sub(self.now()), told).await.ok()?.ok()?;
             }
         }
@@ -340,11 +347,11 @@
     }
 
     /// A place given back passes to the next that still waits for it.
-    fn pass(&self, server: ServerId, errand: Errand, took: Duration) {
+    fn pass(&self, server: ServerId, purpose: Purpose, took: Duration) {
         loop {
-            let next = self.0.doors.borrow_mut().done(self.now(), server, errand, took);
-            let Some(ticket) = next else { return };
-            let told = self.0.turns.borrow_mut().remove(&ticket);
+            let next = self.0.connection_limits.borrow_mut().release_slot(self.now(), server, purpose, took);
+            let Some(waiter_id) = next else { return };
+            let told = self.0.admission_waiters.borrow_mut().remove(&waiter_id);
             if told.is_some_and(|told| told.send(()).is_ok()) {
                 return;
             }
@@ -399,16 +406,16 @@
     /// Some viewing was left without an answer.
     pub async fn end(&self, within: Duration) -> Result<Ended, String> {
         let until = Instant::now() + within;
-        let (places, tickets) = self.0.doors.borrow().count();
+        let (places, tickets) = self.0.connection_limits.borrow().count();
         let mut ended =
             Ended { places: places + tickets, connections: self.0.pool.count(), ..Default::default() };
         let (tell, told) = oneshot::channel();
-        self.tell(move |front, host, now| {
-            (ended.viewings, ended.timers) = (front.live(), host.timers.count());
-            (ended.orphans, ended.taken_over) = front.counts();
-            front.stop(host, now);
-            ended.breaches = front.breaches().values().sum();
-            let _ = tell.send((ended, front.waiting(), front.breaches().clone()));
+        self.tell(move |core, host, now| {
+            (ended.viewings, ended.timers) = (core.viewing_count(), host.timers.count());
+            (ended.orphans, ended.taken_over) = core.inventory_counts();
+            core.stop(host, now);
+            ended.breaches = core.violations().values().sum();
+            let _ = tell.send((ended, core.pending_count(), core.violations().clone()));
         });
         let (ended, waiting, breaches) = told.await.map_err(|_| "the core is gone".to_string())?;
         // Answers and releases still have to leave.
@@ -428,23 +435,23 @@
 pub struct Place {
     shell: Shell,
     server: ServerId,
-    errand: Errand,
-    ticket: Ticket,
+    purpose: Purpose,
+    waiter_id: WaiterId,
     since: Option<Duration>,
     asked: bool,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let (shell, server, errand) = (&self.shell, self.server, self.errand);
+        let (shell, server, purpose) = (&self.shell, self.server, self.purpose);
         match self.since {
-            Some(since) => shell.pass(server, errand, shell.now().saturating_sub(since)),
+            Some(since) => shell.pass(server, purpose, shell.now().saturating_sub(since)),
             None if !self.asked => {}
             None => {
-                shell.0.doors.borrow_mut().quit(server, errand, self.ticket);
+                shell.0.connection_limits.borrow_mut().cancel(server, purpose, self.waiter_id);
                 // Guards against a place that was passed on in the moment in which its taker gave up.
-                if shell.0.turns.borrow_mut().remove(&self.ticket).is_none() {
-                    shell.pass(server, errand, Duration::ZERO);
+                if shell.0.admission_waiters.borrow_mut().remove(&self.waiter_id).is_none() {
+                    shell.pass(server, purpose, Duration::ZERO);
                 }
             }
         }
@@ -498,36 +505,38 @@
         self.out.insert((vw, tune_in), spawn_local(set_up).abort_handle());
     }
 
-    fn drop_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
         // The connection goes with the task.
         if let Some(task) = self.out.remove(&(vw, tune_in)) {
             task.abort();
         }
     }
 
-    fn release(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn) {
+    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
         spawn_local(link::release(self.shell.clone(), server, (birth, vw, tune_in)));
     }
 
-    fn rung(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn, rung: usize) {
-        spawn_local(link::rung(self.shell.clone(), server, (birth, vw, tune_in), rung));
+    fn change_rung(
+        &mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn, rung: usize,
+    ) {
+        spawn_local(link::change_rung(self.shell.clone(), server, (birth, vw, tune_in), rung));
     }
 
     fn probe(&mut self, server: ServerId) {
         spawn_local(link::probe(self.shell.clone(), server));
     }
 
-    fn fetched(&mut self, server: ServerId, birth: Birth, vw: ViewingId, tune_in: TuneIn) {
-        spawn_local(link::fetched(self.shell.clone(), server, (birth, vw, tune_in)));
+    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
+        spawn_local(link::query_last_fetch(self.shell.clone(), server, (birth, vw, tune_in)));
     }
 
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.set(self.shell.now() + after, timer);
     }
 
-    fn breach(&mut self, breach: Breach, vw: ViewingId) {
+    fn report_violation(&mut self, violation: Violation, vw: ViewingId) {
         if let Some(left_out) = self.shell.line("a rule") {
-            tracing::error!(?breach, viewing = vw.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = vw.0, left_out, "a rule is broken");
         }
     }
 }
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -2,7 +2,7 @@
 //! sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer up.
 
 use ivyward::interface::RefusalReason;
-use ivyward_session::Cause;
+use ivyward_session::FailureCause;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 pub type Told = (&'static str, &'static str);
 
 /// The name of a cause.
-pub fn name(cause: Cause) -> &'static str {
+pub fn name(cause: FailureCause) -> &'static str {
     match cause {
-        Cause::Decided(RefusalReason::UnknownPackage) => "unknown package",
-        Cause::Decided(RefusalReason::SeatsTaken) => "seats",
-        Cause::Decided(RefusalReason::PatienceOver) => "patience",
-        Cause::Decided(RefusalReason::TuneInsUsedUp) => "tune-ins",
-        Cause::Decided(RefusalReason::RetryBudgetExhausted) => "ration",
-        Cause::Decided(RefusalReason::NoReadyHolder) => "no holder",
-        Cause::Decided(RefusalReason::HoldersCold) => "cold",
-        Cause::Decided(RefusalReason::RateLimited) => "tokens of the bucket",
-        Cause::Decided(RefusalReason::MayHaveRun) => "may have run",
-        Cause::Decided(RefusalReason::MayStillRun) => "an earlier attempt may still run",
-        Cause::Spent => "paid before",
-        Cause::GivenUp => "given up",
-        Cause::Late => "late",
-        Cause::Ends => "the manager ends",
-        Cause::Alone => "no majority of keepers",
+        FailureCause::ByPolicy(RefusalReason::UnknownPackage) => "unknown package",
+        FailureCause::ByPolicy(RefusalReason::SeatsTaken) => "seats",
+        FailureCause::ByPolicy(RefusalReason::PatienceOver) => "patience",
+        FailureCause::ByPolicy(RefusalReason::TuneInsUsedUp) => "tune-ins",
+        FailureCause::ByPolicy(RefusalReason::RetryBudgetExhausted) => "ration",
+        FailureCause::ByPolicy(RefusalReason::NoReadyHolder) => "no holder",
+        FailureCause::ByPolicy(RefusalReason::HoldersCold) => "cold",
+        FailureCause::ByPolicy(RefusalReason::RateLimited) => "tokens of the bucket",
+        FailureCause::ByPolicy(RefusalReason::MayHaveRun) => "may have run",
+        FailureCause::ByPolicy(RefusalReason::MayStillRun) => "an earlier attempt may still run",
+        FailureCause::AlreadyUsed => "paid before",
+        FailureCause::Abandoned => "given up",
+        FailureCause::AnswerOverdue => "late",
+        FailureCause::ShuttingDown => "the manager ends",
+        FailureCause::NoMajority => "no majority of keepers",
     }
 }
 
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -44,7 +44,7 @@
             vw: 7,
             n: 3,
             server,
-            turn: 9,
+            sequence: 9,
             began: s(99),
         };
         for granted in [None, Some(granted)] {
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one task that holds a session core, whatever the protocol round it: its clock, the queue of what happened, and the
 //! timers. Nothing here decides.
 
-use ivyward_session::{Effects, Front, Timer};
+use ivyward_session::{Effects, SessionCore, Timer};
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -66,11 +66,11 @@
     fn timers(&mut self) -> &mut Timers;
 
     /// Timers are due: what came before them and may lie unread is told first.
-    fn before_timers(&mut self, _: &mut Front, _: Duration) {}
+    fn before_timers(&mut self, _: &mut SessionCore, _: Duration) {}
 }
 
 /// Something that happened, handed to the core in its turn.
-type Event<H> = Box<dyn FnOnce(&mut Front, &mut H, Duration)>;
+type Event<H> = Box<dyn FnOnce(&mut SessionCore, &mut H, Duration)>;
 
 /// The queue into the core.
 pub struct EventSender<H> {
@@ -100,7 +100,7 @@
 
 impl<H: Host> EventSender<H> {
     /// Puts something that happened into the queue.
-    pub fn send(&self, event: impl FnOnce(&mut Front, &mut H, Duration) + 'static) {
+    pub fn send(&self, event: impl FnOnce(&mut SessionCore, &mut H, Duration) + 'static) {
         self.waiting.set(self.waiting.get() + 1);
         self.events.send((self.clock.now(), Box::new(event))).ok();
     }
@@ -118,16 +118,18 @@
 impl<H: Host> EventLoop<H> {
     /// Hands the core what comes, until nobody can put anything into the queue. `on_dispatch` is told when something had its
     /// turn, and how long it waited.
-    pub async fn run(mut self, front: &mut Front, host: &mut H, on_dispatch: impl Fn(Duration, Duration)) {
+    pub async fn run(
+        mut self, core: &mut SessionCore, host: &mut H, on_dispatch: impl Fn(Duration, Duration),
+    ) {
         loop {
             let due = host.timers().next().map(|at| self.clock.instant(at));
             tokio::select! {
                 biased;
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + IDLE_INTERVAL)) => {
                     let now = self.clock.now();
-                    host.before_timers(front, now);
+                    host.before_timers(core, now);
                     while let Some(timer) = host.timers().due(now) {
-                        front.woken(host, now, timer);
+                        core.on_timer(host, now, timer);
                     }
                 }
                 event = self.events.recv() => match event {
@@ -135,7 +137,7 @@
                         let now = self.clock.now();
                         self.waiting.set(self.waiting.get().saturating_sub(1));
                         on_dispatch(now, now.saturating_sub(queued_at));
-                        event(front, host, now);
+                        event(core, host, now);
                     }
                     None => return,
                 },
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -2,7 +2,7 @@
 //! compared with, behind the same core. It keeps the rules on what is paid and on the ration, and nothing else.
 
 use ivyward::interface::*;
-use ivyward_session::Decides;
+use ivyward_session::Policy;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -88,7 +88,7 @@
     }
 }
 
-impl Decides for Random {
+impl Policy for Random {
     fn start(&mut self, _: &mut dyn Actions, _: Duration) {}
 
     fn on_server_list(&mut self, _: Duration, list: &[ServerEntry], scope: ListScope) {
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -9,13 +9,14 @@
     ZoneId,
 };
 use ivyward_daemon::setup;
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 use ivyward_fleet::{
     FetchOutcome, Fleet, LoadNote, ManagerNo, ServerNo, SetUpOutcome, StreamEnd as Ends, TuneInKey,
 };
 use ivyward_rules::{Asked, Came, History, Life, Record, SetUpEnd, Terms, What};
 use ivyward_session::{
-    Answer, Birth, Breach, Decides, Effects, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
+    Answer, AttemptResult, Effects, EndReason, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer,
+    TuneIn, Violation,
 };
 use ivyward_settings::Part;
 use rand::RngExt;
@@ -76,17 +77,17 @@
     Answer(RequestId, Answer),
     SetUp(SessionId, usize, (ViewingId, TuneIn), ServerNo, usize, (usize, u64)),
     Drop(ViewingId, TuneIn),
-    Release(ServerNo, Birth, ViewingId, TuneIn),
-    Rung(ServerNo, Birth, ViewingId, TuneIn, usize),
+    Release(ServerNo, Incarnation, ViewingId, TuneIn),
+    Rung(ServerNo, Incarnation, ViewingId, TuneIn, usize),
     Probe(ServerNo),
-    Fetched(ServerNo, Birth, ViewingId, TuneIn),
+    Fetched(ServerNo, Incarnation, ViewingId, TuneIn),
     Wake(Duration, Timer),
 }
 
 #[derive(Default)]
 struct EffectLog {
     did: Vec<Did>,
-    breaches: Vec<Breach>,
+    breaches: Vec<Violation>,
 }
 
 fn no(ServerId(id): ServerId) -> ServerNo {
@@ -108,32 +109,32 @@
     ) {
         self.did.push(Did::SetUp(session, top, (vw, n), no(server), rung, (package.0, title.0)));
     }
-    fn drop_set_up(&mut self, vw: ViewingId, n: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Drop(vw, n));
     }
-    fn release(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn) {
+    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Release(no(server), birth, vw, n));
     }
-    fn rung(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn, rung: usize) {
+    fn change_rung(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn, rung: usize) {
         self.did.push(Did::Rung(no(server), birth, vw, n, rung));
     }
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(no(server)));
     }
-    fn fetched(&mut self, server: ServerId, birth: Birth, vw: ViewingId, n: TuneIn) {
+    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Fetched(no(server), birth, vw, n));
     }
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.did.push(Did::Wake(after, timer));
     }
-    fn breach(&mut self, breach: Breach, _: ViewingId) {
-        self.breaches.push(breach);
+    fn report_violation(&mut self, violation: Violation, _: ViewingId) {
+        self.breaches.push(violation);
     }
 }
 
 /// One manager: its core while it is up, its start, what it has on disk, and the servers whose notes it follows.
 struct Manager {
-    front: Option<Front>,
+    core: Option<SessionCore>,
     birth: u64,
     paid: BTreeMap<SessionId, (ServerId, Duration)>,
     follows: BTreeSet<ServerNo>,
@@ -230,8 +231,8 @@
     };
     harness.run();
     let streams: usize = harness.fleet.boxes().map(|at| harness.fleet.streams(at)).sum();
-    let held = harness.managers.iter().filter_map(|m| m.front.as_ref());
-    let left = streams + held.map(|front| front.live() + front.waiting()).sum::<usize>();
+    let held = harness.managers.iter().filter_map(|m| m.core.as_ref());
+    let left = streams + held.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
     let lives = harness.managers.iter().enumerate().map(|(i, m)| {
         let gaps = m.gaps.iter().map(|(from, until)| (*from, *until)).collect();
         Life { no: Some(ManagerNo(i as u32)), gaps }
@@ -261,7 +262,7 @@
         for i in 0..MANAGERS {
             let (birth, gaps) = (100, vec![]);
             let (paid, follows) = (BTreeMap::new(), BTreeSet::new());
-            self.managers.push(Manager { front: None, birth, paid, follows, gaps });
+            self.managers.push(Manager { core: None, birth, paid, follows, gaps });
             self.start(i);
         }
         self.tick();
@@ -316,13 +317,15 @@
     }
 
     /// A turn at a manager's core, if that start of it is still up.
-    fn turn(&mut self, manager: usize, birth: u64, act: impl FnOnce(&mut Front, &mut EffectLog, Duration)) {
+    fn turn(
+        &mut self, manager: usize, birth: u64, act: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration),
+    ) {
         if self.managers[manager].birth != birth {
             return;
         }
         let (now, mut effects) = (self.now, EffectLog::default());
-        let Some(front) = &mut self.managers[manager].front else { return };
-        act(front, &mut effects, now);
+        let Some(core) = &mut self.managers[manager].core else { return };
+        act(core, &mut effects, now);
         self.breaches += effects.breaches.len() as u64;
         for did in effects.did {
             self.does(manager, birth, did);
@@ -330,7 +333,7 @@
     }
 
     fn does(&mut self, manager: usize, birth: u64, did: Did) {
-        let key = |birth: Birth, vw: ViewingId, n: TuneIn| TuneInKey {
+        let key = |birth: Incarnation, vw: ViewingId, n: TuneIn| TuneInKey {
             manager: ManagerNo(manager as u32),
             birth: birth.0,
             vw: vw.0,
@@ -344,13 +347,13 @@
                     Some(Spoilt::UnderFloor) => 0,
                     _ => rung,
                 };
-                let sent = Sent { key: key(Birth(birth), vw, n), session, package, title, rung, top };
+                let sent = Sent { key: key(Incarnation(birth), vw, n), session, package, title, rung, top };
                 self.out.insert(sent.key, (server, false));
                 // Some connections take long, or wait for a place at a server's door.
                 let connects = if self.chance.random_bool(0.1) { way * 150 } else { way };
                 self.after(connects, move |w| w.connected(manager, server, sent));
             }
-            Did::Drop(vw, n) => self.closes_set_up(key(Birth(birth), vw, n)),
+            Did::Drop(vw, n) => self.closes_set_up(key(Incarnation(birth), vw, n)),
             Did::Release(server, of, vw, n) => {
                 let key = key(of, vw, n);
                 self.after(way, move |w| w.at_server(server, move |w| w.releases(server, key)));
@@ -368,18 +371,20 @@
                 let load = (w.fleet.up(server) && !w.fleet.frozen(server)).then(|| w.load(server));
                 let after = if load.is_some() { way } else { Duration::from_millis(250) };
                 w.after(after, move |w| {
-                    w.turn(manager, birth, |f, h, now| f.probed(h, now, id(server), load))
+                    w.turn(manager, birth, |f, h, now| f.on_probe_result(h, now, id(server), load))
                 });
             }),
             Did::Fetched(server, of, vw, n) => {
                 let key = key(of, vw, n);
                 self.after(way, move |w| {
                     let quiet = w.fleet.quiet(w.now, server, key).filter(|_| !w.fleet.frozen(server));
-                    w.turn(manager, birth, |f, h, now| f.fetched(h, now, id(server), (of, vw, n), quiet));
+                    w.turn(manager, birth, |f, h, now| {
+                        f.on_last_fetch(h, now, id(server), (of, vw, n), quiet)
+                    });
                 });
             }
             Did::Wake(span, timer) => {
-                self.after(span, move |w| w.turn(manager, birth, |f, h, now| f.woken(h, now, timer)));
+                self.after(span, move |w| w.turn(manager, birth, |f, h, now| f.on_timer(h, now, timer)));
             }
         }
     }
@@ -405,7 +410,7 @@
             return;
         }
         if !self.fleet.up(server) {
-            return self.happened(manager, key, Happened::NotConnected);
+            return self.happened(manager, key, AttemptResult::NotConnected);
         }
         let mut allowed = false;
         let once = self.terms.packages[sent.package].once;
@@ -415,7 +420,7 @@
             self.managers[manager].paid.insert(sent.session, (id(server), until));
         }
         let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
-        self.turn(manager, birth, |front, effects, now| allowed = front.sending(effects, now, vw, n));
+        self.turn(manager, birth, |core, effects, now| allowed = core.may_send_set_up(effects, now, vw, n));
         if !allowed {
             self.out.remove(&key);
             if once {
@@ -435,7 +440,7 @@
     fn arrives(&mut self, manager: usize, server: ServerNo, sent: Sent) {
         let key = sent.key;
         if !self.fleet.up(server) {
-            return self.happened(manager, key, Happened::Broke);
+            return self.happened(manager, key, AttemptResult::ConnectionBroken);
         }
         let (session, package, title) = (sent.session.0, sent.package, sent.title.to_string());
         let rung = sent.rung;
@@ -463,12 +468,12 @@
             self.gone(server, &[]);
         }
         let (how, what, span) = match came {
-            SetUpOutcome::Plays(span) => (SetUpEnd::Plays, Happened::Plays, span),
+            SetUpOutcome::Plays(span) => (SetUpEnd::Plays, AttemptResult::Playing, span),
             SetUpOutcome::Full | SetUpOutcome::Draining | SetUpOutcome::Stale => {
-                (SetUpEnd::Refused, Happened::Refused, Duration::ZERO)
+                (SetUpEnd::Refused, AttemptResult::Refused, Duration::ZERO)
             }
-            SetUpOutcome::Error => (SetUpEnd::Errored, Happened::Errored, Duration::ZERO),
-            SetUpOutcome::Breaks => (SetUpEnd::Broke, Happened::Broke, Duration::ZERO),
+            SetUpOutcome::Error => (SetUpEnd::Errored, AttemptResult::ServerError, Duration::ZERO),
+            SetUpOutcome::Breaks => (SetUpEnd::Broke, AttemptResult::ConnectionBroken, Duration::ZERO),
             SetUpOutcome::AnswerLost => return,
         };
         self.after(span, move |w| {
@@ -487,15 +492,17 @@
     }
 
     /// The manager hears what became of a set-up.
-    fn happened(&mut self, manager: usize, key: TuneInKey, what: Happened) {
+    fn happened(&mut self, manager: usize, key: TuneInKey, what: AttemptResult) {
         let Some((server, _)) = self.out.remove(&key) else { return };
         let load = self.load(server);
-        let never_ran = matches!(what, Happened::Refused | Happened::NotWritten);
+        let never_ran = matches!(what, AttemptResult::Refused | AttemptResult::NotWritten);
         let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
         if let Some(about) = self.abouts.get(&(server, key)).filter(|_| never_ran).copied() {
             self.managers[manager].paid.remove(&about.0);
         }
-        self.turn(manager, key.birth, |front, effects, now| front.happened(effects, now, vw, n, what, load));
+        self.turn(manager, key.birth, |core, effects, now| {
+            core.on_attempt_result(effects, now, vw, n, what, load)
+        });
     }
 
     /// The manager closes the connection of a set-up.
@@ -515,9 +522,9 @@
     /// A viewer asks a manager. `given`: its last token, and what it watched; `ends`: when it has seen enough. The request's number.
     fn ask(
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
-        given: Option<(Shown, (ServerNo, TuneInKey))>, ends: Duration,
+        given: Option<(TokenOrigin, (ServerNo, TuneInKey))>, ends: Duration,
     ) -> usize {
-        let (at, up) = (self.now, self.managers[manager].front.is_some());
+        let (at, up) = (self.now, self.managers[manager].core.is_some());
         let number = self.history.asked.len();
         self.history.asked.push(Asked {
             manager,
@@ -534,10 +541,10 @@
         self.plans.insert(number, (session, package, title, ends, given.map(|given| given.1)));
         let title_of = &setup::titles(&self.settings)[title as usize];
         let about = (PackageId(package), TitleId(title), title_of.cells, 3);
-        let shown = given.map_or(Shown::App { issued: at }, |given| given.0);
+        let origin = given.map_or(TokenOrigin::App { issued: at }, |given| given.0);
         let (request, valid) = (RequestId(number as u64), at + Duration::from_secs(60));
         let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.asked(h, now, request, session, about, shown, valid));
+        self.turn(manager, birth, |f, h, now| f.on_request(h, now, request, session, about, origin, valid));
         number
     }
 
@@ -549,7 +556,7 @@
         (ask.came, ask.came_at) = (Came::Closed, self.now);
         let (manager, session) = (ask.manager, SessionId(ask.session));
         let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.closed(h, now, session, RequestId(number as u64)));
+        self.turn(manager, birth, |f, h, now| f.on_request_closed(h, now, session, RequestId(number as u64)));
     }
 
     fn answered(&mut self, manager: usize, RequestId(number): RequestId, answer: Answer) {
@@ -579,14 +586,14 @@
         (ask.came, ask.came_at) = (Came::Answer(status), self.now);
         let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
         match answer {
-            Answer::Plays { server, birth, vw, tune_in, turn, .. } => {
+            Answer::Plays { server, birth, vw, tune_in, sequence, .. } => {
                 let key =
                     TuneInKey { manager: ManagerNo(manager as u32), birth: birth.0, vw: vw.0, n: tune_in.0 };
-                let shown = Shown::Manager { birth: birth.0, server, turn };
+                let origin = TokenOrigin::Manager { birth: birth.0, server, sequence };
                 // What plays no more is taken as another viewing when its player asks again.
                 self.history.asked[number].new = before != Some((no(server), key));
                 let next = (manager, session, package, title);
-                self.after(SEGMENT, move |w| w.watches(next, (no(server), key), shown, ends, 1));
+                self.after(SEGMENT, move |w| w.watches(next, (no(server), key), origin, ends, 1));
             }
             _ if before.is_some() => self.history.asked[number].new = true,
             // Most come again, to any manager.
@@ -603,7 +610,7 @@
     /// A viewer fetches a segment, and every second one asks for its manifest again.
     fn watches(
         &mut self, (manager, session, package, title): (usize, SessionId, usize, u64),
-        (server, key): (ServerNo, TuneInKey), shown: Shown, ends: Duration, n: u32,
+        (server, key): (ServerNo, TuneInKey), origin: TokenOrigin, ends: Duration, n: u32,
     ) {
         let last = self.now >= ends;
         let fetched = if self.fleet.up(server) && !self.fleet.frozen(server) {
@@ -614,13 +621,13 @@
         let next = (manager, session, package, title);
         if n.is_multiple_of(2) || fetched == FetchOutcome::Unknown && !last {
             // The manifest tells where it goes on.
-            if self.managers[manager].front.is_some() {
-                self.ask(manager, session, package, title, Some((shown, (server, key))), ends);
+            if self.managers[manager].core.is_some() {
+                self.ask(manager, session, package, title, Some((origin, (server, key))), ends);
             } else if !last {
-                self.after(SEGMENT, move |w| w.watches(next, (server, key), shown, ends, n));
+                self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n));
             }
         } else if !last {
-            self.after(SEGMENT, move |w| w.watches(next, (server, key), shown, ends, n + 1));
+            self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n + 1));
         } else if self.now < START + BEGIN + LENGTH && self.chance.random_bool(0.3) {
             // The app asks again for what was seen to its end.
             self.after(SEGMENT * 2, move |w| {
@@ -647,22 +654,23 @@
                 package.put_whole("seats", if seats > 0 { seats + 1 } else { 0 });
             });
         }
-        let module: Box<dyn Decides> = match self.spoilt {
+        let policy: Box<dyn Policy> = match self.spoilt {
             Some(Spoilt::Unpaced) => Box::<Random>::new(random(&settings)),
-            _ => Box::new(setup::module(&settings)),
+            _ => Box::new(setup::policy(&settings)),
         };
         let spans = (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
         let birth = self.managers[manager].birth + 1;
-        let (fence, terms) = (setup::fence(&settings), setup::terms(&settings));
-        let front = Front::new(module, fence, terms, spans, setup::ration(&settings), Birth(birth));
+        let (rule_guard, terms) = (setup::rule_guard(&settings), setup::terms(&settings));
+        let core =
+            SessionCore::new(policy, rule_guard, terms, spans, setup::ration(&settings), Incarnation(birth));
         let paid = self.managers[manager].paid.clone();
         let m = &mut self.managers[manager];
-        (m.front, m.birth) = (Some(front), birth);
+        (m.core, m.birth) = (Some(core), birth);
         m.follows.clear();
-        self.turn(manager, birth, move |front, effects, now| {
-            front.start(effects, now);
+        self.turn(manager, birth, move |core, effects, now| {
+            core.start(effects, now);
             for (session, (server, until)) in paid {
-                front.spent(session, server, until);
+                core.restore_paid_session(session, server, until);
             }
         });
         self.tells_all(manager);
@@ -696,7 +704,7 @@
 
     /// A whole list that may leave servers out: those are gone to who hears it.
     fn tells_whole(&mut self, manager: usize, named: impl Fn(ServerNo) -> bool) {
-        if self.managers[manager].front.is_none() {
+        if self.managers[manager].core.is_none() {
             return;
         }
         let rows: Vec<_> =
@@ -720,7 +728,7 @@
             list.iter().filter(|row| !withheld || row.state == ServerState::Ready).copied().collect();
         let follow: Vec<_> =
             list.iter().filter(|row| row.state != ServerState::Gone).map(|row| no(row.server)).collect();
-        self.turn(manager, birth, move |front, _, now| front.listed(now, &list, scope));
+        self.turn(manager, birth, move |core, _, now| core.on_server_list(now, &list, scope));
         follow.into_iter().for_each(|at| self.follows(manager, at));
     }
 
@@ -751,7 +759,7 @@
     fn tells(&mut self, at: ServerNo) {
         let Some(row) = self.rows[at.0] else { return };
         for manager in 0..MANAGERS {
-            if self.managers[manager].front.is_some() {
+            if self.managers[manager].core.is_some() {
                 self.told(manager, at, row.standing, row.birth);
                 let listed = self.listed(at, row);
                 self.hears(manager, &[listed], ListScope::Changes);
@@ -769,9 +777,9 @@
         self.after(way, move |w| {
             if !w.fleet.up(at) {
                 w.managers[manager].follows.remove(&at);
-                return w.turn(manager, birth, |front, effects, now| {
-                    front.still(effects, now, id(at), &[]);
-                    front.heard(effects, now, id(at));
+                return w.turn(manager, birth, |core, effects, now| {
+                    core.on_inventory(effects, now, id(at), &[]);
+                    core.on_inventory_complete(effects, now, id(at));
                 });
             }
             w.at_server(at, move |w| {
@@ -785,15 +793,15 @@
                     .iter()
                     .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
                     .collect();
-                w.turn(manager, birth, move |front, effects, now| {
-                    let of = |key: &TuneInKey| (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n));
+                w.turn(manager, birth, move |core, effects, now| {
+                    let of = |key: &TuneInKey| (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n));
                     let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
-                    front.still(effects, now, id(at), &ids);
+                    core.on_inventory(effects, now, id(at), &ids);
                     for (key, (session, package, title, top), rung) in rows {
                         let about = (PackageId(package), TitleId(title), (rung, top));
-                        front.found(effects, now, id(at), of(&key), session, about);
+                        core.on_running_tune_in(effects, now, id(at), of(&key), session, about);
                     }
-                    front.heard(effects, now, id(at));
+                    core.on_inventory_complete(effects, now, id(at));
                 });
             });
         });
@@ -804,9 +812,15 @@
         for (at, key, why) in self.fleet.expire(self.now) {
             self.abouts.remove(&(at, key));
             self.record(What::StreamOver { server: at, key, why });
-            let over = if why == Ends::Ended { Over::Ended } else { Over::Left };
+            let over = if why == Ends::Ended { EndReason::Completed } else { EndReason::ViewerLeft };
             self.notes(at, key, move |f, h, now| {
-                f.over(h, now, id(at), (Birth(key.birth), ViewingId(key.vw), TuneIn(key.n)), over);
+                f.on_viewing_ended(
+                    h,
+                    now,
+                    id(at),
+                    (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n)),
+                    over,
+                );
             });
         }
         for (at, key, note) in self.fleet.notes(self.now) {
@@ -815,14 +829,14 @@
                 LoadNote::Link(x) => ServerUpdate::Link(x),
                 LoadNote::Uplink(x) => ServerUpdate::Uplink(x),
             };
-            self.notes(at, key, move |f, _, now| f.news(now, id(at), ViewingId(key.vw), news));
+            self.notes(at, key, move |f, _, now| f.on_server_update(now, id(at), ViewingId(key.vw), news));
         }
         self.after(TICK, Harness::tick);
     }
 
     fn notes(
         &mut self, at: ServerNo, key: TuneInKey,
-        tell: impl FnOnce(&mut Front, &mut EffectLog, Duration) + 'static,
+        tell: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration) + 'static,
     ) {
         let (manager, way) = (key.manager.0 as usize, self.way());
         let m = &self.managers[manager];
@@ -848,7 +862,9 @@
         for key in broken {
             self.over(at, key, SetUpEnd::Broke);
             let way = self.way();
-            self.after(way, move |w| w.happened(key.manager.0 as usize, key, Happened::Broke));
+            self.after(way, move |w| {
+                w.happened(key.manager.0 as usize, key, AttemptResult::ConnectionBroken)
+            });
         }
         for manager in 0..MANAGERS {
             if self.managers[manager].follows.remove(&at) {
@@ -916,7 +932,7 @@
 
     /// A manager is killed: its viewers are cut off, and what it had out is closed.
     fn kills(&mut self, manager: usize, down: Duration) {
-        if self.managers[manager].front.take().is_none() {
+        if self.managers[manager].core.take().is_none() {
             return;
         }
         let now = self.now;
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -7,7 +7,7 @@
     Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Record, ReplicatedSet,
     ReplicationEffects,
 };
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 use std::hint::black_box;
 use std::ops::Range;
@@ -62,19 +62,19 @@
 
 impl Effects for Out {
     fn claim(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn accepted(&mut self, _: Member, _: SessionId, _: Claim, _: Birth, _: &[(Member, Birth)]) {
+    fn accepted(&mut self, _: Member, _: SessionId, _: Claim, _: Incarnation, _: &[(Member, Incarnation)]) {
         self.messages += 1;
     }
     fn rejected(&mut self, _: Member, _: SessionId, _: Claim, _: bool) {}
     fn withdraw(&mut self, _: Member, _: SessionId, _: Claim) {}
     fn withdrawn(&mut self, _: Member, _: SessionId, _: Claim) {}
-    fn request_recovery(&mut self, _: Member, _: Birth) {}
-    fn recovery_entry(&mut self, _: Member, _: Birth, _: SessionId, _: &ClaimSet) {}
-    fn recovery_done(&mut self, _: Member, _: Birth, _: u64) {}
+    fn request_recovery(&mut self, _: Member, _: Incarnation) {}
+    fn recovery_entry(&mut self, _: Member, _: Incarnation, _: SessionId, _: &ClaimSet) {}
+    fn recovery_done(&mut self, _: Member, _: Incarnation, _: u64) {}
     fn store(&mut self, _: SessionId, _: &ClaimSet) {
         self.notes += 1;
     }
-    fn store_start(&mut self, _: Member, _: Birth) {}
+    fn store_start(&mut self, _: Member, _: Incarnation) {}
     fn store_recovered(&mut self) {}
     fn forget(&mut self, _: SessionId) {}
     fn claim_decided(&mut self, _: ClaimNo, _: ClaimOutcome) {}
@@ -116,10 +116,10 @@
 
 /// A copy with a record of each of so many members.
 fn copy(me: Member, logs: usize) -> ReplicatedSet<SessionId> {
-    let mut copy = ReplicatedSet::new(me, Birth(1), SPAN);
+    let mut copy = ReplicatedSet::new(me, Incarnation(1), SPAN);
     let mut out = Out::default();
     for at in 0..logs {
-        let log = Log { of: Member(at as u16), birth: Birth(1) };
+        let log = Log { of: Member(at as u16), birth: Incarnation(1) };
         if log.of == me {
             copy.add(&mut out, NOW, SessionId(at as u128), &[]);
         } else {
@@ -136,7 +136,7 @@
 /// One who holds so many records more than another meets it: messages that pass until they hold the same, records
 /// among them, and turns.
 pub(super) fn catch_up(behind: usize) -> (usize, usize, usize) {
-    let mut copies = [copy_of_records(behind), ReplicatedSet::new(Member(1), Birth(1), SPAN)];
+    let mut copies = [copy_of_records(behind), ReplicatedSet::new(Member(1), Incarnation(1), SPAN)];
     let (mut out, mut messages, mut records, mut turns) = ([Out::default(), Out::default()], 0, 0, 0);
     while copies[0].digest() != copies[1].digest() {
         (turns, messages) = (turns + 1, messages + 1);
@@ -261,7 +261,7 @@
             }));
             let near = Overlay::new(&group, Member(0), TURN).neighbours();
             let (mut held, mut out, mut no) = (copy(Member(0), *count), Out::default(), 1);
-            let log = Log { of: Member(1), birth: Birth(1) };
+            let log = Log { of: Member(1), birth: Incarnation(1) };
             rows[2].push(time(|| {
                 held.on_records(
                     &mut out,
@@ -292,11 +292,11 @@
         for count in &sessions {
             let (group, mut out) = (group(3), Out::default());
             let stored = Default::default();
-            let mut acceptor = Acceptor::new(group, Member(0), Birth(1), SPAN, NOW, true, stored);
+            let mut acceptor = Acceptor::new(group, Member(0), Incarnation(1), SPAN, NOW, true, stored);
             let mut next = 0_u64;
             let mut claims = |acceptor: &mut Acceptor| {
                 next += 1;
-                let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
+                let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
                 acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
                 acceptor.on_stored(&mut out, 1);
             };
@@ -325,9 +325,9 @@
 
 fn kept(count: usize) -> Acceptor {
     let (mut out, stored) = (Out::default(), Default::default());
-    let mut acceptor = Acceptor::new(group(3), Member(0), Birth(1), SPAN, NOW, true, stored);
+    let mut acceptor = Acceptor::new(group(3), Member(0), Incarnation(1), SPAN, NOW, true, stored);
     for next in 1..=count as u64 {
-        let claim = Claim { by: Member(1), birth: Birth(1), no: ClaimNo(next) };
+        let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
         acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
         acceptor.on_stored(&mut out, 1);
     }
@@ -335,7 +335,7 @@
 }
 
 fn copy_of_records(count: usize) -> ReplicatedSet<SessionId> {
-    let mut copy = ReplicatedSet::new(Member(0), Birth(1), SPAN);
+    let mut copy = ReplicatedSet::new(Member(0), Incarnation(1), SPAN);
     (0..count).for_each(|at| copy.add(&mut Out::default(), NOW, SessionId(at as u128), &[]));
     copy
 }
--- a/crates/node/src/bus.rs
+++ b/crates/node/src/bus.rs
@@ -87,8 +87,8 @@
 /// Has the list take an event; whether it could be read.
 async fn told(sender: &EventSender<NodeHost>, event: Value) -> bool {
     let (say, taken) = oneshot::channel();
-    sender.send(move |front, host, now| {
-        say.send(host.told(front, now, &event)).ok();
+    sender.send(move |core, host, now| {
+        say.send(host.told(core, now, &event)).ok();
     });
     taken.await.unwrap_or_default()
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -11,10 +11,10 @@
 mod wire;
 
 use ivyward::interface::ListScope;
-use ivyward_edge::{Seldom, Upstreams};
+use ivyward_edge::{LogRateLimiter, UpstreamPolicy};
 use ivyward_event_loop::{Clock, Timers, channel};
 use ivyward_options as options;
-use ivyward_session::{Birth, Fence, Front};
+use ivyward_session::{Incarnation, RuleGuard, SessionCore};
 use list::List;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -42,7 +42,7 @@
 /// A server that has gone is forgotten after so many times as its start would count as cold.
 const FORGOTTEN: u32 = 2;
 /// A start of ours is above all before, of which nothing is left.
-const BIRTH: Birth = Birth(1);
+const BIRTH: Incarnation = Incarnation(1);
 
 /// Runs a viewing manager until it is told to end and owes nothing.
 ///
@@ -65,7 +65,7 @@
     let (seed, listen) = (config::seed(file, &all)?, config::address(file, &all, "listen")?);
     let (bus, descriptors) = (config::address(file, &all, "bus")?, config::descriptors(file, &all)?);
     let (offset, known) = config::known(file, &all)?;
-    let module = options::manager(seed, settings).map_err(named)?;
+    let policy = options::manager(seed, settings).map_err(named)?;
     let (grace, slack, seats) = options::rules(settings).map_err(named)?;
     tracing::debug!(%settings, "told");
     let (streams, connect, keep) = options::connections(settings).map_err(named)?;
@@ -75,8 +75,8 @@
     let ration = options::ration(settings).map_err(named)?;
     let [packages, tenants, zones, kinds] = options::names(settings);
 
-    let fence = Fence::new(grace, ration, seats);
-    let mut front = Front::new(Box::new(module), fence, terms, (slack, None, None), ration, BIRTH);
+    let rule_guard = RuleGuard::new(grace, ration, seats);
+    let mut core = SessionCore::new(Box::new(policy), rule_guard, terms, (slack, None, None), ration, BIRTH);
     let clock = Clock::start();
     let (events, event_loop) = channel(clock);
     let viewers = Viewers::new(packages, tenants, longest, descriptors);
@@ -85,21 +85,21 @@
         timers: Timers::default(),
         list: List::new(zones, kinds),
         servers: Servers::new(
-            Upstreams::new(streams, connect, keep, told),
+            UpstreamPolicy::new(streams, connect, keep, told),
             (connect, viewers.servers()),
             BIRTH,
             Pcg64Mcg::seed_from_u64(seed),
         ),
         viewers,
         stands: shell::Stands::default(),
-        seldom: Seldom::default(),
+        log_limiter: LogRateLimiter::default(),
         line: None,
         swept: clock.now(),
         held: None,
     };
-    front.start(&mut host, clock.now());
+    core.start(&mut host, clock.now());
     let mut known = known.iter();
-    let read = known.all(|event| host.topology(&mut front, clock.now(), event, ListScope::Restored));
+    let read = known.all(|event| host.topology(&mut core, clock.now(), event, ListScope::Restored));
     // Of a list of which a part can't be read the whole is asked for.
     let offset = if read { offset } else { 0 };
     let listener = listens(listen).await.map_err(|e| format!("{listen}: {e}"))?;
@@ -114,13 +114,13 @@
         loop {
             sleep(SWEEP).await;
             let ends = ends.clone();
-            sweeps.send(move |front, host, now| {
-                host.sweep(front, now, cold * FORGOTTEN);
-                ends.sweep(front, host, now);
+            sweeps.send(move |core, host, now| {
+                host.sweep(core, now, cold * FORGOTTEN);
+                ends.sweep(core, host, now);
             });
         }
     });
-    spawn_local(async move { event_loop.run(&mut front, &mut host, |_, _| ()).await });
+    spawn_local(async move { event_loop.run(&mut core, &mut host, |_, _| ()).await });
     let mut reread = None::<Instant>;
     loop {
         let read = async {
@@ -163,12 +163,12 @@
 }
 
 impl NodeHost {
-    fn sweep(&mut self, front: &mut Front, now: Duration, forgotten: Duration) {
+    fn sweep(&mut self, core: &mut SessionCore, now: Duration, forgotten: Duration) {
         if !self.stood_still(now) {
             self.swept = now;
         }
         self.sweep_viewers(now);
-        self.sweep_servers(front, now);
+        self.sweep_servers(core, now);
         let (stands, servers) = (&self.stands, &self.servers);
         let of_use = |server| stands.any_at(server) || servers.has_links(server);
         self.list.forget(now, forgotten, of_use);
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -3,8 +3,8 @@
 
 use crate::shell::NodeHost;
 use ivyward::interface::{KindId, ListScope, ServerEntry, ServerId, ServerState, ZoneId};
-use ivyward_edge::brief;
-use ivyward_session::Front;
+use ivyward_edge::truncate_for_log;
+use ivyward_session::SessionCore;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -140,12 +140,14 @@
 
 impl NodeHost {
     /// One event of the bus. Whether it could be read: nothing of a list is taken of which a part can't.
-    pub fn told(&mut self, front: &mut Front, now: Duration, event: &Value) -> bool {
-        self.topology(front, now, event, ListScope::Full)
+    pub fn told(&mut self, core: &mut SessionCore, now: Duration, event: &Value) -> bool {
+        self.topology(core, now, event, ListScope::Full)
     }
 
     /// `whole`: what a whole list counts as.
-    pub fn topology(&mut self, front: &mut Front, now: Duration, event: &Value, whole: ListScope) -> bool {
+    pub fn topology(
+        &mut self, core: &mut SessionCore, now: Duration, event: &Value, whole: ListScope,
+    ) -> bool {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let members = event["topology"]["members"].as_array().ok_or("members");
         let read = members.and_then(|members| {
@@ -154,8 +156,8 @@
         let read = match read {
             Ok(read) => read,
             Err(field) => {
-                if let Some(left_out) = self.seldom.line(now, "an event") {
-                    let event = brief(&event.to_string());
+                if let Some(left_out) = self.log_limiter.check(now, "an event") {
+                    let event = truncate_for_log(&event.to_string());
                     tracing::warn!(field, event, left_out, "an event of the bus can't be read");
                 }
                 return false;
@@ -172,8 +174,8 @@
             }
         }
         tracing::debug!(complete, ?list, ?words, "the list");
-        front.listed(now, &list, if complete { whole } else { ListScope::Changes });
-        self.processes_ended(front, now);
+        core.on_server_list(now, &list, if complete { whole } else { ListScope::Changes });
+        self.processes_ended(core, now);
         true
     }
 }
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -4,8 +4,8 @@
 use crate::shell::NodeHost;
 use crate::wire::{Stream, converse, keeps_little, look, piece, writer};
 use ivyward::interface::{LoadReport, ServerId, ServerState};
-use ivyward_edge::{Upstream, Upstreams};
-use ivyward_session::{Front, Happened};
+use ivyward_edge::{UpstreamPolicy, UpstreamState};
+use ivyward_session::{AttemptResult, SessionCore};
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::{Kind, Ref};
 use rand::RngExt;
@@ -31,16 +31,20 @@
 impl NodeHost {
     /// A new connection to a server, for which the one unused for longest gives way where there are too many; none where
     /// the server is not listed, or none can give way.
-    pub(super) fn new_link(&mut self, front: &mut Front, now: Duration, server: ServerId) -> Option<u64> {
+    pub(super) fn new_link(
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId,
+    ) -> Option<u64> {
         if self.servers.links.len() >= self.servers.most {
             let idle = |link: &Link| {
                 let unused = link.open.is_empty() && link.tests.is_empty() && link.waiting.is_empty();
                 link.up && unused && !self.stands.any_at(link.server)
             };
             let idle = self.servers.links.iter().filter(|(_, link)| idle(link));
-            let way = idle.min_by_key(|(id, link)| (link.upstream.heard.max(link.upstream.asked), **id));
+            let way = idle.min_by_key(|(id, link)| {
+                (link.upstream.last_received_at.max(link.upstream.last_sent_at), **id)
+            });
             let way = way.map(|(id, _)| *id)?;
-            self.link_lost(front, now, way, "closed");
+            self.link_lost(core, now, way, "closed");
         }
         self.open_link(now, server)
     }
@@ -58,25 +62,25 @@
             let stream = match connect(address, within).await {
                 Ok(stream) => stream,
                 Err(error) => {
-                    return events.send(move |front, host, now| host.unreached(front, now, id, &error));
+                    return events.send(move |core, host, now| host.unreached(core, now, id, &error));
                 }
             };
             keeps_little(&stream);
             let (stream, told) = (Rc::new(stream), events.clone());
             let stands = stream.clone();
-            events.send(move |front, host, now| host.link_up(front, now, id, stands));
+            events.send(move |core, host, now| host.link_up(core, now, id, stands));
             let heard = move |had: oneshot::Sender<()>| {
-                told.send(move |front, host, now| {
-                    if host.server_wrote(front, now, id, piece) {
+                told.send(move |core, host, now| {
+                    if host.server_wrote(core, now, id, piece) {
                         had.send(()).ok();
                     }
                 });
             };
             converse(stream, outgoing, heard).await;
-            events.send(move |front, host, now| {
+            events.send(move |core, host, now| {
                 // What came before the connection broke still counts.
-                host.server_wrote(front, now, id, look);
-                host.link_lost(front, now, id, "closed");
+                host.server_wrote(core, now, id, look);
+                host.link_lost(core, now, id, "closed");
             });
         });
         let link = Link {
@@ -91,17 +95,17 @@
             open: BTreeMap::new(),
             given_up: VecDeque::new(),
             tests: BTreeSet::new(),
-            upstream: Upstream::new(now),
+            upstream: UpstreamState::new(now),
         };
         self.servers.links.insert(id, link);
         Some(id)
     }
 
-    pub(super) fn link_up(&mut self, front: &mut Front, now: Duration, id: u64, stream: Stream) {
+    pub(super) fn link_up(&mut self, core: &mut SessionCore, now: Duration, id: u64, stream: Stream) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         let server = link.server;
         let (set_ups, tests) = (link.waiting.len(), link.tests.len());
-        (link.up, link.upstream.heard) = (true, now);
+        (link.up, link.upstream.last_received_at) = (true, now);
         link.writer.stands(&stream);
         link.stream = Some(stream);
         let waiting = std::mem::take(&mut link.waiting);
@@ -110,7 +114,7 @@
         }
         tracing::debug!(server = self.word(server), connection = id, set_ups, tests, "a connection stands");
         if self.servers.unreached.remove(&server).is_some_and(|unreached| unreached.refused) {
-            self.all_lost(front, now, server);
+            self.all_lost(core, now, server);
         }
         for of in self.servers.owed_releases.remove(&server).unwrap_or_default().into_keys() {
             // What was set up there anew meanwhile is another.
@@ -121,13 +125,13 @@
             tracing::debug!(of, server, connection = id, anew, stands, written, "an owed release");
         }
         for key in waiting {
-            self.write_set_up(front, now, id, key);
+            self.write_set_up(core, now, id, key);
         }
     }
 
     /// A connection didn't come about: nothing that waited for it ran. Refused, the process there is dead, and what
     /// played there is over.
-    pub(super) fn unreached(&mut self, front: &mut Front, now: Duration, id: u64, error: &io::Error) {
+    pub(super) fn unreached(&mut self, core: &mut SessionCore, now: Duration, id: u64, error: &io::Error) {
         let Some(link) = self.servers.links.remove(&id) else { return };
         let (server, refused) = (link.server, error.kind() == io::ErrorKind::ConnectionRefused);
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -140,27 +144,35 @@
         }
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, LoadReport::default());
+                core.on_attempt_result(
+                    self,
+                    now,
+                    key.0,
+                    key.1,
+                    AttemptResult::NotConnected,
+                    LoadReport::default(),
+                );
             }
         }
-        self.fail_tests(front, now, server, link.tests);
+        self.fail_tests(core, now, server, link.tests);
         let before = self.servers.unreached.get(&server).copied();
-        let since = self.servers.upstreams.unreached(now, before.map(|b| (b.since, b.last_tried)));
+        let since = self.servers.upstreams.unreachable_since(now, before.map(|b| (b.since, b.last_tried)));
         let alone = !self.servers.links_to(server).any(|(_, link)| link.up);
         let refused_before = before.is_some_and(|before| before.refused && before.since == since);
         let unreached = Unreached { since, last_tried: now, refused: refused_before || refused && alone };
         self.servers.unreached.insert(server, unreached);
-        let heard = self.servers.links_to(server).any(|(_, link)| link.up && link.upstream.heard > since);
-        let lost = !heard && self.servers.upstreams.lost(now.saturating_sub(since));
+        let heard =
+            self.servers.links_to(server).any(|(_, link)| link.up && link.upstream.last_received_at > since);
+        let lost = !heard && self.servers.upstreams.is_server_lost(now.saturating_sub(since));
         if refused && self.list.standing(server) != ServerState::Draining || lost {
             self.servers.owed_releases.remove(&server);
             self.servers.unreached.remove(&server);
-            self.all_lost(front, now, server);
+            self.all_lost(core, now, server);
         }
     }
 
     /// A connection is over: what was open on it may have run.
-    pub(super) fn link_lost(&mut self, front: &mut Front, now: Duration, id: u64, why: &str) {
+    pub(super) fn link_lost(&mut self, core: &mut SessionCore, now: Duration, id: u64, why: &str) {
         let Some(link) = self.servers.links.remove(&id) else { return };
         link.task.abort();
         let server = link.server;
@@ -168,14 +180,28 @@
         tracing::debug!(server = self.word(server), connection = id, ?open, why, "a connection is lost");
         for key in link.waiting {
             if self.servers.attempts.remove(&key).is_some() {
-                front.happened(self, now, key.0, key.1, Happened::NotConnected, LoadReport::default());
+                core.on_attempt_result(
+                    self,
+                    now,
+                    key.0,
+                    key.1,
+                    AttemptResult::NotConnected,
+                    LoadReport::default(),
+                );
             }
         }
         for key in link.open.into_values() {
-            front.happened(self, now, key.0, key.1, Happened::Broke, LoadReport::default());
+            core.on_attempt_result(
+                self,
+                now,
+                key.0,
+                key.1,
+                AttemptResult::ConnectionBroken,
+                LoadReport::default(),
+            );
             self.servers.attempts.remove(&key);
         }
-        self.fail_tests(front, now, server, link.tests);
+        self.fail_tests(core, now, server, link.tests);
         if link.up && self.stands.any_on(server, id) {
             // An end that was lost with it is told again on the next connection opened, whatever others there are.
             self.open_link(now, server);
@@ -208,15 +234,15 @@
     }
 
     /// Looks after connections to servers.
-    pub fn sweep_servers(&mut self, front: &mut Front, now: Duration) {
+    pub fn sweep_servers(&mut self, core: &mut SessionCore, now: Duration) {
         self.forget_releases(now);
         let all: BTreeSet<_> = self.servers.links.values().map(|link| link.server).collect();
         for server in all {
-            self.sweep_server(front, now, server);
+            self.sweep_server(core, now, server);
         }
         let (upstreams, list) = (&self.servers.upstreams, &self.list);
         self.servers.unreached.retain(|server, of| {
-            list.row(*server).is_some() && upstreams.recent(now, (of.since, of.last_tried))
+            list.row(*server).is_some() && upstreams.is_recent_failure(now, (of.since, of.last_tried))
         });
         let owed = self.servers.owed_releases.keys().copied();
         let servers: BTreeSet<_> = self.stands.servers().chain(owed).collect();
@@ -226,23 +252,24 @@
     fn forget_releases(&mut self, now: Duration) {
         let owed = &mut self.servers.owed_releases;
         for releases in owed.values_mut() {
-            releases.retain(|_, since| now < *since + Upstreams::CARED);
+            releases.retain(|_, since| now < *since + UpstreamPolicy::RELEASE_TIMEOUT);
         }
         owed.retain(|_, releases| !releases.is_empty());
     }
 
-    fn sweep_server(&mut self, front: &mut Front, now: Duration, server: ServerId) {
+    fn sweep_server(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let stand = self.stands.any_at(server);
         let links: Vec<_> =
             self.servers.links_to(server).filter(|(_, link)| link.up).map(|(id, _)| id).collect();
-        let heard = links.iter().map(|id| self.servers.links[id].upstream.heard).max().unwrap_or(now);
+        let heard =
+            links.iter().map(|id| self.servers.links[id].upstream.last_received_at).max().unwrap_or(now);
         let live = |id: &&u64| self.servers.links[*id].retiring.is_none();
         let mut left = links.iter().filter(live).count();
         for id in links {
-            self.sweep_link(front, now, (id, server), heard, &mut left);
+            self.sweep_link(core, now, (id, server), heard, &mut left);
         }
         let all_up = self.servers.links_to(server).all(|(_, link)| link.up);
-        if stand && all_up && self.servers.upstreams.silent(now, heard) {
+        if stand && all_up && self.servers.upstreams.is_server_silent(now, heard) {
             // Guards against a machine that has vanished: its connections stay and say nothing, new ones don't stand.
             self.open_link(now, server);
         }
@@ -251,24 +278,24 @@
     /// Closes a connection that is of no use, or tests it. `heard`: when its server last was on any; `left`: how many to it
     /// are in use.
     fn sweep_link(
-        &mut self, front: &mut Front, now: Duration, (id, server): (u64, ServerId), heard: Duration,
+        &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), heard: Duration,
         left: &mut usize,
     ) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(since) = link.retiring {
             // A server that hangs, or is cut off, may tell ends on it when it goes on.
-            if now >= since + Upstreams::CARED {
-                self.link_lost(front, now, id, "retired and not closed");
+            if now >= since + UpstreamPolicy::RELEASE_TIMEOUT {
+                self.link_lost(core, now, id, "retired and not closed");
             }
             return;
         }
-        if self.servers.upstreams.stuck(now, &link.upstream) {
+        if self.servers.upstreams.is_partial_overdue(now, &link.upstream) {
             *left -= 1;
-            return self.spoilt(front, now, id, "the rest of a message doesn't come");
+            return self.spoilt(core, now, id, "the rest of a message doesn't come");
         }
-        self.servers.upstreams.doubt(now, &mut link.upstream);
+        self.servers.upstreams.check_test(now, &mut link.upstream);
         let idle = link.open.is_empty() && link.tests.is_empty();
-        let idle = idle && self.servers.upstreams.idle(now, &link.upstream);
+        let idle = idle && self.servers.upstreams.is_idle(now, &link.upstream);
         let of_use = !link.upstream.is_suspect() && self.stands.any_on(server, id);
         let stand = self.stands.any_at(server);
         let spare = !stand || *left > 1 && !of_use;
@@ -276,8 +303,8 @@
             *left -= 1;
             return self.retire(now, id);
         }
-        if stand && self.servers.upstreams.asks(now, heard, &link.upstream) {
-            link.upstream.tested = Some(now);
+        if stand && self.servers.upstreams.needs_test(now, heard, &link.upstream) {
+            link.upstream.test_sent_at = Some(now);
             let of = Ref(self.servers.chance.random());
             self.servers.write(id, binary::write(Kind::Test, of, &[], Some(BARE), None));
         }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::shell::NodeHost;
 use crate::viewers;
-use ivyward_session::Front;
+use ivyward_session::SessionCore;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -55,13 +55,13 @@
     }
 
     /// Answers what waits where it is time to, and ends where nothing is owed.
-    pub fn sweep(&self, front: &mut Front, host: &mut NodeHost, now: Duration) {
+    pub fn sweep(&self, core: &mut SessionCore, host: &mut NodeHost, now: Duration) {
         let Some(since) = self.told.get().map(|told| told.elapsed()) else { return };
         if since >= self.answers_after && !self.answered.replace(true) {
-            tracing::info!(waiting = front.waiting(), "what waits is answered before the kill");
-            front.stop(host, now);
+            tracing::info!(waiting = core.pending_count(), "what waits is answered before the kill");
+            core.stop(host, now);
         }
-        if since < COMING || !host.owes_nothing(front) || !host.viewers_are_done(front, now) {
+        if since < COMING || !host.owes_nothing(core) || !host.viewers_are_done(core, now) {
             return;
         }
         // Guards against a connection that waits to be taken as the end is decided: its request is still answered.
@@ -75,7 +75,7 @@
 
 impl NodeHost {
     /// Whether no set-up is without an answer and no session stands.
-    fn owes_nothing(&self, front: &Front) -> bool {
-        front.waiting() == 0 && self.viewers.open.is_empty() && self.stands.count() == 0
+    fn owes_nothing(&self, core: &SessionCore) -> bool {
+        core.pending_count() == 0 && self.viewers.open.is_empty() && self.stands.count() == 0
     }
 }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -3,9 +3,9 @@
 use crate::shell::{NodeHost, Stand};
 use crate::wire::{Came, End, Stream, Writer, converse, look, piece, writer};
 use ivyward::interface::{Cells, PackageId, TitleId};
-use ivyward_edge::{Client, Clients, brief};
+use ivyward_edge::{ClientLimits, ClientState, truncate_for_log};
 use ivyward_event_loop::EventSender;
-use ivyward_session::{Answer, Front, Over, RequestId, SessionId};
+use ivyward_session::{Answer, EndReason, RequestId, SessionCore, SessionId};
 use ivyward_signal::line::{self, Lines};
 use ivyward_signal::{Field, Kind, Ref, Signal, binary, id};
 use socket2::SockRef;
@@ -28,7 +28,7 @@
     writer: Writer,
     stream: Stream,
     lines: Lines,
-    client: Client,
+    client: ClientState,
     from: IpAddr,
     /// It was told to close unless something has come.
     leaving: bool,
@@ -49,7 +49,7 @@
 
 pub struct Viewers {
     connections: BTreeMap<u64, Connection>,
-    clients: Clients,
+    clients: ClientLimits,
     pub open: BTreeMap<Ref, Open>,
     requests: BTreeMap<RequestId, Ref>,
     /// Ends that no connection could be found for, with their causes and when they were.
@@ -67,7 +67,7 @@
     ) -> Viewers {
         Viewers {
             connections: BTreeMap::new(),
-            clients: Clients::new(descriptors),
+            clients: ClientLimits::new(descriptors),
             open: BTreeMap::new(),
             requests: BTreeMap::new(),
             owed: BTreeMap::new(),
@@ -92,7 +92,7 @@
     /// The same on another connection than the one on which it was asked for.
     fn ends_elsewhere(&mut self, now: Duration, client: u64, line: Vec<u8>, end: End) -> bool {
         let Some(connection) = self.connections.get_mut(&client) else { return false };
-        while connection.told.pop_front_if(|(_, at)| now >= *at + Clients::UNREAD).is_some() {}
+        while connection.told.pop_front_if(|(_, at)| now >= *at + ClientLimits::UNREAD).is_some() {}
         connection.told.push_back((end, now));
         connection.writer.tell(line, Some(end))
     }
@@ -106,11 +106,11 @@
 
     /// Connections of viewers, and to servers, that may stand.
     pub fn room(&self) -> usize {
-        self.clients.room()
+        self.clients.connection_limit()
     }
 
     pub fn servers(&self) -> usize {
-        self.clients.servers()
+        self.clients.server_connection_limit()
     }
 
     fn refuse(&mut self, client: u64, of: Ref, cause: u8) {
@@ -142,7 +142,9 @@
             ("tenant", self.tenants.is_empty() || known(&self.tenants, Field::Tenant)),
             (
                 "left",
-                stands || left.is_some_and(|left| !left.is_zero() && left <= self.longest * Clients::PATIENT),
+                stands
+                    || left
+                        .is_some_and(|left| !left.is_zero() && left <= self.longest * ClientLimits::PATIENT),
             ),
             ("key", title),
             ("home", extra("home", 0)),
@@ -185,7 +187,7 @@
         self.viewers.last += 1;
         let (client, (writer, outgoing), stream) = (self.viewers.last, writer(), Rc::new(stream));
         writer.stands(&stream);
-        let about = Client { since: now, last: now, ..Client::default() };
+        let about = ClientState { since: now, last: now, ..ClientState::default() };
         let (lines, talks) = (Lines::default(), stream.clone());
         let told = VecDeque::new();
         let connection =
@@ -194,15 +196,15 @@
         let events = self.events.clone();
         spawn_local(async move {
             let heard = |had: oneshot::Sender<()>| {
-                events.send(move |front, host, now| {
-                    if host.viewer_wrote(front, now, client) {
+                events.send(move |core, host, now| {
+                    if host.viewer_wrote(core, now, client) {
                         had.send(()).ok();
                     }
                 });
             };
             let untold = converse(talks, outgoing, heard).await;
-            events.send(move |front, host, now| {
-                host.left(front, now, client);
+            events.send(move |core, host, now| {
+                host.left(core, now, client);
                 // Its descriptor is free only now.
                 drop(place);
                 // What was taken and never put out is owed still.
@@ -217,23 +219,23 @@
         loop {
             let stay = self.viewers.connections.iter().filter(|(_, connection)| !connection.leaving);
             let stay = stay.map(|(id, connection)| (*id, connection.client));
-            let Some(way) = self.viewers.clients.gives_way(now, stay) else { return };
+            let Some(way) = self.viewers.clients.eviction_candidate(now, stay) else { return };
             self.viewers.ends_unused(way);
         }
     }
 
     /// A viewers' connection is over: nobody waits any more for what is open on it.
-    fn left(&mut self, front: &mut Front, now: Duration, client: u64) {
+    fn left(&mut self, core: &mut SessionCore, now: Duration, client: u64) {
         let Some(connection) = self.viewers.connections.remove(&client) else { return };
-        let Client { open, stand, served, .. } = connection.client;
+        let ClientState { open, stand, served, .. } = connection.client;
         tracing::debug!(client, open, stand, served, from = %connection.from, "a viewers' connection is over");
         let open = self.viewers.open.iter().filter(|(_, open)| open.client == client).map(|(of, _)| *of);
         for of in open.collect::<Vec<_>>() {
-            self.given_up(front, now, of);
+            self.given_up(core, now, of);
         }
     }
 
-    fn given_up(&mut self, front: &mut Front, now: Duration, of: Ref) {
+    fn given_up(&mut self, core: &mut SessionCore, now: Duration, of: Ref) {
         tracing::debug!(of = format!("{:016x}", of.0), "given up");
         let Some(open) = self.viewers.open.remove(&of) else { return };
         self.viewers.requests.remove(&open.request);
@@ -241,59 +243,59 @@
             .connections
             .entry(open.client)
             .and_modify(|c| c.client.open = c.client.open.saturating_sub(1));
-        front.closed(self, now, SessionId(of.0.into()), open.request);
+        core.on_request_closed(self, now, SessionId(of.0.into()), open.request);
     }
 
     /// One piece of what a viewers' connection has brought. Whether more may come.
-    fn viewer_wrote(&mut self, front: &mut Front, now: Duration, client: u64) -> bool {
+    fn viewer_wrote(&mut self, core: &mut SessionCore, now: Duration, client: u64) -> bool {
         let Some(connection) = self.viewers.connections.get_mut(&client) else { return false };
         // Guards against one that was told to close and has spoken since: it stays, and may be told again.
         (connection.had, connection.leaving) = (connection.had + 1, false);
         let came = piece(&connection.stream);
-        self.viewer_came(front, now, client, came)
+        self.viewer_came(core, now, client, came)
     }
 
     /// Reads what the connection on which a set-up was asked for holds by now. Guards against a set-up sent on for a viewer
     /// whose close or give-up lies unread: it came while its connection waited to be taken, behind a queue, or while this
     /// process stood still. Whether that is all there is.
-    pub fn look_at_viewer(&mut self, front: &mut Front, now: Duration, of: Ref) -> bool {
+    pub fn look_at_viewer(&mut self, core: &mut SessionCore, now: Duration, of: Ref) -> bool {
         let Some(client) = self.viewers.open.get(&of).map(|open| open.client) else { return true };
         let Some(connection) = self.viewers.connections.get(&client) else { return true };
         let came = look(&connection.stream);
         let more = matches!(came, Came::More(_));
-        self.viewer_came(front, now, client, came);
+        self.viewer_came(core, now, client, came);
         !more
     }
 
     /// Whether a viewers' connection is over, by what its socket holds.
-    fn has_gone(&mut self, front: &mut Front, now: Duration, client: u64) -> bool {
+    fn has_gone(&mut self, core: &mut SessionCore, now: Duration, client: u64) -> bool {
         let Some(connection) = self.viewers.connections.get(&client) else { return true };
         let came = look(&connection.stream);
-        !self.viewer_came(front, now, client, came)
+        !self.viewer_came(core, now, client, came)
     }
 
-    fn viewer_came(&mut self, front: &mut Front, now: Duration, client: u64, came: Came) -> bool {
+    fn viewer_came(&mut self, core: &mut SessionCore, now: Duration, client: u64, came: Came) -> bool {
         let reset = matches!(came, Came::Reset(_));
         let (bytes, closed) = match came {
             Came::Bytes(bytes) | Came::More(bytes) => (bytes, false),
             Came::Closed(bytes) | Came::Reset(bytes) => (bytes, true),
         };
         if !bytes.is_empty() {
-            self.viewer_said(front, now, client, &bytes);
+            self.viewer_said(core, now, client, &bytes);
         }
         let told = self.viewers.connections.get_mut(&client).filter(|_| reset);
         let told = told.map(|connection| std::mem::take(&mut connection.told)).unwrap_or_default();
         if closed {
-            self.left(front, now, client);
+            self.left(core, now, client);
         }
         // What was told as the connection broke was read by nobody.
-        for ((of, cause), _) in told.into_iter().filter(|(_, at)| now < *at + Clients::UNREAD) {
+        for ((of, cause), _) in told.into_iter().filter(|(_, at)| now < *at + ClientLimits::UNREAD) {
             self.tell_viewer(now, of, None, cause);
         }
         self.viewers.connections.contains_key(&client)
     }
 
-    fn viewer_said(&mut self, front: &mut Front, now: Duration, client: u64, piece: &[u8]) {
+    fn viewer_said(&mut self, core: &mut SessionCore, now: Duration, client: u64, piece: &[u8]) {
         let Some(connection) = self.viewers.connections.get_mut(&client) else { return };
         connection.lines.push(piece);
         loop {
@@ -306,17 +308,17 @@
             let signal = match signal {
                 Ok(signal) => signal,
                 Err(wrong) => {
-                    if let Some(left_out) = self.seldom.line(now, "a viewer's line") {
-                        let (from, wrong) = (connection.from, brief(&wrong));
+                    if let Some(left_out) = self.log_limiter.check(now, "a viewer's line") {
+                        let (from, wrong) = (connection.from, truncate_for_log(&wrong));
                         tracing::info!(%from, wrong, left_out, "a viewer's line can't be read");
                     }
-                    return self.left(front, now, client);
+                    return self.left(core, now, client);
                 }
             };
             (connection.client.last, connection.leaving) = (now, false);
             match signal.kind {
-                Kind::SetUp => self.asked(front, now, client, &signal),
-                Kind::Release => self.viewer_ends(front, now, client, signal.of),
+                Kind::SetUp => self.asked(core, now, client, &signal),
+                Kind::Release => self.viewer_ends(core, now, client, signal.of),
                 Kind::Test => {
                     connection.client.answered = true;
                     if let Ok(line) = line::write(Kind::Tested, signal.of, &[], Some(1), None) {
@@ -328,14 +330,14 @@
         }
     }
 
-    fn asked(&mut self, front: &mut Front, now: Duration, client: u64, signal: &Signal) {
+    fn asked(&mut self, core: &mut SessionCore, now: Duration, client: u64, signal: &Signal) {
         let of = signal.of;
         let wrong = self.viewers.wrong(signal);
         let known = self.viewers.open.contains_key(&of) || self.stands.get(of).is_some();
         if let Some(word) = signal.extra("at") {
             // No answer is wanted, and it may name what is held already.
             if wrong.is_none() && !known {
-                self.handed(front, now, client, signal, word);
+                self.handed(core, now, client, signal, word);
             }
             return;
         }
@@ -343,7 +345,7 @@
             .viewers
             .connections
             .get(&client)
-            .is_some_and(|c| self.viewers.clients.takes(&c.client, self.viewers.open.len()));
+            .is_some_and(|c| self.viewers.clients.may_open(&c.client, self.viewers.open.len()));
         let cause = match (wrong, known, takes) {
             (None, false, true) => None,
             (None, false, false) => Some(("too many are open", REFUSED)),
@@ -351,7 +353,7 @@
             (Some(field), ..) => Some((field, UNUSABLE)),
         };
         if let Some((wrong, cause)) = cause {
-            if let Some(left_out) = self.seldom.line(now, "a set-up") {
+            if let Some(left_out) = self.log_limiter.check(now, "a set-up") {
                 tracing::info!(wrong, left_out, "a set-up is turned away");
             }
             return self.viewers.refuse(client, of, cause);
@@ -374,7 +376,7 @@
         self.viewers.open.insert(of, open);
         self.viewers.requests.insert(request, of);
         self.viewers.connections.entry(client).and_modify(|c| c.client.open += 1);
-        front.asked_once(self, now, request, SessionId(of.0.into()), about, left);
+        core.on_single_request(self, now, request, SessionId(of.0.into()), about, left);
     }
 
     fn about(&self, signal: &Signal) -> (PackageId, TitleId, usize) {
@@ -386,17 +388,17 @@
     }
 
     /// A session that plays at a server already.
-    fn handed(&mut self, front: &mut Front, now: Duration, client: u64, signal: &Signal, word: &str) {
+    fn handed(&mut self, core: &mut SessionCore, now: Duration, client: u64, signal: &Signal, word: &str) {
         let Some(server) = self.list.id(word) else {
             return tracing::info!(
-                word = brief(word),
+                word = truncate_for_log(word),
                 "a session that is handed over plays at a server not listed"
             );
         };
         let (package, title, top) = self.about(signal);
         // Its rung comes in a note.
         let session = SessionId(signal.of.0.into());
-        if let Some(key) = front.handed(self, now, server, session, (package, title, (0, top))) {
+        if let Some(key) = core.adopt_viewing(self, now, server, session, (package, title, (0, top))) {
             self.stands
                 .insert(signal.of, Stand { server, key, client: Some(client), since: now, link: None });
             self.reach(server);
@@ -404,13 +406,13 @@
     }
 
     /// A viewer gives a set-up up, or ends a session that stands.
-    fn viewer_ends(&mut self, front: &mut Front, now: Duration, client: u64, of: Ref) {
+    fn viewer_ends(&mut self, core: &mut SessionCore, now: Duration, client: u64, of: Ref) {
         if self.viewers.open.get(&of).is_some_and(|open| open.client == client) {
-            return self.given_up(front, now, of);
+            return self.given_up(core, now, of);
         }
         if let Some(stand) = self.stands.remove(of) {
             self.end_there(stand.server, of);
-            front.over(self, now, stand.server, stand.key, Over::Left);
+            core.on_viewing_ended(self, now, stand.server, stand.key, EndReason::ViewerLeft);
         }
         self.viewers.owed.remove(&of);
         if let Ok(line) = line::write(Kind::Heard, of, &[], None, None) {
@@ -434,12 +436,12 @@
                 }
                 self.viewers.connections.entry(open.client).and_modify(|c| c.client.served = true);
                 let told = self.viewers.say(open.client, line);
-                self.events.send(move |front, host, now| {
+                self.events.send(move |core, host, now| {
                     host.pay(now, open.client);
                     // Guards against a viewer that takes no answer, or had gone before it: nobody watches.
-                    if !told || host.has_gone(front, now, open.client) {
-                        host.left(front, now, open.client);
-                        host.viewer_ends(front, now, open.client, of);
+                    if !told || host.has_gone(core, now, open.client) {
+                        host.left(core, now, open.client);
+                        host.viewer_ends(core, now, open.client, of);
                     }
                 });
             }
@@ -471,7 +473,7 @@
     /// Tells on a connection what could not be told before.
     fn pay(&mut self, now: Duration, client: u64) {
         for (of, (cause, since)) in std::mem::take(&mut self.viewers.owed) {
-            if now < since + Clients::OWED {
+            if now < since + ClientLimits::OWED {
                 self.tell_viewer(since, of, Some(client), cause);
             }
         }
@@ -479,13 +481,13 @@
 
     /// Reads what all viewers' connections hold, and whether nothing is left to be read, answered or written: then nobody
     /// loses anything if they all close. Guards against a request that came as the end was decided.
-    pub fn viewers_are_done(&mut self, front: &mut Front, now: Duration) -> bool {
+    pub fn viewers_are_done(&mut self, core: &mut SessionCore, now: Duration) -> bool {
         let mut dry = true;
         for client in self.viewers.connections.keys().copied().collect::<Vec<_>>() {
             let came = self.viewers.connections.get(&client).map(|connection| look(&connection.stream));
             let Some(came) = came else { continue };
             dry &= matches!(&came, Came::Closed(_) | Came::Reset(_)) || came == Came::Bytes(vec![]);
-            self.viewer_came(front, now, client, came);
+            self.viewer_came(core, now, client, came);
         }
         let written = |c: &Connection| c.writer.unsent() == 0;
         dry && self.viewers.open.is_empty()
@@ -495,9 +497,9 @@
 
     /// Closes connections that are of no use.
     pub fn sweep_viewers(&mut self, now: Duration) {
-        self.viewers.owed.retain(|_, (_, since)| now < *since + Clients::OWED);
+        self.viewers.owed.retain(|_, (_, since)| now < *since + ClientLimits::OWED);
         // With no viewer's connection for half the time, whatever connection there is.
-        let due = self.viewers.owed.values().any(|(_, since)| now >= *since + Clients::OWED / 2);
+        let due = self.viewers.owed.values().any(|(_, since)| now >= *since + ClientLimits::OWED / 2);
         if let Some(last) = self.viewers.connections.keys().next_back().copied().filter(|_| due) {
             self.pay(now, last);
         }
@@ -509,7 +511,7 @@
             connection.client.stand = stand.get(id).copied().unwrap_or_default();
             // Whoever was told to close is gone by now, or stays.
             connection.leaving = false;
-            self.viewers.clients.over(now, &connection.client).then_some(*id)
+            self.viewers.clients.is_expired(now, &connection.client).then_some(*id)
         });
         for client in over.collect::<Vec<_>>() {
             self.viewers.ends_unused(client);
--- a/crates/peers/src/cores.rs
+++ b/crates/peers/src/cores.rs
@@ -9,7 +9,7 @@
     Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
     ReplicatedSet, ReplicationEffects,
 };
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 use std::time::Duration;
@@ -75,7 +75,8 @@
     }
 
     fn accepted(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
+        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     ) {
         let starts = starts.iter().map(|of| start(&self.group, *of)).collect();
         let about = self.about(frame::ACCEPTED, session, claim);
@@ -95,15 +96,15 @@
         self.say(to, self.about(frame::WITHDRAWN, session, claim));
     }
 
-    fn request_recovery(&mut self, to: Member, birth: Birth) {
+    fn request_recovery(&mut self, to: Member, birth: Incarnation) {
         self.say(to, Frame { kind: frame::REQUEST_RECOVERY, birth: birth.0, ..Frame::default() });
     }
 
-    fn recovery_entry(&mut self, _: Member, birth: Birth, session: SessionId, claim_set: &ClaimSet) {
+    fn recovery_entry(&mut self, _: Member, birth: Incarnation, session: SessionId, claim_set: &ClaimSet) {
         self.telling.push(Frame { birth: birth.0, ..frame::recovery_entry(&self.group, session, claim_set) });
     }
 
-    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64) {
+    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64) {
         let mut entries = std::mem::take(&mut self.telling);
         entries.push(Frame { kind: frame::RECOVERY_DONE, birth: birth.0, count, ..Frame::default() });
         self.rows.push((to, entries));
@@ -113,7 +114,7 @@
         self.notes.push_back((Note::held(&self.group, session, claim_set), true));
     }
 
-    fn store_start(&mut self, member: Member, birth: Birth) {
+    fn store_start(&mut self, member: Member, birth: Incarnation) {
         self.notes.push_back((Note::Start(self.group.name(member).into(), birth), true));
     }
 
@@ -168,7 +169,7 @@
 pub struct Cores {
     group: Group,
     me: Member,
-    pub birth: Birth,
+    pub birth: Incarnation,
     pub acceptor: Acceptor,
     pub proposer: Proposer,
     pub revoked: ReplicatedSet<SessionId>,
@@ -186,7 +187,8 @@
     /// `birth`: this start, above all before. `word`: how often [`Cores::turn`] is called. `span`: how long what is told
     /// is held. `stored`: what was on disk.
     pub fn new(
-        group: Group, me: Member, birth: Birth, word: Duration, span: Duration, now: Duration, stored: Stored,
+        group: Group, me: Member, birth: Incarnation, word: Duration, span: Duration, now: Duration,
+        stored: Stored,
     ) -> Cores {
         let kept = (stored.sessions, stored.starts);
         let out = Outbox {
@@ -328,7 +330,7 @@
     /// Each field goes straight into a call.
     fn takes(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
         let (group, out) = (&self.group, &mut self.out);
-        let (session, birth) = (|| frame::session(&frame.session), Birth(frame.birth));
+        let (session, birth) = (|| frame::session(&frame.session), Incarnation(frame.birth));
         let claim = || frame::claim(group, frame.claim.as_ref()?);
         match frame.kind {
             // Guards against a disk that takes nothing, or less than is claimed.
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! What one member keeps for all.
 
 use crate::{Claim, Effects, Group, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     Accepted(SessionId, Claim),
     Withdrawn(SessionId, Claim),
     /// What is held is told to one that recalls.
-    RecoveryEntries(Member, Birth),
+    RecoveryEntries(Member, Incarnation),
     /// That one has told all that it holds.
     RecoveryDone(Member),
 }
@@ -60,12 +60,12 @@
 pub struct Acceptor {
     group: Group,
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     span: Duration,
     sessions: BTreeMap<SessionId, (ClaimSet, Duration)>,
     expiries: BTreeSet<(Duration, SessionId)>,
     /// Of each that came back without memory, the last such start.
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     recovery: Option<Recovery>,
     /// Of each note that is not on disk yet, what then follows.
     pending_actions: VecDeque<Option<AfterStore>>,
@@ -75,8 +75,8 @@
     /// `birth`: this start, above all before; `span`: how long a claim is kept. `stored`: what was on disk, none where
     /// there was no memory, or where it was never whole.
     pub fn new(
-        group: Group, me: Member, birth: Birth, span: Duration, now: Duration, whole: bool,
-        (sessions, starts): (BTreeMap<SessionId, ClaimSet>, BTreeMap<Member, Birth>),
+        group: Group, me: Member, birth: Incarnation, span: Duration, now: Duration, whole: bool,
+        (sessions, starts): (BTreeMap<SessionId, ClaimSet>, BTreeMap<Member, Incarnation>),
     ) -> Acceptor {
         // Each for its whole span anew: no clock of before the start is believed.
         let expiries = sessions.keys().map(|session| (now + span, *session)).collect();
@@ -212,7 +212,7 @@
     }
 
     /// A member came back without memory and asks for what it may have kept.
-    pub fn on_recovery_request(&mut self, out: &mut impl Effects, from: Member, birth: Birth) {
+    pub fn on_recovery_request(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation) {
         // Guards against two that have forgotten and confirm each other that there was nothing.
         if self.recovery.is_some() || self.starts.get(&from).is_some_and(|known| *known > birth) {
             return;
@@ -231,8 +231,8 @@
 
     /// One session of what another keeps, told since this start recalls.
     pub fn on_recovery_entry(
-        &mut self, out: &mut impl Effects, now: Duration, from: Member, birth: Birth, session: SessionId,
-        claim_set: &ClaimSet,
+        &mut self, out: &mut impl Effects, now: Duration, from: Member, birth: Incarnation,
+        session: SessionId, claim_set: &ClaimSet,
     ) {
         let Some(recovery) = self.recovery.as_mut().filter(|_| birth == self.birth) else { return };
         if !recovery.completed_by.contains(&from) {
@@ -246,7 +246,7 @@
     }
 
     /// That was all, so many sessions.
-    pub fn on_recovery_done(&mut self, out: &mut impl Effects, from: Member, birth: Birth, count: u64) {
+    pub fn on_recovery_done(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation, count: u64) {
         let Some(recovery) = self.recovery.as_mut().filter(|_| birth == self.birth) else { return };
         let received_count = recovery.entries.get(&from).map_or(0, BTreeSet::len) as u64;
         // Guards against rows that were lost on the way.
@@ -295,7 +295,7 @@
         }
     }
 
-    fn send_recovery_entries(&self, out: &mut impl Effects, to: Member, birth: Birth) {
+    fn send_recovery_entries(&self, out: &mut impl Effects, to: Member, birth: Incarnation) {
         let ours = self.sessions.iter().filter(|(session, _)| self.group.acceptors(**session).contains(&to));
         let count =
             ours.map(|(session, (claim_set, _))| out.recovery_entry(to, birth, *session, claim_set)).count();
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -25,7 +25,7 @@
 pub use proposer::{ClaimOutcome, Proposer};
 pub use replicated_set::{Log, Record, ReplicatedSet, ReplicationEffects};
 
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 
 /// A manager of the group: its place in the list of names in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
     pub by: Member,
-    pub birth: Birth,
+    pub birth: Incarnation,
     pub no: ClaimNo,
 }
 
@@ -50,7 +50,8 @@
     /// To the claim's manager: `birth`, this start of the keeper, keeps it. `starts`: of others that came back without
     /// memory, as far as it knows.
     fn accepted(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)],
+        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     );
     /// To the claim's manager: not kept, since another is (`taken`), or since the keeper abstains.
     fn rejected(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool);
@@ -59,14 +60,14 @@
     /// To the claim's manager: it is taken back here.
     fn withdrawn(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To a member: this start came back without memory; what does that one hold that is also kept here?
-    fn request_recovery(&mut self, to: Member, birth: Birth);
+    fn request_recovery(&mut self, to: Member, birth: Incarnation);
     /// To one that recalls: one session; then how many there were.
-    fn recovery_entry(&mut self, to: Member, birth: Birth, session: SessionId, claim_set: &ClaimSet);
-    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64);
+    fn recovery_entry(&mut self, to: Member, birth: Incarnation, session: SessionId, claim_set: &ClaimSet);
+    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64);
     /// To disk, in order, each one note of which [`Acceptor::on_stored`] is told: what is held of a session; a member's start
     /// without memory; that this memory is whole.
     fn store(&mut self, session: SessionId, claim_set: &ClaimSet);
-    fn store_start(&mut self, member: Member, birth: Birth);
+    fn store_start(&mut self, member: Member, birth: Incarnation);
     fn store_recovered(&mut self);
     /// From disk, whenever that may be; no note.
     fn forget(&mut self, session: SessionId);
--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -1,7 +1,7 @@
 //! One member's claims: asked of the keepers, decided by their majority, taken back where the set-up never ran.
 
 use crate::{Claim, ClaimNo, Effects, Group, Member};
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
@@ -28,7 +28,7 @@
     session: SessionId,
     acceptors: BTreeSet<Member>,
     /// Who keeps it, and the start that said so.
-    accepted: BTreeMap<Member, Birth>,
+    accepted: BTreeMap<Member, Incarnation>,
     /// Who does not, and whether since another is kept.
     rejected: BTreeMap<Member, bool>,
     deadline: Duration,
@@ -38,10 +38,10 @@
 pub struct Proposer {
     group: Group,
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     proposals: BTreeMap<ClaimNo, Proposal>,
     /// Starts without memory, as keepers tell of each other.
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     unconfirmed: BTreeMap<(Member, ClaimNo), SessionId>,
     /// Behind which those owed are asked again.
     last_retried: Option<(Member, ClaimNo)>,
@@ -50,7 +50,7 @@
 
 impl Proposer {
     /// `birth`: this start, above all before.
-    pub fn new(group: Group, me: Member, birth: Birth) -> Proposer {
+    pub fn new(group: Group, me: Member, birth: Incarnation) -> Proposer {
         let (proposals, starts, unconfirmed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Proposer { group, me, birth, proposals, starts, unconfirmed, last_retried: None, last_claim_no: 0 }
     }
@@ -75,8 +75,8 @@
     }
 
     pub fn on_accepted(
-        &mut self, out: &mut impl Effects, from: Member, claim: Claim, birth: Birth,
-        starts: &[(Member, Birth)],
+        &mut self, out: &mut impl Effects, from: Member, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
     ) {
         for (member, birth) in starts {
             let known = self.starts.entry(*member).or_insert(*birth);
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -4,7 +4,7 @@
     Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
     ReplicatedSet, ReplicationEffects,
 };
-use ivyward_session::{Birth, SessionId};
+use ivyward_session::{Incarnation, SessionId};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -23,26 +23,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Claim(Claim),
-    Accepted(Claim, Birth, Vec<(Member, Birth)>),
+    Accepted(Claim, Incarnation, Vec<(Member, Incarnation)>),
     Rejected(Claim, bool),
     Withdraw(Claim),
     Withdrawn(Claim),
-    RequestRecovery(Birth),
-    RecoveryEntry(Birth, ClaimSet),
-    RecoveryDone(Birth, u64),
+    RequestRecovery(Incarnation),
+    RecoveryEntry(Incarnation, ClaimSet),
+    RecoveryDone(Incarnation, u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Note {
     Held(ClaimSet),
-    Start(Member, Birth),
+    Start(Member, Incarnation),
     Whole,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Disk {
     held: Option<ClaimSet>,
-    starts: BTreeMap<Member, Birth>,
+    starts: BTreeMap<Member, Incarnation>,
     whole: bool,
 }
 
@@ -50,7 +50,7 @@
 struct Node {
     acceptor: Acceptor,
     proposer: Proposer,
-    birth: Birth,
+    birth: Incarnation,
     disk: Disk,
     unsynced: Vec<Note>,
 }
@@ -97,7 +97,7 @@
 
 struct RecordedEffects<'a> {
     me: Member,
-    birth: Birth,
+    birth: Incarnation,
     wire: &'a mut BTreeSet<(Member, Member, Message)>,
     notes: &'a mut Vec<Note>,
     granted: &'a mut BTreeSet<Claim>,
@@ -114,7 +114,10 @@
     fn claim(&mut self, to: Member, _: SessionId, claim: Claim) {
         self.say(to, Message::Claim(claim));
     }
-    fn accepted(&mut self, to: Member, _: SessionId, claim: Claim, birth: Birth, starts: &[(Member, Birth)]) {
+    fn accepted(
+        &mut self, to: Member, _: SessionId, claim: Claim, birth: Incarnation,
+        starts: &[(Member, Incarnation)],
+    ) {
         let reported = if self.defect == Defect::StartsNotTold { &[] } else { starts };
         self.say(to, Message::Accepted(claim, birth, reported.to_vec()));
     }
@@ -127,19 +130,19 @@
     fn withdrawn(&mut self, to: Member, _: SessionId, claim: Claim) {
         self.say(to, Message::Withdrawn(claim));
     }
-    fn request_recovery(&mut self, to: Member, birth: Birth) {
+    fn request_recovery(&mut self, to: Member, birth: Incarnation) {
         self.say(to, Message::RequestRecovery(birth));
     }
-    fn recovery_entry(&mut self, to: Member, birth: Birth, _: SessionId, claim_set: &ClaimSet) {
+    fn recovery_entry(&mut self, to: Member, birth: Incarnation, _: SessionId, claim_set: &ClaimSet) {
         self.say(to, Message::RecoveryEntry(birth, claim_set.clone()));
     }
-    fn recovery_done(&mut self, to: Member, birth: Birth, count: u64) {
+    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64) {
         self.say(to, Message::RecoveryDone(birth, count));
     }
     fn store(&mut self, _: SessionId, held: &ClaimSet) {
         self.notes.push(Note::Held(held.clone()));
     }
-    fn store_start(&mut self, member: Member, birth: Birth) {
+    fn store_start(&mut self, member: Member, birth: Incarnation) {
         self.notes.push(Note::Start(member, birth));
     }
     fn store_recovered(&mut self) {
@@ -157,7 +160,7 @@
     Group::new((0..members).map(|i| (format!("m{i}"), 0)).collect(), usize::from(members))
 }
 
-fn node(me: Member, members: u16, birth: Birth, disk: Disk) -> Node {
+fn node(me: Member, members: u16, birth: Incarnation, disk: Disk) -> Node {
     let sessions = disk.held.clone().map(|held| (SESSION, held)).into_iter().collect();
     let stored = (sessions, disk.starts.clone());
     let acceptor = Acceptor::new(group(members), me, birth, SPAN, NOW, disk.whole, stored);
@@ -170,7 +173,7 @@
         let whole = Disk { whole: true, ..Disk::default() };
         let members = asks.len() as u16;
         Harness {
-            nodes: (0..members).map(|i| node(Member(i), members, Birth(1), whole.clone())).collect(),
+            nodes: (0..members).map(|i| node(Member(i), members, Incarnation(1), whole.clone())).collect(),
             wire: BTreeSet::new(),
             granted: BTreeSet::new(),
             sent: BTreeSet::new(),
@@ -235,7 +238,7 @@
             (true, Defect::ForgetfulCounts) => Disk { whole: true, ..Disk::default() },
             (true, _) => Disk::default(),
         };
-        let birth = Birth(old.birth.0 + 1);
+        let birth = Incarnation(old.birth.0 + 1);
         self.nodes[usize::from(at.0)] = node(at, members, birth, disk);
         // What it was granted and had not sent goes with it.
         self.granted.retain(|claim| claim.by != at);
@@ -506,7 +509,7 @@
 impl Copies {
     fn new(members: u16, seed: u64) -> Copies {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |of| (ReplicatedSet::new(of, Birth(1), SPAN), Said::default());
+        let copy = |of| (ReplicatedSet::new(of, Incarnation(1), SPAN), Said::default());
         let copies = group.members().map(copy).collect();
         let (late, chance) = (vec![], Pcg64Mcg::seed_from_u64(seed));
         Copies { copies, now: NOW, late, chance, sent: [0; 2], turns: 0, passes_on: false }
@@ -530,7 +533,7 @@
 
     /// Forgets all, and starts anew.
     fn restart(&mut self, at: usize, birth: u64) {
-        let fresh = ReplicatedSet::new(Member(at as u16), Birth(birth), SPAN);
+        let fresh = ReplicatedSet::new(Member(at as u16), Incarnation(birth), SPAN);
         self.copies[at] = (fresh, Said::default());
         let mut asked = self.others(at);
         asked.truncate(3);
@@ -698,7 +701,7 @@
             all.passes_on = true;
             all.add(0, 7);
             all.carry(0, |_, to| to == 4 && !heard);
-            let log = Log { of: Member(0), birth: Birth(1) };
+            let log = Log { of: Member(0), birth: Incarnation(1) };
             all.restart(0, 2);
             all.add(0, 8);
             all.carry(0, |_, to| to == 4 && !heard);
--- a/crates/session/src/decides.rs
+++ b/crates/session/src/policy.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The module's inputs; see there for what each means.
-pub trait Decides {
+pub trait Policy {
     fn start(&mut self, act: &mut dyn Actions, now: Duration);
     fn on_server_list(&mut self, now: Duration, list: &[ServerEntry], scope: ListScope);
     fn on_request(
@@ -36,7 +36,7 @@
     }
 }
 
-impl Decides for Manager {
+impl Policy for Manager {
     fn start(&mut self, act: &mut dyn Actions, now: Duration) {
         self.start(act, now);
     }
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -2,12 +2,12 @@
 
 mod harness;
 
-use crate::{Answer, Breach, Cause, Happened, Over, Timer, TuneIn};
+use crate::{Answer, AttemptResult, EndReason, FailureCause, Timer, TuneIn, Violation};
 use harness::{BIRTH, Did, EARLIER, Harness, ms, server, session};
 use ivyward::interface::{
     KindId, ListScope, LoadReport, RefusalReason, ServerEntry, ServerId, ServerState, ViewingId, ZoneId,
 };
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 
 const PLAIN: usize = 0;
 const PAID: usize = 1;
@@ -28,14 +28,14 @@
 
 #[test]
 fn what_follows_an_ending_goes_by_what_is_proved() {
-    use Happened::*;
+    use AttemptResult::*;
     // What happened, whether the plain and the paid package are set up again after it, and whether it is released.
     let cases = [
         (NotConnected, true, true, false),
         (NotWritten, true, true, false),
         (Refused, true, true, false),
-        (Errored, true, false, true),
-        (Broke, true, false, true),
+        (ServerError, true, false, true),
+        (ConnectionBroken, true, false, true),
     ];
     for (what, plain, paid, released) in cases {
         for (package, again) in [(PLAIN, plain), (PAID, paid)] {
@@ -50,10 +50,10 @@
             if !again {
                 assert_eq!(
                     answers(&harness),
-                    [&Answer::Aborted { why: Cause::Decided(RefusalReason::MayHaveRun) }],
+                    [&Answer::Aborted { why: FailureCause::ByPolicy(RefusalReason::MayHaveRun) }],
                     "{what:?} of package {package}"
                 );
-                assert!(harness.front.is_empty());
+                assert!(harness.core.is_empty());
             }
         }
     }
@@ -67,7 +67,7 @@
     // Two requests cross, a refresh while it plays, another title under the same session.
     harness.asks(2, session(1), PLAIN);
     assert!(harness.sending(vw, n));
-    harness.happens(vw, n, Happened::Plays);
+    harness.happens(vw, n, AttemptResult::Playing);
     harness.asks(3, session(1), PLAIN);
     harness.asks_for(4, session(1), PLAIN, 1);
     let set_ups = harness.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
@@ -75,8 +75,8 @@
     assert_eq!((set_ups, all.len()), (1, 4), "{:?}", harness.did);
     assert!(all[..3].iter().all(|answer| matches!(answer, Answer::Plays { tune_in, .. } if *tune_in == n)));
     assert_eq!(all[3], &Answer::Conflict);
-    harness.over(vw, n, Over::Ended);
-    assert!(harness.front.is_empty());
+    harness.over(vw, n, EndReason::Completed);
+    assert!(harness.core.is_empty());
 }
 
 #[test]
@@ -89,11 +89,11 @@
             let (vw, n) = out(&harness);
             assert!(harness.sending(vw, n));
             if limit_first {
-                harness.fires(Timer::Limit(vw, n));
-                harness.happens(vw, n, Happened::Plays);
+                harness.fires(Timer::TuneInTimeout(vw, n));
+                harness.happens(vw, n, AttemptResult::Playing);
             } else {
-                harness.happens(vw, n, Happened::Plays);
-                harness.fires(Timer::Limit(vw, n));
+                harness.happens(vw, n, AttemptResult::Playing);
+                harness.fires(Timer::TuneInTimeout(vw, n));
             }
             let plays =
                 answers(&harness).iter().filter(|answer| matches!(answer, Answer::Plays { .. })).count();
@@ -101,7 +101,7 @@
             assert_eq!(harness.released(vw, n), limit_first, "what may have run there is released");
             harness.runs(ms(20_000));
             assert_eq!(answers(&harness).len(), 1, "{:?}", harness.did);
-            assert_eq!(harness.front.breaches().len(), 0);
+            assert_eq!(harness.core.violations().len(), 0);
         }
     }
 }
@@ -115,23 +115,26 @@
             let (vw, n) = out(&harness);
             assert!(harness.sending(vw, n));
             // The module's timer for a viewer's patience, then the core's own last moment.
-            let patience = |harness: &mut Harness| harness.fires(Timer::Module(1 << 32 | u64::from(vw.0)));
+            let patience =
+                |harness: &mut Harness| harness.fires(Timer::PolicyTimer(1 << 32 | u64::from(vw.0)));
             if patience_first {
                 patience(&mut harness);
-                harness.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, AttemptResult::Playing);
             } else {
-                harness.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, AttemptResult::Playing);
                 patience(&mut harness);
             }
-            harness.fires(Timer::Answer(vw));
+            harness.fires(Timer::AnswerDeadline(vw));
             let wanted = match (patience_first, package) {
                 (false, _) => matches!(answers(&harness)[..], [Answer::Plays { .. }]),
-                (true, PAID) => matches!(answers(&harness)[..], [Answer::Aborted { why: Cause::Decided(_) }]),
+                (true, PAID) => {
+                    matches!(answers(&harness)[..], [Answer::Aborted { why: FailureCause::ByPolicy(_) }])
+                }
                 (true, _) => matches!(answers(&harness)[..], [Answer::Blocked { .. }]),
             };
             assert!(wanted, "package {package}, patience first: {patience_first}: {:?}", harness.did);
             assert_eq!(harness.released(vw, n), patience_first);
-            assert!(harness.front.breaches().is_empty());
+            assert!(harness.core.violations().is_empty());
         }
     }
 }
@@ -145,11 +148,11 @@
         if written {
             assert!(harness.sending(vw, n));
         }
-        harness.fires(Timer::Limit(vw, n));
+        harness.fires(Timer::TuneInTimeout(vw, n));
         assert_eq!(harness.released(vw, n), written);
         assert!(!harness.sending(vw, n), "a set-up given up on is not written any more");
-        let aborted =
-            answers(&harness).contains(&&Answer::Aborted { why: Cause::Decided(RefusalReason::MayHaveRun) });
+        let aborted = answers(&harness)
+            .contains(&&Answer::Aborted { why: FailureCause::ByPolicy(RefusalReason::MayHaveRun) });
         assert_eq!(aborted, written, "{:?}", harness.did);
     }
 }
@@ -180,14 +183,14 @@
             assert!(harness.sending(vw, n));
         }
         harness.closes(1, session(1));
-        assert_eq!(harness.front.live(), 1, "another request still waits");
+        assert_eq!(harness.core.viewing_count(), 1, "another request still waits");
         harness.closes(2, session(1));
         if plays_late {
-            harness.happens(vw, n, Happened::Plays);
+            harness.happens(vw, n, AttemptResult::Playing);
         }
         assert_eq!(harness.released(vw, n), written);
         harness.runs(ms(20_000));
-        assert!(harness.front.is_empty() && answers(&harness).is_empty(), "{:?}", harness.did);
+        assert!(harness.core.is_empty() && answers(&harness).is_empty(), "{:?}", harness.did);
     }
 }
 
@@ -195,10 +198,10 @@
 fn a_paid_session_that_may_have_run_is_never_set_up_again() {
     type Ends = fn(&mut Harness, ViewingId, TuneIn);
     let cases: [(&str, Ends, bool); 5] = [
-        ("played to its end", |w, vw, n| w.played(vw, n, Over::Ended), true),
-        ("its server was lost", |w, vw, n| w.played(vw, n, Over::Lost), true),
-        ("it broke", |w, vw, n| w.happens(vw, n, Happened::Broke), true),
-        ("no answer came", |w, vw, n| w.fires(Timer::Limit(vw, n)), true),
+        ("played to its end", |w, vw, n| w.played(vw, n, EndReason::Completed), true),
+        ("its server was lost", |w, vw, n| w.played(vw, n, EndReason::ServerLost), true),
+        ("it broke", |w, vw, n| w.happens(vw, n, AttemptResult::ConnectionBroken), true),
+        ("no answer came", |w, vw, n| w.fires(Timer::TuneInTimeout(vw, n)), true),
         ("turned away everywhere", |w, _, _| w.refuses_all(), false),
     ];
     for (name, ends, spent) in cases {
@@ -207,7 +210,7 @@
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
         ends(&mut harness, vw, n);
-        assert!(harness.front.is_empty(), "{name}");
+        assert!(harness.core.is_empty(), "{name}");
         harness.did.clear();
         harness.asks(2, session(1), PAID);
         let again = harness.did.iter().any(|did| matches!(did, Did::SetUp(..)));
@@ -216,7 +219,7 @@
     // After a restart only the token still tells that it was set up.
     let mut harness = Harness::new();
     harness.asks_begun(1, session(1), PAID);
-    assert_eq!(answers(&harness), [&Answer::Aborted { why: Cause::Spent }]);
+    assert_eq!(answers(&harness), [&Answer::Aborted { why: FailureCause::AlreadyUsed }]);
 }
 
 #[test]
@@ -226,15 +229,15 @@
         harness.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
-        harness.happens(vw, n, Happened::Plays);
+        harness.happens(vw, n, AttemptResult::Playing);
     }
     let (vw, n) = out(&harness);
     let at = harness.server_of(vw, n);
     let there = harness.at(at);
     harness.still(at, &[(vw, n)]);
-    assert_eq!(harness.front.live(), 6 - there + 1);
+    assert_eq!(harness.core.viewing_count(), 6 - there + 1);
     harness.still(at, &[]);
-    assert_eq!(harness.front.live(), 6 - there);
+    assert_eq!(harness.core.viewing_count(), 6 - there);
 }
 
 #[test]
@@ -243,16 +246,16 @@
     harness.asks(1, session(1), PLAIN);
     let (vw, n) = out(&harness);
     assert!(harness.sending(vw, n));
-    harness.happens(vw, n, Happened::Plays);
+    harness.happens(vw, n, AttemptResult::Playing);
     for _ in 0..4 {
         harness.runs(ms(6000));
         harness.asks(2, session(1), PLAIN);
     }
-    assert_eq!(harness.front.live(), 1, "it asks for manifests");
+    assert_eq!(harness.core.viewing_count(), 1, "it asks for manifests");
     harness.runs(ms(9500));
     assert!(harness.did.contains(&Did::Fetched(vw)), "it asks no more, so its server is asked of it");
     harness.fetched(vw, n, None);
-    assert!(harness.front.is_empty() && harness.released(vw, n));
+    assert!(harness.core.is_empty() && harness.released(vw, n));
 }
 
 #[test]
@@ -265,14 +268,14 @@
             assert!(harness.sending(vw, n));
         }
         if i == 3 {
-            harness.happens(vw, n, Happened::Plays);
+            harness.happens(vw, n, AttemptResult::Playing);
         }
     }
     harness.stop();
-    let why = Cause::Ends;
+    let why = FailureCause::ShuttingDown;
     let blocked = Answer::Blocked { come_back: None, why };
     let all = answers(&harness);
-    assert_eq!((all.len(), harness.front.waiting()), (4, 0));
+    assert_eq!((all.len(), harness.core.pending_count()), (4, 0));
     assert_eq!([all[1], all[2], all[3]], [&blocked, &blocked, &Answer::Aborted { why }]);
     harness.asks(9, session(9), PLAIN);
     assert_eq!(answers(&harness).last(), Some(&&blocked), "nothing new is taken");
@@ -294,9 +297,9 @@
     harness.runs(ms(60_000));
     assert_eq!(answers(&harness).len(), 400);
     assert!(
-        harness.front.is_empty() && harness.front.breaches().is_empty(),
+        harness.core.is_empty() && harness.core.violations().is_empty(),
         "{:?}",
-        harness.front.breaches()
+        harness.core.violations()
     );
 }
 
@@ -308,36 +311,36 @@
         if i < 3 {
             let (vw, n) = out(&harness);
             assert!(harness.sending(vw, n));
-            harness.happens(vw, n, Happened::Plays);
+            harness.happens(vw, n, AttemptResult::Playing);
         }
     }
-    let seats = Answer::Blocked { come_back: None, why: Cause::Decided(RefusalReason::SeatsTaken) };
+    let seats = Answer::Blocked { come_back: None, why: FailureCause::ByPolicy(RefusalReason::SeatsTaken) };
     assert_eq!(answers(&harness).last(), Some(&&seats));
     // The fence alone, handed what must not be.
-    let mut fence = harness::fence();
+    let mut rule_guard = harness::rule_guard();
     let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::interface::TitleId(0)));
-    let send = |fence: &mut crate::Fence, at, vw, again, ran| {
-        fence.sending(ms(at), session(1), vw, server(1), about, (again, ran))
+    let send = |rule_guard: &mut crate::RuleGuard, at, vw, again, ran| {
+        rule_guard.sending(ms(at), session(1), vw, server(1), about, (again, ran))
     };
-    assert_eq!(send(&mut fence, 0, one, false, false), []);
-    assert_eq!(send(&mut fence, 1, two, false, false), [Breach::TwoTuneIns]);
-    fence.ended(session(1), two);
-    assert_eq!(send(&mut fence, 2, one, false, true), [Breach::PaidTwice]);
-    fence.ended(session(1), one);
-    fence.told(ms(10), server(1), ServerState::Draining);
-    assert_eq!(send(&mut fence, 260, one, false, false), []);
-    fence.ended(session(1), one);
-    assert_eq!(send(&mut fence, 261, one, false, false), [Breach::AfterDrain]);
-    fence.ended(session(1), one);
-    fence.told(ms(300), server(1), ServerState::Ready);
-    (0..3).for_each(|_| fence.holds(about.0, about.1, true));
-    assert_eq!(send(&mut fence, 301, one, false, false), [Breach::Seats]);
-    fence.holds(about.0, about.1, false);
-    for (i, breaches) in [vec![], vec![], vec![Breach::Ration]].into_iter().enumerate() {
-        fence.ended(session(1), one);
-        assert_eq!(send(&mut fence, 400 + i as u64, one, true, false), breaches);
+    assert_eq!(send(&mut rule_guard, 0, one, false, false), []);
+    assert_eq!(send(&mut rule_guard, 1, two, false, false), [Violation::TwoTuneIns]);
+    rule_guard.ended(session(1), two);
+    assert_eq!(send(&mut rule_guard, 2, one, false, true), [Violation::PaidTwice]);
+    rule_guard.ended(session(1), one);
+    rule_guard.told(ms(10), server(1), ServerState::Draining);
+    assert_eq!(send(&mut rule_guard, 260, one, false, false), []);
+    rule_guard.ended(session(1), one);
+    assert_eq!(send(&mut rule_guard, 261, one, false, false), [Violation::AfterDrain]);
+    rule_guard.ended(session(1), one);
+    rule_guard.told(ms(300), server(1), ServerState::Ready);
+    (0..3).for_each(|_| rule_guard.holds(about.0, about.1, true));
+    assert_eq!(send(&mut rule_guard, 301, one, false, false), [Violation::Seats]);
+    rule_guard.holds(about.0, about.1, false);
+    for (i, violations) in [vec![], vec![], vec![Violation::Ration]].into_iter().enumerate() {
+        rule_guard.ended(session(1), one);
+        assert_eq!(send(&mut rule_guard, 400 + i as u64, one, true, false), violations);
     }
-    assert_eq!(fence.counts.values().sum::<u64>(), 5);
+    assert_eq!(rule_guard.violation_counts.values().sum::<u64>(), 5);
 }
 
 #[test]
@@ -348,13 +351,13 @@
     for i in 1..=3 {
         harness.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&harness);
-        harness.happens(vw, n, Happened::NotConnected);
+        harness.happens(vw, n, AttemptResult::NotConnected);
         waiting.push(out(&harness));
         harness.runs(ms(10));
     }
     let sent: Vec<_> = waiting.into_iter().map(|(vw, n)| harness.sending(vw, n)).collect();
     assert_eq!(sent, [true, true, false], "two are free");
-    assert!(harness.front.breaches().is_empty());
+    assert!(harness.core.violations().is_empty());
     harness.runs(ms(20_000));
     assert_eq!(answers(&harness).len(), 3);
 }
@@ -368,12 +371,12 @@
         for i in 1..=3 {
             harness.asks(i, session(u128::from(i)), PLAIN);
             let (vw, n) = out(&harness);
-            harness.happens(vw, n, Happened::NotConnected);
+            harness.happens(vw, n, AttemptResult::NotConnected);
             let (vw, n) = out(&harness);
             if i == 1 && limit {
-                harness.fires(Timer::Limit(vw, n));
+                harness.fires(Timer::TuneInTimeout(vw, n));
             } else if i == 1 {
-                harness.happens(vw, n, Happened::NotConnected);
+                harness.happens(vw, n, AttemptResult::NotConnected);
             } else {
                 sent.push(harness.sending(vw, n));
             }
@@ -389,7 +392,12 @@
         harness.asks(1, session(1), PLAIN);
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
-        harness.happens_with(vw, n, Happened::Refused, LoadReport { link: Some(full), uplink: Some(full) });
+        harness.happens_with(
+            vw,
+            n,
+            AttemptResult::Refused,
+            LoadReport { link: Some(full), uplink: Some(full) },
+        );
         harness.runs(ms(20_000));
         assert_eq!(answers(&harness).len(), 1, "{full}");
     }
@@ -403,11 +411,11 @@
         harness.asks(1, session(1), PLAIN);
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
-        harness.happens(vw, n, Happened::Plays);
+        harness.happens(vw, n, AttemptResult::Playing);
         harness.runs(ms(9500));
         assert_eq!(harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count(), 1);
         harness.fetched(vw, n, quiet);
-        assert_eq!((harness.front.is_empty(), harness.released(vw, n)), (over, over), "{quiet:?}");
+        assert_eq!((harness.core.is_empty(), harness.released(vw, n)), (over, over), "{quiet:?}");
         harness.runs(ms(9500));
         let asked = harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count();
         assert_eq!(asked, if over { 1 } else { 2 }, "{quiet:?}");
@@ -416,25 +424,25 @@
 
 #[test]
 fn tokens_spent_by_a_player_that_went_on_are_not_taken() {
-    let shown = |turn| Shown::Manager { birth: BIRTH.0, server: server(0), turn };
+    let origin = |sequence| TokenOrigin::Manager { birth: BIRTH.0, server: server(0), sequence };
     let mut harness = Harness::new();
     harness.asks(1, session(1), PLAIN);
     let (vw, n) = out(&harness);
     assert!(harness.sending(vw, n));
-    harness.happens(vw, n, Happened::Plays);
+    harness.happens(vw, n, AttemptResult::Playing);
     // The turn shown, and that of the token given with the answer; none where it is not taken.
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
-    for (request, (turn, next)) in (2..).zip(cases) {
-        harness.asks_with(request, session(1), PLAIN, 0, shown(turn));
+    for (request, (sequence, next)) in (2..).zip(cases) {
+        harness.asks_with(request, session(1), PLAIN, 0, origin(sequence));
         let given = match harness.did.last() {
-            Some(Did::Answer(_, Answer::Plays { turn, .. })) => Some(*turn),
+            Some(Did::Answer(_, Answer::Plays { sequence, .. })) => Some(*sequence),
             Some(Did::Answer(_, Answer::Replayed)) => None,
             other => panic!("{other:?}"),
         };
-        assert_eq!(given, next, "turn {turn}");
+        assert_eq!(given, next, "sequence {sequence}");
     }
     assert_eq!(
-        (harness.front.live(), harness.set_ups().len()),
+        (harness.core.viewing_count(), harness.set_ups().len()),
         (1, 1),
         "whatever is shown, it is one viewing"
     );
@@ -445,33 +453,33 @@
     let mut harness = Harness::new();
     harness.finds(server(2), EARLIER, 70, session(1), PAID);
     harness.finds(server(2), EARLIER, 70, session(1), PAID);
-    assert_eq!((harness.front.live(), harness.front.counts()), (1, (0, 1)));
+    assert_eq!((harness.core.viewing_count(), harness.core.inventory_counts()), (1, (0, 1)));
     // Its player goes on at the same server, paid or not, without a set-up.
-    let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-    harness.asks_with(1, session(1), PAID, 0, shown);
+    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+    harness.asks_with(1, session(1), PAID, 0, origin);
     let plays = matches!(
         answers(&harness)[..],
-        [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, turn: 10 }]
+        [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, sequence: 10 }]
             if *at == server(2)
     );
     assert!(plays && harness.set_ups().is_empty(), "{:?}", harness.did);
     // The same session again elsewhere, and one of our own start that we know nothing of, are nobody's.
     harness.finds(server(3), EARLIER, 71, session(1), PAID);
     harness.finds(server(3), BIRTH, 72, session(2), PLAIN);
-    assert_eq!((harness.front.live(), harness.front.counts()), (1, (2, 1)));
+    assert_eq!((harness.core.viewing_count(), harness.core.inventory_counts()), (1, (2, 1)));
     assert!([71, 72].into_iter().all(|vw| harness.released(ViewingId(vw), TuneIn(2))));
     harness.still(server(2), &[]);
-    assert!(harness.front.is_empty(), "it went with its server");
+    assert!(harness.core.is_empty(), "it went with its server");
 }
 
 #[test]
 fn a_refresh_waits_for_what_its_server_says_of_an_earlier_start() {
-    let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
+    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
     // The server says that it plays it, or that it has nothing, or stays silent; and whether the package is paid.
     for (word, package) in [(0, PLAIN), (0, PAID), (1, PLAIN), (1, PAID), (2, PLAIN), (2, PAID)] {
         let mut harness = Harness::new();
-        harness.asks_with(1, session(1), package, 0, shown);
-        assert_eq!((harness.front.waiting(), harness.did.len()), (1, 0), "it waits");
+        harness.asks_with(1, session(1), package, 0, origin);
+        assert_eq!((harness.core.pending_count(), harness.did.len()), (1, 0), "it waits");
         match word {
             0 => {
                 harness.finds(server(2), EARLIER, 70, session(1), package);
@@ -482,19 +490,19 @@
         }
         match (word, package) {
             (0, _) => assert!(matches!(answers(&harness)[..], [Answer::Plays { .. }]), "{:?}", harness.did),
-            (_, PAID) => assert_eq!(answers(&harness), [&Answer::Aborted { why: Cause::Spent }]),
+            (_, PAID) => assert_eq!(answers(&harness), [&Answer::Aborted { why: FailureCause::AlreadyUsed }]),
             _ => assert_eq!(harness.set_ups().len(), 1, "it is set up anew"),
         }
         // Closed or stopped while it waits, it is answered or gone.
         harness.closes(1, session(1));
         harness.stop();
-        assert_eq!(harness.front.waiting(), 0);
+        assert_eq!(harness.core.pending_count(), 0);
     }
     let mut harness = Harness::new();
-    harness.asks_with(1, session(1), PLAIN, 0, shown);
+    harness.asks_with(1, session(1), PLAIN, 0, origin);
     harness.stop();
-    assert_eq!(answers(&harness), [&Answer::Blocked { come_back: None, why: Cause::Ends }]);
-    assert!(harness.front.is_empty());
+    assert_eq!(answers(&harness), [&Answer::Blocked { come_back: None, why: FailureCause::ShuttingDown }]);
+    assert!(harness.core.is_empty());
 }
 
 #[test]
@@ -510,9 +518,9 @@
         harness.asks(u64::from(turn), session(u128::from(turn)), PAID);
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
-        harness.played(vw, n, Over::Ended);
+        harness.played(vw, n, EndReason::Completed);
         harness.runs(ms(60_000));
-        held.push(harness.front.held());
+        held.push(harness.core.entry_count());
     }
     assert!(held[39] <= held[12], "after 13 turns {}, after 40 {}", held[12], held[39]);
 }
@@ -580,8 +588,8 @@
             let mut harness = Harness::with(stage == Stage::Probing);
             let mut at = server(2);
             if stage == Stage::Word {
-                let shown = Shown::Manager { birth: EARLIER.0, server: at, turn: 9 };
-                harness.asks_with(1, session(1), package, 0, shown);
+                let origin = TokenOrigin::Manager { birth: EARLIER.0, server: at, sequence: 9 };
+                harness.asks_with(1, session(1), package, 0, origin);
             } else {
                 harness.asks(1, session(1), package);
             }
@@ -599,7 +607,7 @@
                     assert!(harness.sending(vw, n));
                 }
                 if matches!(stage, Stage::Playing | Stage::Releasing) {
-                    harness.happens(vw, n, Happened::Plays);
+                    harness.happens(vw, n, AttemptResult::Playing);
                 }
                 if stage == Stage::Releasing {
                     harness.fetched(vw, n, None);
@@ -627,15 +635,15 @@
                 if !written && harness.sending(vw, n) {
                     assert!(!(ends && to == at), "{told}: sent where the list says that it ends");
                 }
-                harness.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, AttemptResult::Playing);
             }
             if let Some((vw, n)) = harness.set_ups().last().copied() {
-                harness.over(vw, n, Over::Ended);
+                harness.over(vw, n, EndReason::Completed);
             }
             harness.runs(ms(20_000));
             let answered = answers(&harness).len();
-            assert_eq!((answered, harness.front.breaches().len()), (1, 0), "{told}: {:?}", harness.did);
-            assert!(harness.front.is_empty(), "{told}: something is left, {:?}", harness.did);
+            assert_eq!((answered, harness.core.violations().len()), (1, 0), "{told}: {:?}", harness.did);
+            assert!(harness.core.is_empty(), "{told}: something is left, {:?}", harness.did);
         }
     }
 }
@@ -655,22 +663,22 @@
         if back {
             harness.lists(&[(server(3), ServerState::Ready)]);
         }
-        harness.happens(vw, n, Happened::Refused);
+        harness.happens(vw, n, AttemptResult::Refused);
         let again = harness.set_ups().len() == 2;
         assert_eq!(again, back && at < 3000, "back: {back}, after {at} ms: {:?}", harness.did);
         if again {
             let (vw, n) = out(&harness);
             assert_eq!((harness.server_of(vw, n), harness.sending(vw, n)), (server(3), true));
-            harness.played(vw, n, Over::Ended);
+            harness.played(vw, n, EndReason::Completed);
         }
         harness.runs(ms(20_000));
         assert_eq!(
-            (answers(&harness).len(), harness.front.breaches().len()),
+            (answers(&harness).len(), harness.core.violations().len()),
             (1, 0),
             "{at}: {:?}",
             harness.did
         );
-        assert!(harness.front.is_empty());
+        assert!(harness.core.is_empty());
     }
 }
 
@@ -680,8 +688,8 @@
         let mut harness = Harness::new();
         if step == 0 {
             // It waits for word.
-            let shown = Shown::Manager { birth: EARLIER.0, server: server(2), turn: 9 };
-            harness.asks_with(1, session(1), PLAIN, 0, shown);
+            let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+            harness.asks_with(1, session(1), PLAIN, 0, origin);
         } else {
             harness.asks(1, session(1), PLAIN);
             let (vw, n) = out(&harness);
@@ -689,13 +697,13 @@
                 assert!(harness.sending(vw, n));
             }
             if step > 2 {
-                harness.happens(vw, n, Happened::Plays);
+                harness.happens(vw, n, AttemptResult::Playing);
             }
         }
         harness.revokes(session(1));
         let wanted = if step < 3 { 1 } else { 0 };
         let revoked = answers(&harness).iter().filter(|answer| ***answer == Answer::Revoked).count();
-        assert_eq!((revoked, harness.front.is_empty()), (wanted, true), "step {step}: {:?}", harness.did);
+        assert_eq!((revoked, harness.core.is_empty()), (wanted, true), "step {step}: {:?}", harness.did);
         if step > 1 {
             let (vw, n) = out(&harness);
             assert!(harness.released(vw, n), "step {step}");
@@ -710,13 +718,13 @@
         harness.asks(i, session(u128::from(i)), PLAIN);
         let (vw, n) = out(&harness);
         assert!(harness.sending(vw, n));
-        harness.happens(vw, n, Happened::Plays);
+        harness.happens(vw, n, AttemptResult::Playing);
     }
     let (vw, n) = out(&harness);
     let at = harness.server_of(vw, n);
     let there = harness.at(at);
     harness.goes_astray(at);
-    assert_eq!(harness.front.live(), 6 - there);
+    assert_eq!(harness.core.viewing_count(), 6 - there);
     assert!(harness.released(vw, n));
 }
 
@@ -745,32 +753,32 @@
         );
         harness.runs(ms(60_000));
         assert_eq!(answers(&harness).len(), 1);
-        assert!(harness.front.is_empty(), "{package} {patience}");
+        assert!(harness.core.is_empty(), "{package} {patience}");
         assert!(
             !harness.did.iter().any(|did| matches!(did, Did::Fetched(_) | Did::Breach(_))),
             "{:?}",
             harness.did
         );
         // The same once more: nothing is remembered that would refuse it.
-        let before = harness.front.held();
+        let before = harness.core.entry_count();
         harness.asks_once(2, session(1), package, ms(patience));
-        assert_eq!((harness.front.live(), harness.front.held()), (1, before));
+        assert_eq!((harness.core.viewing_count(), harness.core.entry_count()), (1, before));
     }
 }
 
 #[test]
 fn a_session_that_is_handed_over_plays_until_it_ends() {
     for package in [PLAIN, PAID, SEATED] {
-        for why in [Over::Ended, Over::Left, Over::Lost] {
+        for why in [EndReason::Completed, EndReason::ViewerLeft, EndReason::ServerLost] {
             let mut harness = Harness::of_requests();
             let key = harness.handed(server(3), session(5), package).expect("taken");
             assert_eq!(harness.handed(server(3), session(5), package), None, "named twice");
             harness.runs(ms(120_000));
-            assert_eq!(harness.front.live(), 1, "it plays for as long as nobody ends it");
+            assert_eq!(harness.core.viewing_count(), 1, "it plays for as long as nobody ends it");
             harness.ends(server(2), key, why);
-            assert_eq!(harness.front.live(), 1, "not there");
+            assert_eq!(harness.core.viewing_count(), 1, "not there");
             harness.ends(server(3), key, why);
-            assert!(harness.front.is_empty(), "{package} {why:?}");
+            assert!(harness.core.is_empty(), "{package} {why:?}");
             assert!(answers(&harness).is_empty() && !harness.released(key.1, key.2), "{:?}", harness.did);
         }
     }
--- a/crates/session/src/tests/harness.rs
+++ b/crates/session/src/tests/harness.rs
@@ -1,18 +1,19 @@
 //! A small world for the core: six servers, three packages, time that a test moves.
 
 use crate::{
-    Answer, Birth, Breach, Effects, Fence, Front, Happened, Over, RequestId, SessionId, Timer, TuneIn,
+    Answer, AttemptResult, Effects, EndReason, Incarnation, RequestId, RuleGuard, SessionCore, SessionId,
+    Timer, TuneIn, Violation,
 };
 use ivyward::interface::*;
 use ivyward::policy::Manager;
 use ivyward::state::{Ladder, Limits, Network, Package, Prices, RetryBudget, SlowStart};
-use ivyward_edge::Shown;
+use ivyward_edge::TokenOrigin;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// This start, and one before it.
-pub const BIRTH: Birth = Birth(7);
-pub const EARLIER: Birth = Birth(6);
+pub const BIRTH: Incarnation = Incarnation(7);
+pub const EARLIER: Incarnation = Incarnation(6);
 const BEGIN: Duration = Duration::from_secs(1000);
 
 /// Rationed as bytes go out; the module of this world counts generously.
@@ -39,7 +40,7 @@
     Release(ServerId, ViewingId, TuneIn),
     Fetched(ViewingId),
     Probe(ServerId),
-    Breach(Breach),
+    Breach(Violation),
 }
 
 #[derive(Default)]
@@ -58,37 +59,37 @@
     ) {
         self.did.push(Did::SetUp(vw, n, server));
     }
-    fn drop_set_up(&mut self, vw: ViewingId, n: TuneIn) {
+    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Drop(vw, n));
     }
-    fn release(&mut self, server: ServerId, _: Birth, vw: ViewingId, n: TuneIn) {
+    fn release(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, n: TuneIn) {
         self.did.push(Did::Release(server, vw, n));
     }
-    fn rung(&mut self, _: ServerId, _: Birth, _: ViewingId, _: TuneIn, _: usize) {}
+    fn change_rung(&mut self, _: ServerId, _: Incarnation, _: ViewingId, _: TuneIn, _: usize) {}
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(server));
     }
-    fn fetched(&mut self, _: ServerId, _: Birth, vw: ViewingId, _: TuneIn) {
+    fn query_last_fetch(&mut self, _: ServerId, _: Incarnation, vw: ViewingId, _: TuneIn) {
         self.did.push(Did::Fetched(vw));
     }
-    fn wake(&mut self, after: Duration, timer: Timer) {
+    fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.push((after, timer));
     }
-    fn breach(&mut self, breach: Breach, _: ViewingId) {
-        self.did.push(Did::Breach(breach));
+    fn report_violation(&mut self, violation: Violation, _: ViewingId) {
+        self.did.push(Did::Breach(violation));
     }
 }
 
 pub struct Harness {
-    pub front: Front,
+    pub core: SessionCore,
     pub did: Vec<Did>,
     now: Duration,
     timers: BTreeMap<(Duration, u64), Timer>,
     order: u64,
 }
 
-pub fn fence() -> Fence {
-    Fence::new(ms(250), Some((ms(5000), 2.0, 0.0)), vec![0, 0, 2])
+pub fn rule_guard() -> RuleGuard {
+    RuleGuard::new(ms(250), Some((ms(5000), 2.0, 0.0)), vec![0, 0, 2])
 }
 
 impl Harness {
@@ -116,7 +117,7 @@
             top: 1,
             seats,
         };
-        let module = Manager::new(
+        let policy = Manager::new(
             (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
             Ladder { rates: vec![100.0, 200.0], worths: vec![0.5, 1.0], switch: 0.5 },
             Network {
@@ -133,12 +134,12 @@
             Some(RetryBudget::new(ms(5000), 1000.0, 1.0)),
             vec![package(false, 0), package(true, 0), package(false, 2)],
         );
-        let fence = fence();
+        let rule_guard = rule_guard();
         let terms = vec![(ms(3000), false), (ms(3000), true), (ms(3000), false)];
         let spans = (ms(40), sessions.map(|(idle, _)| idle), sessions.map(|(_, paid)| paid));
-        let front = Front::new(Box::new(module), fence, terms, spans, Some(RATION), BIRTH);
-        let mut harness = Harness { front, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
-        harness.turn(|front, effects, now| front.start(effects, now));
+        let core = SessionCore::new(Box::new(policy), rule_guard, terms, spans, Some(RATION), BIRTH);
+        let mut harness = Harness { core, did: vec![], now: BEGIN, timers: BTreeMap::new(), order: 0 };
+        harness.turn(|core, effects, now| core.start(effects, now));
         let all: Vec<_> = (0..6).map(|i| (server(i), ServerState::Ready)).collect();
         harness.lists(&all);
         // Warm by now.
@@ -147,9 +148,9 @@
         harness
     }
 
-    fn turn<T>(&mut self, act: impl FnOnce(&mut Front, &mut dyn Effects, Duration) -> T) -> T {
+    fn turn<T>(&mut self, act: impl FnOnce(&mut SessionCore, &mut dyn Effects, Duration) -> T) -> T {
         let mut effects = EffectLog::default();
-        let came = act(&mut self.front, &mut effects, self.now);
+        let came = act(&mut self.core, &mut effects, self.now);
         self.did.extend(effects.did);
         for (after, timer) in effects.timers {
             self.order += 1;
@@ -164,13 +165,13 @@
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), timer) = entry.remove_entry();
             self.now = at;
-            self.turn(|front, effects, now| front.woken(effects, now, timer));
+            self.turn(|core, effects, now| core.on_timer(effects, now, timer));
         }
         self.now = until;
     }
 
     pub fn fires(&mut self, timer: Timer) {
-        self.turn(|front, effects, now| front.woken(effects, now, timer));
+        self.turn(|core, effects, now| core.on_timer(effects, now, timer));
     }
 
     pub fn asks(&mut self, request: u64, session: SessionId, package: usize) {
@@ -183,99 +184,101 @@
 
     pub fn asks_begun(&mut self, request: u64, session: SessionId, package: usize) {
         // Its server has told that it has nothing of ours.
-        self.turn(|front, effects, now| front.heard(effects, now, server(0)));
-        let shown = Shown::Manager { birth: EARLIER.0, server: server(0), turn: 1 };
-        self.asks_with(request, session, package, 0, shown);
+        self.turn(|core, effects, now| core.on_inventory_complete(effects, now, server(0)));
+        let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(0), sequence: 1 };
+        self.asks_with(request, session, package, 0, origin);
     }
 
     fn asks_as(&mut self, request: u64, session: SessionId, package: usize, title: u64) {
-        self.asks_with(request, session, package, title, Shown::App { issued: ms(0) });
+        self.asks_with(request, session, package, title, TokenOrigin::App { issued: ms(0) });
     }
 
-    pub fn asks_with(&mut self, request: u64, session: SessionId, package: usize, title: u64, shown: Shown) {
+    pub fn asks_with(
+        &mut self, request: u64, session: SessionId, package: usize, title: u64, origin: TokenOrigin,
+    ) {
         let about = (PackageId(package), TitleId(title), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, effects, now| {
-            front.asked(effects, now, RequestId(request), session, about, shown, now + ms(60_000));
+        self.turn(|core, effects, now| {
+            core.on_request(effects, now, RequestId(request), session, about, origin, now + ms(60_000));
         });
     }
 
     /// A request that says itself how long it waits.
     pub fn asks_once(&mut self, request: u64, session: SessionId, package: usize, patience: Duration) {
         let about = (PackageId(package), TitleId(0), Cells { first: 0, spread: 6 }, 1);
-        self.turn(|front, effects, now| {
-            front.asked_once(effects, now, RequestId(request), session, about, patience)
+        self.turn(|core, effects, now| {
+            core.on_single_request(effects, now, RequestId(request), session, about, patience)
         });
     }
 
     /// A session that plays is handed to us.
     pub fn handed(
         &mut self, at: ServerId, session: SessionId, package: usize,
-    ) -> Option<(Birth, ViewingId, TuneIn)> {
+    ) -> Option<(Incarnation, ViewingId, TuneIn)> {
         let about = (PackageId(package), TitleId(0), (0, 1));
-        self.turn(|front, effects, now| front.handed(effects, now, at, session, about))
+        self.turn(|core, effects, now| core.adopt_viewing(effects, now, at, session, about))
     }
 
-    pub fn ends(&mut self, at: ServerId, key: (Birth, ViewingId, TuneIn), why: Over) {
-        self.turn(|front, effects, now| front.over(effects, now, at, key, why));
+    pub fn ends(&mut self, at: ServerId, key: (Incarnation, ViewingId, TuneIn), why: EndReason) {
+        self.turn(|core, effects, now| core.on_viewing_ended(effects, now, at, key, why));
     }
 
     pub fn hears(&mut self, at: ServerId) {
-        self.turn(|front, effects, now| front.heard(effects, now, at));
+        self.turn(|core, effects, now| core.on_inventory_complete(effects, now, at));
     }
 
     /// A server plays that for us.
-    pub fn finds(&mut self, at: ServerId, birth: Birth, vw: u32, session: SessionId, package: usize) {
+    pub fn finds(&mut self, at: ServerId, birth: Incarnation, vw: u32, session: SessionId, package: usize) {
         let (tune_in, about) = ((birth, ViewingId(vw), TuneIn(2)), (PackageId(package), TitleId(0), (1, 1)));
-        self.turn(|front, effects, now| front.found(effects, now, at, tune_in, session, about));
+        self.turn(|core, effects, now| core.on_running_tune_in(effects, now, at, tune_in, session, about));
     }
 
     /// The server of a viewing says when its player last fetched.
     pub fn fetched(&mut self, vw: ViewingId, n: TuneIn, quiet: Option<Duration>) {
         let at = self.server_of(vw, n);
-        self.turn(|front, effects, now| front.fetched(effects, now, at, (BIRTH, vw, n), quiet));
+        self.turn(|core, effects, now| core.on_last_fetch(effects, now, at, (BIRTH, vw, n), quiet));
     }
 
     pub fn revokes(&mut self, session: SessionId) {
-        self.turn(|front, effects, now| front.revoked(effects, now, session));
+        self.turn(|core, effects, now| core.on_revoked(effects, now, session));
     }
 
     pub fn goes_astray(&mut self, at: ServerId) {
-        self.turn(|front, effects, now| front.astray(effects, now, at));
+        self.turn(|core, effects, now| core.on_clock_skew(effects, now, at));
     }
 
     pub fn closes(&mut self, request: u64, session: SessionId) {
-        self.turn(|front, effects, now| front.closed(effects, now, session, RequestId(request)));
+        self.turn(|core, effects, now| core.on_request_closed(effects, now, session, RequestId(request)));
     }
 
     pub fn sending(&mut self, vw: ViewingId, n: TuneIn) -> bool {
-        self.turn(|front, effects, now| front.sending(effects, now, vw, n))
+        self.turn(|core, effects, now| core.may_send_set_up(effects, now, vw, n))
     }
 
-    pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: Happened) {
+    pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult) {
         self.happens_with(vw, n, what, LoadReport::default());
     }
 
-    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: Happened, load: LoadReport) {
-        self.turn(|front, effects, now| front.happened(effects, now, vw, n, what, load));
+    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult, load: LoadReport) {
+        self.turn(|core, effects, now| core.on_attempt_result(effects, now, vw, n, what, load));
     }
 
-    pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
+    pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
         let at = self.server_of(vw, n);
-        self.turn(|front, effects, now| front.over(effects, now, at, (BIRTH, vw, n), why));
+        self.turn(|core, effects, now| core.on_viewing_ended(effects, now, at, (BIRTH, vw, n), why));
     }
 
-    pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: Over) {
-        self.happens(vw, n, Happened::Plays);
+    pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
+        self.happens(vw, n, AttemptResult::Playing);
         self.over(vw, n, why);
     }
 
     pub fn still(&mut self, at: ServerId, playing: &[(ViewingId, TuneIn)]) {
         let playing: Vec<_> = playing.iter().map(|(vw, n)| (BIRTH, *vw, *n)).collect();
-        self.turn(|front, effects, now| front.still(effects, now, at, &playing));
+        self.turn(|core, effects, now| core.on_inventory(effects, now, at, &playing));
     }
 
     pub fn stop(&mut self) {
-        self.turn(|front, effects, now| front.stop(effects, now));
+        self.turn(|core, effects, now| core.stop(effects, now));
     }
 
     /// A line of the list as it usually is.
@@ -290,7 +293,7 @@
     }
 
     pub fn lists_as(&mut self, rows: &[ServerEntry], scope: ListScope) {
-        self.turn(|front, _, now| front.listed(now, rows, scope));
+        self.turn(|core, _, now| core.on_server_list(now, rows, scope));
     }
 
     pub fn now(&self) -> Duration {
@@ -299,14 +302,14 @@
 
     /// A probe of a server is answered.
     pub fn probed(&mut self, at: ServerId, load: Option<LoadReport>) {
-        self.turn(|front, effects, now| front.probed(effects, now, at, load));
+        self.turn(|core, effects, now| core.on_probe_result(effects, now, at, load));
     }
 
     /// Turns the set-up that is out away until nothing is out any more.
     pub fn refuses_all(&mut self) {
-        while let Some((vw, n)) = self.set_ups().last().copied().filter(|_| self.front.waiting() > 0) {
+        while let Some((vw, n)) = self.set_ups().last().copied().filter(|_| self.core.pending_count() > 0) {
             self.sending(vw, n);
-            self.happens(vw, n, Happened::Refused);
+            self.happens(vw, n, AttemptResult::Refused);
         }
     }
 
