--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -3,7 +3,7 @@
 
 use crate::setup;
 use ivyward_dash::token::TokenClaims;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use ivyward_standin::Standins;
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// The faults of the embedded text, which its tests keep free of any.
-pub fn settings(list: SocketAddr) -> Result<Part, String> {
+pub fn settings(list: SocketAddr) -> Result<Section, String> {
     let text = format!("{SETTINGS}list_address: \"{list}\"\n");
     crate::read(&text).map_err(|faults| format!("embedded settings: {faults:?}"))
 }
@@ -54,12 +54,12 @@
 fn open() -> Result<Standins, String> {
     let parts = |text, kind| ivyward_settings::read(kind, text).map_err(|faults| format!("{faults:?}"));
     let (settings, fleet) = (parts(SETTINGS, "Settings")?, parts(FLEET, "Fleet")?);
-    let tokens = settings.one("tokens");
+    let tokens = settings.section("tokens");
     let keys = setup::keys(&tokens).map_err(|faults| format!("{faults:?}"))?;
     let model = ivyward_standin::fleet(1, &fleet, &settings);
-    let cells = settings.one("network").count("places");
-    let rates = (fleet.number("vary"), fleet.span("list_late_s"));
-    Standins::open(1, model, cells, (keys, tokens.span("skew_s")), rates, Instant::now())
+    let cells = settings.section("network").count("places");
+    let rates = (fleet.number("vary"), fleet.duration("list_late_s"));
+    Standins::open(1, model, cells, (keys, tokens.duration("skew_s")), rates, Instant::now())
         .map_err(|e| e.to_string())
 }
 
@@ -68,15 +68,15 @@
 /// # Errors
 /// No such title or package, or no key signs.
 pub fn token(
-    settings: &Part, title: &str, package: &str, top: usize, life: Duration,
+    settings: &Section, title: &str, package: &str, top: usize, life: Duration,
 ) -> Result<String, String> {
-    let has = |list: &str, name: &str| settings.list(list).iter().any(|part| part.text("name") == name);
+    let has = |list: &str, name: &str| settings.sections(list).iter().any(|part| part.text("name") == name);
     for (list, name) in [("title", title), ("package", package)] {
         if !has(list, name) {
             return Err(format!("no {list} {name:?} in the settings"));
         }
     }
-    let keys = setup::keys(&settings.one("tokens")).map_err(|faults| format!("{faults:?}"))?;
+    let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
     let now = crate::date();
     // A session of its own each time: the date in nanoseconds over the process.
     let session = now.as_nanos() << 32 | u128::from(std::process::id());
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -18,7 +18,7 @@
 mod viewers;
 
 use ivyward_session::Policy;
-use ivyward_settings::{Fault, Part};
+use ivyward_settings::{Fault, Section};
 use shell::Shell;
 use std::fmt;
 use std::future::Future;
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// All faults found.
-pub fn read(text: &str) -> Result<Part, Vec<Fault>> {
+pub fn read(text: &str) -> Result<Section, Vec<Fault>> {
     let settings = ivyward_settings::read("Settings", text)?;
     let faults = setup::faults(&settings);
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
@@ -93,7 +93,7 @@
 /// # Errors
 /// What kept it from starting, or that viewings were left without an answer.
 pub async fn manage(
-    settings: &Part, ready: impl FnOnce(SocketAddr), ended: impl Future<Output = ()>, outside: Outside,
+    settings: &Section, ready: impl FnOnce(SocketAddr), ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
     manage_by(settings, Box::new(setup::policy(settings)), ready, ended, outside).await
 }
@@ -103,10 +103,10 @@
 /// # Errors
 /// What kept it from starting, or that viewings were left without an answer.
 pub async fn manage_by(
-    settings: &Part, policy: Box<dyn Policy>, ready: impl FnOnce(SocketAddr),
+    settings: &Section, policy: Box<dyn Policy>, ready: impl FnOnce(SocketAddr),
     ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
-    let manager = settings.one("manager");
+    let manager = settings.section("manager");
     let wanted = manager.text("listen");
     let listener = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("{wanted}: {e}"))?;
@@ -140,7 +140,7 @@
             ended.await;
             taking.abort();
             tracing::info!("ends: nothing new is taken");
-            shell.end(manager.span("end_within_s")).await
+            shell.end(manager.duration("end_within_s")).await
         })
         .await
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use ivyward_daemon::{Outside, embedded, manage, peers, quality, read, setup};
 use ivyward_peers::Store;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -77,7 +77,7 @@
     Version,
 }
 
-fn settings(file: &Path) -> Result<Part, String> {
+fn settings(file: &Path) -> Result<Section, String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", file.display()));
@@ -93,7 +93,7 @@
         None => embedded::settings(embedded::fleet()?)?,
     };
     if let Some(listen) = listen {
-        let mut manager = settings.one("manager");
+        let mut manager = settings.section("manager");
         manager.put_text("listen", &listen.to_string());
         settings.put("manager", manager);
     }
@@ -153,7 +153,7 @@
     if !settings.has("peers") {
         return Err(format!("{}: peers: is missing: this manager keeps nothing for others", file.display()));
     }
-    let made = Store::begin(&settings.one("manager").text("state_dir"), &setup::group(&settings))?;
+    let made = Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
     println!("{}: an empty memory", made.display());
     Ok(())
 }
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -4,8 +4,10 @@
 use ivyward::interface::ServerId;
 use ivyward_dash::token::TokenClaims;
 use ivyward_hints::{ReportItem, SkippedKey};
-use ivyward_quality::{Blame, ClientId, Factor, Figures, Intake, Level, SessionId, Taken, Window, blame};
-use ivyward_settings::Part;
+use ivyward_quality::{
+    Blame, ClientId, Factor, Figures, Intake, Level, ReportOutcome, SessionId, Window, blame,
+};
+use ivyward_settings::Section;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -87,9 +89,9 @@
 }
 
 impl Quality {
-    pub fn start(shell: Shell, settings: &Part) -> Quality {
-        let (part, racks) = (settings.one("quality"), settings.one("network").count("racks") as u32);
-        let spans = (part.span("window_s"), part.span("late_s"));
+    pub fn start(shell: Shell, settings: &Section) -> Quality {
+        let (part, racks) = (settings.section("quality"), settings.section("network").count("racks") as u32);
+        let spans = (part.duration("window_s"), part.duration("late_s"));
         let intake = Intake::new(shell.now(), spans, part.count("reports"), part.count("sessions"));
         let quality = Quality(Rc::new(Inner {
             intake: RefCell::new(intake),
@@ -118,7 +120,7 @@
     pub fn hear(
         &self, now: Duration, token_claims: &TokenClaims, server: Option<(ServerId, u32)>, from: IpAddr,
         text: &str,
-    ) -> Taken {
+    ) -> ReportOutcome {
         let session = SessionId(token_claims.session);
         // A session's reports come from its player: who floods by one session is its client.
         let client = ClientId(token_claims.session as u64);
@@ -137,7 +139,7 @@
         };
         let json = text.trim_start().starts_with('{');
         let lines: Vec<_> = if json { vec![text] } else { text.lines().take(LINES).collect() };
-        let mut worst = Taken::Kept;
+        let mut worst = ReportOutcome::Kept;
         for line in lines {
             let mut figures = Figures::default();
             let mut hear = |said: ReportItem| match said {
@@ -162,10 +164,11 @@
 
     /// A window's figures. What is to blame is worked out beside this thread: it takes a while.
     async fn keep(&self, window: Window) {
-        let Window { from, stalls, slow, mut starts, switches, sessions } = window;
-        let (all, slowly) = (stalls.whole(), slow.whole());
-        let named =
-            tokio::task::spawn_blocking(move || (blame(&stalls), blame(&slow))).await.unwrap_or_default();
+        let Window { from, stalls, slow_starts, mut starts, switches, sessions } = window;
+        let (all, slowly) = (stalls.whole(), slow_starts.whole());
+        let named = tokio::task::spawn_blocking(move || (blame(&stalls), blame(&slow_starts)))
+            .await
+            .unwrap_or_default();
         starts.sort_unstable();
         let told = |of: &'static str| move |blame: &Blame| self.told(of, blame);
         let named: Vec<_> =
@@ -189,10 +192,10 @@
         let name = |factor: Factor, level| {
             json!([format!("{factor:?}").to_lowercase(), names[factor as usize].name(level)])
         };
-        let or: Vec<_> = blame.or.iter().map(|(factor, level)| name(*factor, *level)).collect();
+        let or: Vec<_> = blame.alternatives.iter().map(|(factor, level)| name(*factor, *level)).collect();
         json!({
             "of": of, "what": name(blame.factor, blame.level), "or": or, "excess": blame.excess,
-            "errors": blame.plain, "sessions": blame.sessions,
+            "errors": blame.standard_errors, "sessions": blame.sessions,
         })
     }
 
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -7,18 +7,18 @@
 use ivyward_edge::RefreshSchedule;
 use ivyward_replica::Group;
 use ivyward_session::RuleGuard;
-use ivyward_settings::{Fault, Part, twice};
+use ivyward_settings::{Fault, Section, duplicate_faults};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// What the schema can't say: what has to fit together.
-pub fn faults(settings: &Part) -> Vec<Fault> {
-    let ladder = settings.one("ladder");
-    let rungs = ladder.list("rung");
-    let packages = settings.list("package");
-    let servers = settings.list("server");
-    let kinds = settings.list("kind").len();
-    let tokens = settings.one("tokens");
+pub fn faults(settings: &Section) -> Vec<Fault> {
+    let ladder = settings.section("ladder");
+    let rungs = ladder.sections("rung");
+    let packages = settings.sections("package");
+    let servers = settings.sections("server");
+    let kinds = settings.sections("kind").len();
+    let tokens = settings.section("tokens");
     let mut faults = vec![];
     for (before, rung) in rungs.iter().zip(rungs.iter().skip(1)) {
         for field in ["rate_kb", "worth"] {
@@ -41,10 +41,10 @@
         }
     }
     for name in ["package", "title"] {
-        faults.extend(twice(&settings.list(name), "name"));
+        faults.extend(duplicate_faults(&settings.sections(name), "name"));
     }
-    faults.extend(twice(&servers, "address"));
-    faults.extend(twice(&tokens.list("key"), "id"));
+    faults.extend(duplicate_faults(&servers, "address"));
+    faults.extend(duplicate_faults(&tokens.sections("key"), "id"));
     for server in &servers {
         if server_id(&server.text("address")).is_none() {
             faults.push(server.fault("address", "is no IPv4 address with a port"));
@@ -53,8 +53,8 @@
             faults.push(server.fault("kind", &format!("is none of the {kinds} kinds")));
         }
     }
-    let places = settings.one("network").count("places");
-    for title in settings.list("title").iter().filter(|title| title.count("first_cell") >= places) {
+    let places = settings.section("network").count("places");
+    for title in settings.sections("title").iter().filter(|title| title.count("first_cell") >= places) {
         faults.push(title.fault("first_cell", &format!("is none of the {places} places")));
     }
     if !settings.has("list_address") && servers.is_empty() {
@@ -62,8 +62,8 @@
     }
     for (part, name) in [
         (settings, "list_address"),
-        (&settings.one("manager"), "listen"),
-        (&settings.one("manager"), "console"),
+        (&settings.section("manager"), "listen"),
+        (&settings.section("manager"), "console"),
     ] {
         if part.has(name) && part.text(name).parse::<SocketAddr>().is_err() {
             faults.push(part.fault(name, "is no address with a port"));
@@ -71,14 +71,14 @@
     }
     faults.extend(peers_faults(settings));
     // Guards against idle connections closed in the moment in which their players ask again.
-    let (manager, manifest) = (settings.one("manager"), settings.one("manifest"));
+    let (manager, manifest) = (settings.section("manager"), settings.section("manifest"));
     if manager.number("head_within_s") < 2.0 * (manifest.number("refresh_s") + manifest.number("segment_s")) {
         faults.push(manager.fault("head_within_s", "is under twice the manifest's refresh_s and segment_s"));
     }
     // Guards against tokens that end before their players can have asked for the next ones.
-    let (patience, segment) = (patiences(settings), manifest.span("segment_s"));
+    let (patience, segment) = (patiences(settings), manifest.duration("segment_s"));
     let least = RefreshSchedule::margin(segment, patience.1) + segment;
-    if tokens.span("life_s") < least {
+    if tokens.duration("life_s") < least {
         let least = least.as_secs_f64();
         faults.push(
             tokens.fault("life_s", &format!("is under {least} s: two segments and the longest patience")),
@@ -96,9 +96,9 @@
 
 /// # Errors
 /// Keys that can't be used, and a signing key that is not there or can't sign.
-pub fn keys(tokens: &Part) -> Result<Keys, Vec<Fault>> {
+pub fn keys(tokens: &Section) -> Result<Keys, Vec<Fault>> {
     let (mut keys, mut faults) = (Keys::new(&tokens.text("signs")), vec![]);
-    for key in tokens.list("key") {
+    for key in tokens.sections("key") {
         let id = key.text("id");
         let private = key.has("ed25519_private").then(|| key.text("ed25519_private"));
         let (field, added) = match (key.has("secret"), key.has("ed25519_public")) {
@@ -123,8 +123,8 @@
 }
 
 /// The shortest and the longest patience of any package.
-pub fn patiences(settings: &Part) -> (Duration, Duration) {
-    let all = || settings.list("package").into_iter().map(|package| package.span("patience_s"));
+pub fn patiences(settings: &Section) -> (Duration, Duration) {
+    let all = || settings.sections("package").into_iter().map(|package| package.duration("patience_s"));
     (all().min().unwrap_or_default(), all().max().unwrap_or_default())
 }
 
@@ -140,34 +140,36 @@
 }
 
 /// Span, free and share of further tune-ins, where they are rationed.
-pub fn ration(settings: &Part) -> Option<(Duration, f64, f64)> {
-    let ration = settings.one("ration");
-    settings.has("ration").then(|| (ration.span("span_s"), ration.number("free"), ration.number("share")))
+pub fn ration(settings: &Section) -> Option<(Duration, f64, f64)> {
+    let ration = settings.section("ration");
+    settings.has("ration").then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share")))
 }
 
 /// The decision module, as the settings have it.
-pub fn policy(settings: &Part) -> Manager {
-    let (manager, network) = (settings.one("manager"), settings.one("network"));
-    let (cold, limits, ladder) = (settings.one("cold"), settings.one("limits"), settings.one("ladder"));
-    let rungs = ladder.list("rung");
+pub fn policy(settings: &Section) -> Manager {
+    let (manager, network) = (settings.section("manager"), settings.section("network"));
+    let (cold, limits, ladder) =
+        (settings.section("cold"), settings.section("limits"), settings.section("ladder"));
+    let rungs = ladder.sections("rung");
     let siblings = manager.count("siblings") as u32;
     let of = |field: &str| rungs.iter().map(|rung| rung.number(field)).collect();
-    let package = |package: &Part| Package {
+    let package = |package: &Section| Package {
         value: package.number("value"),
-        target: package.span("join_target_s"),
-        paid_once: package.truth("once"),
+        target: package.duration("join_target_s"),
+        paid_once: package.boolean("once"),
         scale: package.number("scale"),
         floor: package.count("floor"),
         top: package.count("top").min(rungs.len() - 1),
         seats: package.count("seats"),
     };
-    let streams: Vec<_> = settings.list("kind").iter().map(|kind| kind.number("streams")).collect();
-    let (warm_up, from, multiple) = (cold.span("warm_up_s"), cold.number("from"), cold.number("multiple"));
-    let fall = cold.span("fall_s");
+    let streams: Vec<_> = settings.sections("kind").iter().map(|kind| kind.number("streams")).collect();
+    let (warm_up, from, multiple) =
+        (cold.duration("warm_up_s"), cold.number("from"), cold.number("multiple"));
+    let fall = cold.duration("fall_s");
     let zone = ZoneId(manager.count("zone") as u8);
     let prices = Prices { cross: network.number("cross"), handshake: network.number("handshake") };
     Manager::new(
-        (manager.whole("seed"), siblings, zone, prices),
+        (manager.integer("seed"), siblings, zone, prices),
         Ladder { rates: of("rate_kb"), worths: of("worth"), switch: ladder.number("switch_s") },
         Network {
             places: network.count("places") as u32,
@@ -175,39 +177,39 @@
             links_kb: network.number("links_kb"),
             weight_kb: network.number("weight_kb"),
             uplink_kb: network.number("uplink_kb"),
-            configured_report_interval: network.span("told_s"),
-            report_delay: network.span("seen_s"),
+            configured_report_interval: network.duration("told_s"),
+            report_delay: network.duration("seen_s"),
         },
         SlowStart::new(siblings, &streams, warm_up, from, multiple, fall),
         Limits {
             tune_ins: limits.count("tune_ins") as u16,
-            call_off: limits.truth("call_off"),
-            probe: limits.truth("probe").then(|| limits.number("probe_price")),
-            come_back: limits.has("come_back_s").then(|| limits.span("come_back_s")),
+            call_off: limits.boolean("call_off"),
+            probe: limits.boolean("probe").then(|| limits.number("probe_price")),
+            come_back: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
         },
         ration(settings).map(|(span, free, share)| RetryBudget::new(span, free, share)),
-        settings.list("package").iter().map(package).collect(),
+        settings.sections("package").iter().map(package).collect(),
     )
 }
 
-pub fn rule_guard(settings: &Part) -> RuleGuard {
-    let seats = settings.list("package").iter().map(|package| package.count("seats")).collect();
-    RuleGuard::new(settings.one("network").span("drain_grace_s"), ration(settings), seats)
+pub fn rule_guard(settings: &Section) -> RuleGuard {
+    let seats = settings.sections("package").iter().map(|package| package.count("seats")).collect();
+    RuleGuard::new(settings.section("network").duration("drain_grace_s"), ration(settings), seats)
 }
 
-fn peers_faults(settings: &Part) -> Vec<Fault> {
-    let (manager, mut faults) = (settings.one("manager"), vec![]);
+fn peers_faults(settings: &Section) -> Vec<Fault> {
+    let (manager, mut faults) = (settings.section("manager"), vec![]);
     if !settings.has("peers") {
         return faults;
     }
-    let peers = settings.one("peers");
-    let members = peers.list("member");
+    let peers = settings.section("peers");
+    let members = peers.sections("member");
     let addresses = members.iter().map(|member| (member, "address")).chain([(&peers, "listen")]);
     for (part, name) in addresses.filter(|(part, name)| part.text(name).parse::<SocketAddr>().is_err()) {
         faults.push(part.fault(name, "is no address with a port"));
     }
-    faults.extend(twice(&members, "name"));
-    faults.extend(twice(&members, "address"));
+    faults.extend(duplicate_faults(&members, "name"));
+    faults.extend(duplicate_faults(&members, "address"));
     if !members.iter().any(|member| member.text("name") == manager.text("name")) {
         faults.push(peers.fault("member", &format!("none is {:?}, this manager", manager.text("name"))));
     }
@@ -223,41 +225,44 @@
 }
 
 /// The group of managers as each of them knows it.
-pub fn group(settings: &Part) -> Group {
-    let peers = settings.one("peers");
-    let member = |member: &Part| (member.text("name"), member.count("zone") as u8);
-    Group::new(peers.list("member").iter().map(member).collect(), peers.count("keepers"))
+pub fn group(settings: &Section) -> Group {
+    let peers = settings.section("peers");
+    let member = |member: &Section| (member.text("name"), member.count("zone") as u8);
+    Group::new(peers.sections("member").iter().map(member).collect(), peers.count("keepers"))
 }
 
 /// The managers that this one speaks with; none where it speaks with nobody.
-pub fn peers(settings: &Part) -> Option<ivyward_peers::Config> {
+pub fn peers(settings: &Section) -> Option<ivyward_peers::Config> {
     if !settings.has("peers") {
         return None;
     }
-    let (peers, manager, limits) = (settings.one("peers"), settings.one("manager"), settings.one("limits"));
-    let address = |member: &Part| Some((member.text("name"), member.text("address").parse().ok()?));
-    let longest = settings.list("title").iter().map(|title| title.span("length_s")).max();
+    let (peers, manager, limits) =
+        (settings.section("peers"), settings.section("manager"), settings.section("limits"));
+    let address = |member: &Section| Some((member.text("name"), member.text("address").parse().ok()?));
+    let longest = settings.sections("title").iter().map(|title| title.duration("length_s")).max();
     Some(ivyward_peers::Config {
         group: group(settings),
         name: manager.text("name"),
         listen: peers.text("listen").parse().ok()?,
-        others: peers.list("member").iter().filter_map(address).collect(),
-        word: peers.span("word_s"),
+        others: peers.sections("member").iter().filter_map(address).collect(),
+        word: peers.duration("word_s"),
         // A token of it lives as long after the last that its viewing was given, and it is remembered as long after that.
-        span: limits.span("paid_for_s") + longest.unwrap_or_default() + settings.one("tokens").span("life_s"),
-        connect: limits.span("connect_s"),
+        span: limits.duration("paid_for_s")
+            + longest.unwrap_or_default()
+            + settings.section("tokens").duration("life_s"),
+        connect: limits.duration("connect_s"),
         state_dir: manager.text("state_dir"),
     })
 }
 
 /// By package: the viewer's patience, and whether it is paid at set-up.
-pub fn terms(settings: &Part) -> Vec<(Duration, bool)> {
-    settings.list("package").iter().map(|p| (p.span("patience_s"), p.truth("once"))).collect()
+pub fn terms(settings: &Section) -> Vec<(Duration, bool)> {
+    settings.sections("package").iter().map(|p| (p.duration("patience_s"), p.boolean("once"))).collect()
 }
 
 /// The servers that the settings name.
-pub fn servers(settings: &Part) -> Vec<ServerEntry> {
-    let listed = |server: &Part| {
+pub fn servers(settings: &Section) -> Vec<ServerEntry> {
+    let listed = |server: &Section| {
         Some(ServerEntry {
             server: server_id(&server.text("address"))?,
             state: ServerState::Ready,
@@ -268,7 +273,7 @@
             cell: server.count("cell") as u32,
         })
     };
-    settings.list("server").iter().filter_map(listed).collect()
+    settings.sections("server").iter().filter_map(listed).collect()
 }
 
 /// What a manager needs to know of a title.
@@ -280,21 +285,21 @@
     pub length: Duration,
 }
 
-pub fn titles(settings: &Part) -> Vec<Title> {
-    let title = |(i, title): (usize, &Part)| Title {
+pub fn titles(settings: &Section) -> Vec<Title> {
+    let title = |(i, title): (usize, &Section)| Title {
         id: TitleId(i as u64),
         name: title.text("name"),
         cells: Cells { first: title.count("first_cell") as u32, spread: title.count("spread") as u32 },
-        length: title.span("length_s"),
+        length: title.duration("length_s"),
     };
-    settings.list("title").iter().enumerate().map(title).collect()
+    settings.sections("title").iter().enumerate().map(title).collect()
 }
 
 /// By package: its name, and the rates of the ladder's rungs as it plays them, kB a second.
-pub fn rates(settings: &Part) -> Vec<(PackageId, String, Vec<f64>)> {
-    let rungs = settings.one("ladder").list("rung");
+pub fn rates(settings: &Section) -> Vec<(PackageId, String, Vec<f64>)> {
+    let rungs = settings.section("ladder").sections("rung");
     let rates = |scale: f64| rungs.iter().map(|rung| rung.number("rate_kb") * scale).collect();
-    let packages = settings.list("package");
-    let package = |(i, p): (usize, &Part)| (PackageId(i), p.text("name"), rates(p.number("scale")));
+    let packages = settings.sections("package");
+    let package = |(i, p): (usize, &Section)| (PackageId(i), p.text("name"), rates(p.number("scale")));
     packages.iter().enumerate().map(package).collect()
 }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -13,7 +13,7 @@
 use ivyward_session::{
     Answer, Effects, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer, TuneIn, Violation,
 };
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,11 +89,11 @@
     /// # Errors
     /// The settings don't fit together.
     pub fn start(
-        settings: &Part, policy: Box<dyn Policy>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
+        settings: &Section, policy: Box<dyn Policy>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
         peers: Option<Peers>, address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
     ) -> Result<Shell, String> {
-        let (manager, limits) = (settings.one("manager"), settings.one("limits"));
-        let manifest = settings.one("manifest");
+        let (manager, limits) = (settings.section("manager"), settings.section("limits"));
+        let manifest = settings.section("manifest");
         let (clock, dropped) = outside;
         let spans = Clock::start();
         let (events, event_loop) = channel(spans);
@@ -102,20 +102,20 @@
             birth,
             address,
             pool: Pool::default(),
-            connect: limits.span("connect_s"),
-            lease: limits.span("lease_s"),
-            segment: manifest.span("segment_s"),
+            connect: limits.duration("connect_s"),
+            lease: limits.duration("lease_s"),
+            segment: manifest.duration("segment_s"),
             titles: setup::titles(settings),
             rates: setup::rates(settings),
-            seed: manager.whole("seed"),
+            seed: manager.integer("seed"),
             once: setup::terms(settings).iter().map(|(_, once)| *once).collect(),
             paid,
-            paid_for: limits.span("paid_for_s"),
+            paid_for: limits.duration("paid_for_s"),
             peers,
-            come_back: limits.has("come_back_s").then(|| limits.span("come_back_s")),
+            come_back: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
             overload_gate: RefCell::new(OverloadGate::new(setup::patiences(settings).0)),
             clock,
-            clock_consensus: RefCell::new(ClockConsensus::new(settings.one("tokens").span("skew_s"))),
+            clock_consensus: RefCell::new(ClockConsensus::new(settings.section("tokens").duration("skew_s"))),
             connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
             admission_waiters: RefCell::default(),
             spans,
@@ -125,8 +125,8 @@
             astray: RefCell::default(),
             began: RefCell::default(),
             forgotten: {
-                let longest = settings.list("title").iter().map(|title| title.span("length_s")).max();
-                longest.unwrap_or_default().max(settings.one("tokens").span("life_s")) * 2
+                let longest = settings.sections("title").iter().map(|title| title.duration("length_s")).max();
+                longest.unwrap_or_default().max(settings.section("tokens").duration("life_s")) * 2
             },
             requests: Cell::new(0),
             unheard: Cell::new(0),
@@ -136,8 +136,8 @@
         };
         let shell = Shell(Rc::new(inner));
         // A player asks again after each refresh, late by the time of a segment at most.
-        let idle = (manifest.span("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
-        let spans = (SLACK, Some(idle), Some(limits.span("paid_for_s")));
+        let idle = (manifest.duration("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
+        let spans = (SLACK, Some(idle), Some(limits.duration("paid_for_s")));
         let mut core = SessionCore::new(
             policy,
             setup::rule_guard(settings),
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -16,9 +16,9 @@
 use ivyward_edge::{RefreshSchedule, TokenOrigin};
 use ivyward_hints::{HEADERS, in_query};
 use ivyward_peers::Peers;
-use ivyward_quality::Taken;
+use ivyward_quality::ReportOutcome;
 use ivyward_session::{Answer, FailureCause, RequestId, SessionId};
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -58,25 +58,25 @@
 }
 
 pub async fn serve(
-    shell: Shell, listener: TcpListener, settings: Part, texts: Option<UnboundedReceiver<String>>,
+    shell: Shell, listener: TcpListener, settings: Section, texts: Option<UnboundedReceiver<String>>,
     quality: Quality,
 ) {
-    let (tokens, manager) = (settings.one("tokens"), settings.one("manager"));
+    let (tokens, manager) = (settings.section("tokens"), settings.section("manager"));
     let Ok(keys) = setup::keys(&tokens) else { return };
     let titles = setup::titles(&settings).into_iter().map(|title| (title.name.clone(), title)).collect();
     let terms = setup::terms(&settings);
     let package = |(id, name, rates): (PackageId, _, _)| (name, (id, terms[id.0].0, rates));
     let packages = setup::rates(&settings).into_iter().map(package).collect();
-    let (manifest, life) = (settings.one("manifest"), tokens.span("life_s"));
-    let margin = RefreshSchedule::margin(manifest.span("segment_s"), setup::patiences(&settings).1);
-    let refresh = RefreshSchedule::new(manager.whole("seed"), manifest.span("refresh_s"), life, margin);
+    let (manifest, life) = (settings.section("manifest"), tokens.duration("life_s"));
+    let margin = RefreshSchedule::margin(manifest.duration("segment_s"), setup::patiences(&settings).1);
+    let refresh = RefreshSchedule::new(manager.integer("seed"), manifest.duration("refresh_s"), life, margin);
     let desk = Rc::new(Desk {
         shell,
         quality,
         keys: RefCell::new(keys),
         revoked: RefCell::new(revoked(&tokens)),
         life,
-        skew: tokens.span("skew_s"),
+        skew: tokens.duration("skew_s"),
         refresh: RefCell::new(refresh),
         titles,
         packages,
@@ -92,7 +92,7 @@
             }
         });
     }
-    let (most, head) = (manager.count("most_connections"), manager.span("head_within_s"));
+    let (most, head) = (manager.count("most_connections"), manager.duration("head_within_s"));
     let open = Rc::new(Cell::new(0_usize));
     loop {
         // Guards against a flood of connections or requests: the next ones wait in the listener's queue.
@@ -246,7 +246,7 @@
     }
 }
 
-fn revoked(tokens: &Part) -> BTreeSet<u128> {
+fn revoked(tokens: &Section) -> BTreeSet<u128> {
     tokens.texts("revoked").iter().filter_map(|text| setup::session(text)).collect()
 }
 
@@ -254,7 +254,7 @@
     /// Takes the tokens of settings given anew: keys, which one signs, and sessions that are revoked.
     fn takes_over(&self, text: &str) {
         let tokens = match crate::read(text) {
-            Ok(settings) => settings.one("tokens"),
+            Ok(settings) => settings.section("tokens"),
             Err(faults) => {
                 // Guards against a service without keys: what was in force stays.
                 faults.iter().for_each(|fault| tracing::error!(%fault, "new settings are not taken"));
@@ -320,14 +320,14 @@
         };
         let body = body.to_bytes();
         match self.hears(&token_claims, from, &String::from_utf8_lossy(&body)) {
-            Taken::Flood | Taken::Full => {
+            ReportOutcome::Flood | ReportOutcome::Full => {
                 told(page(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"), "reports", "too many")
             }
             _ => told(page(StatusCode::NO_CONTENT, ""), "reports", "heard"),
         }
     }
 
-    fn hears(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> Taken {
+    fn hears(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> ReportOutcome {
         let server =
             token_claims.granted.as_ref().and_then(|given| setup::server_id(&given.server.to_string()));
         let server = server.and_then(|server| Some((server, self.shell.cell(server)?)));
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -10,7 +10,7 @@
 use ivyward_dash::token::{Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_fleet::ServerNo;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use ivyward_standin::{Record, Standins, What};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -39,7 +39,7 @@
 pub struct Harness {
     pub standins: Standins,
     pub address: SocketAddr,
-    pub settings: Part,
+    pub settings: Section,
     /// The manager's clock goes so many seconds before the right one.
     pub ahead: Arc<AtomicI64>,
     /// Texts of settings that the manager is given anew, and the one that it was started with.
@@ -97,11 +97,11 @@
     let text = tweak(text.replace("spread: 6", "spread: 12").replace("lease_s: 6", "lease_s: 1"));
     let fleet = ivyward_settings::read("Fleet", FLEET).expect("a fleet");
     let given = ivyward_settings::read("Settings", &text).expect("settings");
-    let tokens = given.one("tokens");
+    let tokens = given.section("tokens");
     let keys = setup::keys(&tokens).expect("keys");
     let model = ivyward_standin::fleet(1, &fleet, &given);
-    let about = (fleet.number("vary"), fleet.span("list_late_s"));
-    let standins = Standins::open(1, model, 12, (keys, tokens.span("skew_s")), about, Instant::now())
+    let about = (fleet.number("vary"), fleet.duration("list_late_s"));
+    let standins = Standins::open(1, model, 12, (keys, tokens.duration("skew_s")), about, Instant::now())
         .expect("stand-ins");
     let text = format!("{text}\nlist_address: \"{}\"\n", standins.list_address());
     (standins, text)
@@ -130,7 +130,7 @@
     }
 
     pub fn keys(&self) -> Keys {
-        setup::keys(&self.settings.one("tokens")).expect("keys")
+        setup::keys(&self.settings.section("tokens")).expect("keys")
     }
 
     pub fn token(&self, session: u128, package: &str) -> String {
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -2,7 +2,7 @@
 
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
 use ivyward_rules::{Asked, Came, History, Life, Package, Record, Terms, What, gone, judge, table};
-use ivyward_signal::{Field, Kind, Ref, line};
+use ivyward_signal::{Field, Kind, SessionRef, line};
 use ivyward_standin::platform::{Behavior, Bus, Server, Viewer, answer, own_address};
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -102,9 +102,9 @@
         let harness = Harness { servers, bus, config, file, address, program };
         // Ready, and its servers warm.
         let mut test = harness.viewer().await;
-        assert!(test.send_signal(Kind::Test, Ref(1), Some(0)).await);
+        assert!(test.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await);
         let tested = test.receive(ms(2000)).await.expect("an answer to the test");
-        assert_eq!((tested.kind, tested.of, tested.cause), (Kind::Tested, Ref(1), Some(1)));
+        assert_eq!((tested.kind, tested.session, tested.cause), (Kind::HeartbeatAck, SessionRef(1), Some(1)));
         sleep(ms(200)).await;
         harness
     }
@@ -178,11 +178,11 @@
 }
 
 /// A set-up as a viewer sends it; `tweak` may spoil the text.
-fn asks(of: Ref, package: &str, left: u64, more: &str) -> Vec<u8> {
+fn asks(of: SessionRef, package: &str, left: u64, more: &str) -> Vec<u8> {
     let (left, extras) = (left.to_string(), format!("home:0;copies:3;top:3;viewer:00000000b4d65521{more}"));
     let fields = [
         (Field::Package, package),
-        (Field::Left, &left),
+        (Field::TimeLeft, &left),
         (Field::Tenant, "acme"),
         (Field::Title, "7f3a9c21e0b4d655"),
         (Field::Extras, &extras),
@@ -220,11 +220,13 @@
     ];
     for (does, clip, ticket, most) in cases {
         with(does, |harness| async move {
-            for (of, package, wanted) in [(Ref(0xa1), "clip", clip), (Ref(0xa2), "ticket", ticket)] {
+            for (of, package, wanted) in
+                [(SessionRef(0xa1), "clip", clip), (SessionRef(0xa2), "ticket", ticket)]
+            {
                 let mut viewer = harness.viewer().await;
                 assert!(viewer.write(&asks(of, package, 1500, "")).await);
                 let came = viewer.receive(ms(2500)).await.expect("an answer");
-                assert_eq!((came.of, (came.kind, came.cause)), (of, wanted), "{does:?} {package}");
+                assert_eq!((came.session, (came.kind, came.cause)), (of, wanted), "{does:?} {package}");
                 if came.kind == Kind::Answer {
                     assert_eq!(
                         came.description.as_deref(),
@@ -236,7 +238,7 @@
             }
             let set_ups: Vec<_> =
                 harness.servers.iter().flat_map(|server| server.received(Kind::SetUp)).collect();
-            let paid = set_ups.iter().filter(|seen| seen.of == Ref(0xa2)).count();
+            let paid = set_ups.iter().filter(|seen| seen.of == SessionRef(0xa2)).count();
             assert!((1..=most).contains(&paid), "{does:?}: {paid} set-ups of a ticket");
             let same = |description: &Option<Vec<u8>>| description.as_deref() == Some(DESCRIPTION.as_bytes());
             assert!(set_ups.iter().all(|seen| same(&seen.description)), "{does:?}: descriptions unchanged");
@@ -247,7 +249,7 @@
 #[test]
 fn a_give_up_that_crosses_an_answer_is_released() {
     with(Behavior::Ignores, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, Ref(0xb1));
+        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xb1));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
         waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
         let server = harness.holder();
@@ -259,7 +261,7 @@
         assert_eq!(server.received(Kind::Release)[0].cause, Some(16));
         assert_eq!(viewer.receive(ms(200)).await, None, "nothing is owed any more");
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-        assert!(viewer.write(&asks(Ref(0xb2), "clip", 3000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0xb2), "clip", 3000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
@@ -270,18 +272,19 @@
     // another.
     for (by_server, same) in [(true, true), (true, false), (false, true), (false, false)] {
         with(Behavior::Plays, |harness| async move {
-            let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, Ref(0xc1));
+            let (mut first, mut second, of) =
+                (harness.viewer().await, harness.viewer().await, SessionRef(0xc1));
             assert!(first.write(&asks(of, "clip", 3000, "")).await);
             assert_eq!(first.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             let server = harness.holder();
             assert!(
-                second.write(&asks(Ref(0xc2), "clip", 3000, "")).await
+                second.write(&asks(SessionRef(0xc2), "clip", 3000, "")).await
                     && second.receive(ms(1000)).await.is_some()
             );
             // A stranger, who is told nothing.
             let mut stranger = harness.viewer().await;
             assert!(
-                stranger.send_signal(Kind::Test, Ref(2), Some(0)).await
+                stranger.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
                     && stranger.receive(ms(1000)).await.is_some()
             );
             if by_server {
@@ -292,13 +295,13 @@
                     sleep(ms(50)).await;
                     server.release(1, of, 16);
                     let came = second.receive(ms(1000)).await.expect("the release");
-                    assert_eq!((came.kind, came.of), (Kind::Release, of));
+                    assert_eq!((came.kind, came.session), (Kind::Release, of));
                     assert_eq!(stranger.receive(ms(100)).await, None);
                     return;
                 }
                 server.release(0, of, 16);
                 let came = first.receive(ms(1000)).await.expect("the release");
-                assert_eq!((came.kind, came.of), (Kind::Release, of));
+                assert_eq!((came.kind, came.session), (Kind::Release, of));
                 assert_eq!(second.receive(ms(100)).await, None);
             } else {
                 let by = if same { &mut first } else { &mut second };
@@ -317,7 +320,7 @@
     for (cause, told) in [(16, true), (41, true), (31, false)] {
         for together in [true, false] {
             with(Behavior::Ignores, |harness| async move {
-                let (mut viewer, of) = (harness.viewer().await, Ref(0xc8));
+                let (mut viewer, of) = (harness.viewer().await, SessionRef(0xc8));
                 assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
                 waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
                 let server = harness.holder();
@@ -344,12 +347,12 @@
                     );
                     server.send_bytes(connection, end);
                 }
-                let came = viewer.receive(ms(150)).await.map(|came| (came.kind, came.of));
+                let came = viewer.receive(ms(150)).await.map(|came| (came.kind, came.session));
                 assert_eq!(came, told.then_some((Kind::Release, of)), "{case}");
                 // It stands no more: its number is free.
                 harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
                 assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-                let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
+                let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
                 assert_eq!(came, Some((Kind::Answer, of)), "{case}");
             });
         }
@@ -360,7 +363,7 @@
 fn a_spoilt_connection_takes_what_is_open_on_it_and_no_more() {
     with(Behavior::Ignores, |harness| async move {
         let mut viewer = harness.viewer().await;
-        let all: Vec<_> = (0..12).map(|i| Ref(0xd0 + i)).collect();
+        let all: Vec<_> = (0..12).map(|i| SessionRef(0xd0 + i)).collect();
         for of in &all {
             assert!(viewer.write(&asks(*of, "ticket", 3000, "")).await);
         }
@@ -371,7 +374,7 @@
         for _ in &lost {
             let came = viewer.receive(ms(1000)).await.expect("an answer");
             assert_eq!((came.kind, came.cause), (Kind::Release, Some(41)));
-            assert!(lost.contains(&came.of), "{:?} was elsewhere", came.of);
+            assert!(lost.contains(&came.session), "{:?} was elsewhere", came.session);
         }
         assert_eq!(viewer.receive(ms(100)).await, None);
         let others: Vec<_> = harness.servers.iter().filter(|other| !Rc::ptr_eq(other, &server)).collect();
@@ -381,7 +384,7 @@
             let up = ivyward_signal::binary::write(Kind::Answer, seen.1.of, &[], None, Some(b"late"));
             seen.0.send_bytes(seen.1.connection, up.expect("short"));
             let came = viewer.receive(ms(1000)).await.expect("an answer");
-            assert_eq!((came.kind, came.of), (Kind::Answer, seen.1.of));
+            assert_eq!((came.kind, came.session), (Kind::Answer, seen.1.of));
         }
         // What may have run there is ended on another connection.
         waits("releases of all", || server.received(Kind::Release).len() == lost.len()).await;
@@ -391,7 +394,7 @@
 #[test]
 fn what_plays_before_the_start_is_taken_over() {
     with(Behavior::Plays, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, Ref(0xe1));
+        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xe1));
         for word in ["s-00000001", "s-00000001", "s-none"] {
             assert!(viewer.write(&asks(of, "ticket", 3000, &format!(";at:{word}"))).await);
         }
@@ -401,7 +404,7 @@
         sleep(ms(50)).await;
         server.release(0, of, 16);
         let came = viewer.receive(ms(1000)).await.expect("the release");
-        assert_eq!((came.kind, came.of), (Kind::Release, of));
+        assert_eq!((came.kind, came.session), (Kind::Release, of));
         assert_eq!(harness.of(Kind::SetUp), 0);
     });
 }
@@ -409,7 +412,7 @@
 #[test]
 fn sessions_of_a_dead_server_are_told_to_their_viewers() {
     with(Behavior::Plays, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, Ref(0xf1));
+        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xf1));
         // Where nobody listens any more.
         let dead =
             TcpListener::bind("127.0.0.1:0").await.expect("a socket").local_addr().expect("its address");
@@ -419,7 +422,7 @@
         sleep(ms(100)).await;
         assert!(viewer.write(&asks(of, "clip", 3000, ";at:s-dead")).await);
         let came = viewer.receive(ms(1000)).await.expect("the release");
-        assert_eq!((came.kind, came.of), (Kind::Release, of));
+        assert_eq!((came.kind, came.session), (Kind::Release, of));
     });
 }
 
@@ -432,7 +435,7 @@
             sleep(ms(100)).await;
             let mut viewer = harness.viewer().await;
             for i in 0..20 {
-                assert!(viewer.write(&asks(Ref(0x100 + i), "clip", 3000, "")).await);
+                assert!(viewer.write(&asks(SessionRef(0x100 + i), "clip", 3000, "")).await);
                 assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             }
             assert_eq!(harness.servers[SERVERS - 1].received(Kind::SetUp).len(), 20, "{phase}");
@@ -462,7 +465,7 @@
         harness.bus.publish(2, &event(2, false, &list), 1);
         sleep(ms(200)).await;
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(Ref(0x150), "ticket", 3500, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x150), "ticket", 3500, "")).await);
         sleep(ms(100)).await;
         let told = [member_of("draining"), member(&harness.servers[0], 0, "ready")];
         harness.bus.publish(3, &event(3, false, &told), 1);
@@ -482,7 +485,7 @@
             }
         });
         let came = viewer.receive(ms(3600)).await.expect("an answer");
-        assert_eq!((came.kind, came.of), (Kind::Answer, Ref(0x150)));
+        assert_eq!((came.kind, came.session), (Kind::Answer, SessionRef(0x150)));
         assert_eq!(
             (written.get(), harness.servers[0].received(Kind::SetUp).len()),
             (0, 1),
@@ -505,7 +508,7 @@
         harness.bus.publish(2, &event(2, false, &[&all[..], &[anew]].concat()), 1);
         sleep(ms(100)).await;
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(Ref(0x200), "clip", 3000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x200), "clip", 3000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         assert_eq!(old.received(Kind::SetUp).len(), 1);
     });
@@ -541,7 +544,7 @@
         sleep(ms(100)).await;
         let mut viewer = harness.viewer().await;
         for i in 0..10 {
-            assert!(viewer.write(&asks(Ref(0x300 + i), "clip", 3000, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0x300 + i), "clip", 3000, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         }
         assert_eq!(harness.servers[2].received(Kind::SetUp).len(), 10, "both drains were told");
@@ -552,18 +555,18 @@
 fn told_to_end_it_answers_what_still_comes_and_then_ends() {
     with(Behavior::Ignores, |mut harness| async move {
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(Ref(0x400), "ticket", 2000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x400), "ticket", 2000, "")).await);
         waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
         harness.signal("-TERM");
         sleep(ms(300)).await;
         let mut late = harness.viewer().await;
-        assert!(late.write(&asks(Ref(0x401), "ticket", 1500, "")).await);
+        assert!(late.write(&asks(SessionRef(0x401), "ticket", 1500, "")).await);
         sleep(ms(300)).await;
-        assert!(late.write(&asks(Ref(0x402), "ticket", 1500, "")).await);
+        assert!(late.write(&asks(SessionRef(0x402), "ticket", 1500, "")).await);
         let mut answered = vec![];
         for viewer in [&mut viewer, &mut late] {
             while let Some(came) = viewer.receive(ms(2500)).await {
-                answered.push(came.of.0);
+                answered.push(came.session.0);
                 if answered.len() == 1 || answered.len() == 3 {
                     break;
                 }
@@ -581,7 +584,7 @@
 
 #[test]
 fn bad_clients_are_turned_away_and_others_served_beside_them() {
-    let good = String::from_utf8(asks(Ref(0x500), "clip", 2000, "")).expect("text");
+    let good = String::from_utf8(asks(SessionRef(0x500), "clip", 2000, "")).expect("text");
     let ids = "0000000000000500";
     // What is written, and whether the connection is closed rather than the set-up turned away.
     let cases: [(&str, Vec<u8>, bool); 14] = [
@@ -608,13 +611,13 @@
                 assert!(bad.wait_closed(ms(3000)).await, "{name}");
             } else {
                 let came = bad.receive(ms(1000)).await.expect(name);
-                assert_eq!((came.kind, came.of), (Kind::Release, Ref(0x500)), "{name}");
+                assert_eq!((came.kind, came.session), (Kind::Release, SessionRef(0x500)), "{name}");
             }
             assert!(begun.elapsed() < ms(3000), "{name}");
         }
         assert_eq!(harness.of(Kind::SetUp), 0, "nothing of it reached a server");
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(Ref(0x501), "clip", 2000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x501), "clip", 2000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
@@ -624,7 +627,7 @@
     with(Behavior::Ignores, |harness| async move {
         let (mut bad, begun) = (harness.viewer().await, Instant::now());
         for i in 0..300 {
-            let of = Ref(0xb000 + i);
+            let of = SessionRef(0xb000 + i);
             assert!(
                 bad.write(&asks(of, "clip", 3000, "")).await
                     && bad.send_signal(Kind::Release, of, Some(16)).await
@@ -633,15 +636,15 @@
         assert!(bad.wait_closed(ms(3000)).await && begun.elapsed() < ms(3000));
         let mut again = harness.viewer().await;
         for i in 0..300 {
-            assert!(again.write(&asks(Ref(0xc000), "clap", 3000, "")).await);
-            let came = again.receive(ms(1000)).await.map(|came| (came.kind, came.of));
-            assert_eq!(came, Some((Kind::Release, Ref(0xc000))), "the {i}th");
+            assert!(again.write(&asks(SessionRef(0xc000), "clap", 3000, "")).await);
+            let came = again.receive(ms(1000)).await.map(|came| (came.kind, came.session));
+            assert_eq!(came, Some((Kind::Release, SessionRef(0xc000))), "the {i}th");
         }
         // Each that reached a server was given up there.
         waits("give-ups", || harness.of(Kind::Release) == harness.of(Kind::SetUp)).await;
         let mut viewer = harness.viewer().await;
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-        assert!(viewer.write(&asks(Ref(0xd000), "clip", 3000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0xd000), "clip", 3000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
     });
 }
@@ -649,7 +652,7 @@
 #[test]
 fn a_number_in_use_is_turned_away_without_touching_the_first() {
     with(Behavior::Ignores, |harness| async move {
-        let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, Ref(0x600));
+        let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, SessionRef(0x600));
         assert!(first.write(&asks(of, "ticket", 3000, "")).await);
         waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
         assert!(second.write(&asks(of, "ticket", 3000, "")).await);
@@ -659,7 +662,7 @@
         let up = ivyward_signal::binary::write(Kind::Answer, of, &[], None, Some(b"here")).expect("short");
         server.send_bytes(0, up);
         let came = first.receive(ms(1000)).await.expect("an answer");
-        assert_eq!((came.kind, came.of), (Kind::Answer, of));
+        assert_eq!((came.kind, came.session), (Kind::Answer, of));
     });
 }
 
@@ -671,7 +674,7 @@
             silent.push(harness.viewer().await);
         }
         let (mut viewer, begun) = (harness.viewer().await, Instant::now());
-        assert!(viewer.write(&asks(Ref(0x700), "clip", 2000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x700), "clip", 2000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         for one in &mut silent {
             assert!(one.wait_closed(ms(3000)).await);
@@ -703,7 +706,7 @@
         for i in 0..20 {
             let mut viewer = harness.viewer().await;
             sleep(ms(20)).await;
-            assert!(viewer.write(&asks(Ref(0xa000 + i), "clip", 3000, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0xa000 + i), "clip", 3000, "")).await);
             let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}");
         }
@@ -715,12 +718,12 @@
 fn a_flood_on_one_connection_is_bounded_and_others_are_served() {
     with(Behavior::Ignores, |harness| async move {
         let mut flood = harness.viewer().await;
-        let all: Vec<_> = (0..400).flat_map(|i| asks(Ref(0x8000 + i), "clip", 3000, "")).collect();
+        let all: Vec<_> = (0..400).flat_map(|i| asks(SessionRef(0x8000 + i), "clip", 3000, "")).collect();
         assert!(flood.write(&all).await);
         sleep(ms(100)).await;
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
         let (mut viewer, begun) = (harness.viewer().await, Instant::now());
-        assert!(viewer.write(&asks(Ref(0x800), "clip", 2000, "")).await);
+        assert!(viewer.write(&asks(SessionRef(0x800), "clip", 2000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         assert!(begun.elapsed() < ms(500));
         let first: Vec<_> = harness.servers.iter().flat_map(|s| s.received(Kind::SetUp)).collect();
@@ -757,7 +760,7 @@
             waiting.set(waiting.get() + 1);
             spawn_local(async move {
                 let at = begun.elapsed();
-                viewer.write(&asks(Ref(0x9000 + i), name, 1500, "")).await;
+                viewer.write(&asks(SessionRef(0x9000 + i), name, 1500, "")).await;
                 let came = viewer.receive(if leaves { ms(i) } else { ms(2500) }).await;
                 let leaves = leaves && came.is_none();
                 let came_at = begun.elapsed();
--- a/crates/daemon/tests/node/outage.rs
+++ b/crates/daemon/tests/node/outage.rs
@@ -36,7 +36,7 @@
     viewer: Viewer,
     /// When each request was made, and whether it played.
     asked: Vec<(Instant, bool)>,
-    stand: VecDeque<(Instant, Ref)>,
+    stand: VecDeque<(Instant, SessionRef)>,
     due: Instant,
     /// How late any request was made: what is measured here is as uncertain.
     late: Duration,
@@ -53,7 +53,7 @@
             let left = self.due.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 let now = Instant::now();
-                let of = Ref(0x1000 + self.asked.len() as u64);
+                let of = SessionRef(0x1000 + self.asked.len() as u64);
                 self.asked.push((now, false));
                 self.late = self.late.max(now - self.due);
                 assert!(
@@ -68,8 +68,8 @@
             }
             let Some(came) = self.viewer.receive(left).await else { continue };
             if came.kind == Kind::Answer {
-                self.stand.push_back((Instant::now(), came.of));
-                self.asked[(came.of.0 - 0x1000) as usize].1 = true;
+                self.stand.push_back((Instant::now(), came.session));
+                self.asked[(came.session.0 - 0x1000) as usize].1 = true;
             }
         }
     }
--- a/crates/daemon/tests/node/races.rs
+++ b/crates/daemon/tests/node/races.rs
@@ -26,12 +26,12 @@
     /// A viewer that asks now and gets its answer: what lay in the sockets before has had its turn.
     async fn serves(&self, of: u64) {
         let mut viewer = self.viewer().await;
-        assert!(viewer.write(&asks(Ref(of), "clip", 3000, "")).await);
-        let came = viewer.receive(ms(2500)).await.map(|came| (came.kind, came.of));
-        assert_eq!(came, Some((Kind::Answer, Ref(of))));
+        assert!(viewer.write(&asks(SessionRef(of), "clip", 3000, "")).await);
+        let came = viewer.receive(ms(2500)).await.map(|came| (came.kind, came.session));
+        assert_eq!(came, Some((Kind::Answer, SessionRef(of))));
     }
 
-    fn set_ups(&self, of: Ref) -> usize {
+    fn set_ups(&self, of: SessionRef) -> usize {
         let all = self.servers.iter().flat_map(|server| server.received(Kind::SetUp));
         all.filter(|seen| seen.of == of).count()
     }
@@ -65,9 +65,9 @@
 }
 
 /// A viewer that asks and goes before anything of it is read.
-async fn asks_and_goes(viewer: &mut Viewer, of: Ref, goes: Goes) {
+async fn asks_and_goes(viewer: &mut Viewer, of: SessionRef, goes: Goes) {
     assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-    let test = line::write(Kind::Test, Ref(1), &[], Some(0), None).expect("short");
+    let test = line::write(Kind::Heartbeat, SessionRef(1), &[], Some(0), None).expect("short");
     let much = match goes {
         Goes::ClosesBehindMuch | Goes::GivesUpBehindMuch => 6 << 10,
         Goes::ClosesBehindAFlood => 200 << 10,
@@ -102,12 +102,12 @@
             }
             let mut before = harness.viewer().await;
             assert!(
-                before.send_signal(Kind::Test, Ref(2), Some(0)).await
+                before.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
                     && before.receive(ms(1000)).await.is_some()
             );
             harness.stops().await;
             let mut viewer = if taken { before } else { harness.viewer().await };
-            asks_and_goes(&mut viewer, Ref(0xaa), goes).await;
+            asks_and_goes(&mut viewer, SessionRef(0xaa), goes).await;
             let viewer = match goes {
                 Goes::GivesUp | Goes::GivesUpBehindMuch => Some(viewer),
                 Goes::Resets => {
@@ -123,14 +123,14 @@
             for i in 0..3 {
                 harness.serves(0x20 + i).await;
             }
-            assert_eq!(harness.set_ups(Ref(0xaa)), 0, "{case}");
+            assert_eq!(harness.set_ups(SessionRef(0xaa)), 0, "{case}");
             // Nothing is owed to who gave up: a test is all that is answered.
             if let Some(mut viewer) = viewer {
                 let mut kinds = vec![];
                 while let Some(came) = viewer.receive(ms(50)).await {
                     kinds.push(came.kind);
                 }
-                assert!(kinds.iter().all(|kind| *kind == Kind::Tested), "{case}: {kinds:?}");
+                assert!(kinds.iter().all(|kind| *kind == Kind::HeartbeatAck), "{case}: {kinds:?}");
             }
         });
     }
@@ -169,13 +169,13 @@
     came
 }
 
-fn read_all(bytes: &[u8]) -> Vec<(Kind, Ref)> {
+fn read_all(bytes: &[u8]) -> Vec<(Kind, SessionRef)> {
     let mut messages = Messages::default();
     messages.push(bytes);
     let mut all = vec![];
-    while let Ok(Some(message)) = messages.cut() {
+    while let Ok(Some(message)) = messages.next_message() {
         let signal = binary::read(message).expect("a message");
-        all.push((signal.kind, signal.of));
+        all.push((signal.kind, signal.session));
     }
     all
 }
@@ -194,21 +194,22 @@
             let (address, slow, queued) = held_back().await;
             harness.leaves_only("s-slow", address).await;
             let (mut viewer, mut stays) = (harness.viewer().await, harness.viewer().await);
-            assert!(viewer.write(&asks(Ref(0xab), "ticket", 3500, "")).await);
-            assert!(stays.write(&asks(Ref(0xac), "ticket", 3500, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0xab), "ticket", 3500, "")).await);
+            assert!(stays.write(&asks(SessionRef(0xac), "ticket", 3500, "")).await);
             sleep(ms(100)).await;
             // The connection comes up, and the viewer goes, while the program stands still: both lie unread.
             harness.stops().await;
             let came = takes_all(slow);
             waits("the connection comes up", || came.borrow().len() > queued.len()).await;
             if goes == Goes::GivesUp {
-                assert!(viewer.send_signal(Kind::Release, Ref(0xab), Some(16)).await);
+                assert!(viewer.send_signal(Kind::Release, SessionRef(0xab), Some(16)).await);
             } else {
                 drop(viewer);
             }
             harness.goes_on();
-            let sent =
-                |of| came.borrow().iter().any(|bytes| read_all(bytes).contains(&(Kind::SetUp, Ref(of))));
+            let sent = |of| {
+                came.borrow().iter().any(|bytes| read_all(bytes).contains(&(Kind::SetUp, SessionRef(of))))
+            };
             waits("the one who stays is sent on", || sent(0xac)).await;
             sleep(ms(300)).await;
             assert!(!sent(0xab), "{goes:?}, cancelling {cancelling}");
@@ -223,7 +224,7 @@
         [(Goes::Closes, true), (Goes::GivesUp, true), (Goes::Closes, false), (Goes::GivesUp, false)]
     {
         with(Behavior::Ignores, |harness| async move {
-            let (mut viewer, of) = (harness.viewer().await, Ref(0xad));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0xad));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
             waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
             let server = harness.holder();
@@ -283,11 +284,11 @@
         let mut viewers = vec![];
         for i in 0..30 {
             let mut viewer = harness.viewer().await;
-            let text = String::from_utf8(asks(Ref(0xe00 + i), "ticket", 3500, "")).expect("text");
+            let text = String::from_utf8(asks(SessionRef(0xe00 + i), "ticket", 3500, "")).expect("text");
             let text = text.replace("9d41c07a5be2f318", &description);
             assert!(viewer.write(text.as_bytes()).await);
             // It had its turn before the next one asks.
-            assert!(viewer.send_signal(Kind::Test, Ref(3), Some(0)).await);
+            assert!(viewer.send_signal(Kind::Heartbeat, SessionRef(3), Some(0)).await);
             assert!(viewer.receive(ms(1000)).await.is_some());
             viewers.push(viewer);
         }
@@ -311,7 +312,8 @@
             }
             parts.push(came);
         }
-        let set_ups = |all: &[(Kind, Ref)]| all.iter().filter(|(kind, _)| *kind == Kind::SetUp).count();
+        let set_ups =
+            |all: &[(Kind, SessionRef)]| all.iter().filter(|(kind, _)| *kind == Kind::SetUp).count();
         let mut begun = 0;
         for (before, after) in parts[0].iter().zip(&parts[1]) {
             let (first, all) = (read_all(before), read_all(&[&before[..], after].concat()));
@@ -330,9 +332,10 @@
     with(Behavior::Ignores, |mut harness| async move {
         let (mut open, mut half) = (harness.viewer().await, harness.viewer().await);
         assert!(
-            open.send_signal(Kind::Test, Ref(2), Some(0)).await && open.receive(ms(1000)).await.is_some()
+            open.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
+                && open.receive(ms(1000)).await.is_some()
         );
-        let text = asks(Ref(0x411), "ticket", 2500, "");
+        let text = asks(SessionRef(0x411), "ticket", 2500, "");
         assert!(half.write(&text[..60]).await);
         // Once more, and a new configuration before and after: all of it changes nothing.
         for name in ["-HUP", "-TERM", "-TERM", "-HUP"] {
@@ -340,10 +343,10 @@
         }
         sleep(ms(600)).await;
         harness.stops().await;
-        assert!(open.write(&asks(Ref(0x410), "ticket", 2500, "")).await);
+        assert!(open.write(&asks(SessionRef(0x410), "ticket", 2500, "")).await);
         assert!(half.write(&text[60..]).await);
         let mut queued = harness.viewer().await;
-        assert!(queued.write(&asks(Ref(0x412), "ticket", 2500, "")).await);
+        assert!(queued.write(&asks(SessionRef(0x412), "ticket", 2500, "")).await);
         // By then the time is over in which requests come.
         sleep(ms(300)).await;
         harness.goes_on();
@@ -356,9 +359,9 @@
             }
         }
         for (viewer, of) in [(&mut open, 0x410), (&mut half, 0x411), (&mut queued, 0x412)] {
-            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
-            assert_eq!(came, Some((Kind::Answer, Ref(of))));
-            assert!(viewer.send_signal(Kind::Release, Ref(of), Some(16)).await);
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
+            assert_eq!(came, Some((Kind::Answer, SessionRef(of))));
+            assert!(viewer.send_signal(Kind::Release, SessionRef(of), Some(16)).await);
         }
         let ended = timeout(ms(3000), harness.program.wait()).await.expect("it ends").expect("its status");
         assert!(ended.success());
@@ -477,7 +480,7 @@
     LocalSet::new().block_on(&runtime, async {
         let harness = Harness::new(Behavior::Plays, COUNT, tweak).await;
         let home = |of: u64, home: usize| {
-            let text = String::from_utf8(asks(Ref(of), "clip", 3000, "")).expect("text");
+            let text = String::from_utf8(asks(SessionRef(of), "clip", 3000, "")).expect("text");
             text.replace("home:0;", &format!("home:{home};")).into_bytes()
         };
         // Silent ones, ones that asked long ago, half lines, ones with a session that stands.
@@ -487,8 +490,8 @@
                 continue;
             };
             match i % 4 {
-                1 => drop(client.send_signal(Kind::Test, Ref(4), Some(0)).await),
-                2 => drop(client.write(&asks(Ref(0x2000 + i), "clip", 3000, "")[..50]).await),
+                1 => drop(client.send_signal(Kind::Heartbeat, SessionRef(4), Some(0)).await),
+                2 => drop(client.write(&asks(SessionRef(0x2000 + i), "clip", 3000, "")[..50]).await),
                 3 => drop(client.write(&home(0x2000 + i, i as usize % 4)).await),
                 _ => {}
             }
@@ -501,7 +504,8 @@
             let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}, discovery down");
             // What stands at the first ones goes on; each of those servers wants its connection.
-            let over = i < 24 || viewer.send_signal(Kind::Release, Ref(0x3000 + i as u64), Some(16)).await;
+            let over =
+                i < 24 || viewer.send_signal(Kind::Release, SessionRef(0x3000 + i as u64), Some(16)).await;
             assert!(over);
             served.push(viewer);
         }
@@ -517,7 +521,7 @@
         let before = harness.servers[0].received(Kind::SetUp).len();
         for i in 0..10 {
             let mut viewer = harness.viewer().await;
-            assert!(viewer.write(&asks(Ref(0x4000 + i), "clip", 3000, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0x4000 + i), "clip", 3000, "")).await);
             let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
             assert_eq!(came, Some(Kind::Answer), "viewer {i}, discovery back");
         }
@@ -591,7 +595,7 @@
             while begun.elapsed() < WARM_UP {
                 // Three times what it bears, most of it at a few of them.
                 let n = (asked * 7 % count as u64).min(asked * 3 % count as u64) as usize;
-                let (address, of) = (others[n].address, Ref(0x10_0000 + asked));
+                let (address, of) = (others[n].address, SessionRef(0x10_0000 + asked));
                 spawn_local(async move {
                     let Ok(mut viewer) = Viewer::connect(address).await else { return };
                     viewer.write(&asks(of, "clip", 1500, "")).await;
@@ -643,7 +647,7 @@
             let (begun, program) = (Instant::now(), starts(&file, &config));
             loop {
                 if let Ok(mut test) = Viewer::connect(address).await
-                    && test.send_signal(Kind::Test, Ref(1), Some(0)).await
+                    && test.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await
                     && test.receive(ms(20_000)).await.is_some_and(|tested| tested.cause == Some(1))
                 {
                     break;
@@ -699,7 +703,7 @@
                 harness.bus.publish(2, &event(2, false, &drains), 1);
             }
             for (i, viewer) in viewers.iter_mut().enumerate() {
-                assert!(viewer.write(&asks(Ref(0x5000 + i as u64), "clip", 3500, "")).await);
+                assert!(viewer.write(&asks(SessionRef(0x5000 + i as u64), "clip", 3500, "")).await);
             }
             if !drained_first {
                 harness.bus.publish(2, &event(2, false, &drains), 1);
@@ -739,7 +743,7 @@
                 Err(error) => panic!("not ready: {error}"),
             }
         };
-        assert!(viewer.send_signal(Kind::Test, Ref(1), Some(0)).await);
+        assert!(viewer.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await);
         assert!(viewer.receive(ms(1000)).await.is_some());
         fs::remove_file(&file).ok();
     });
@@ -749,13 +753,13 @@
 fn a_second_answer_that_takes_back_the_first_ends_the_session_on_both_sides() {
     for cause in [34, 47, 102] {
         with(Behavior::Plays, |harness| async move {
-            let (mut viewer, of) = (harness.viewer().await, Ref(0x70));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0x70));
             assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             let server = harness.holder();
             let connection = server.received(Kind::SetUp)[0].connection;
             server.release(connection, of, cause);
-            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
             assert_eq!(came, Some((Kind::Release, of)), "cause {cause}");
             waits("its end at the server", || {
                 server.received(Kind::Release).iter().any(|seen| seen.of == of)
@@ -771,7 +775,7 @@
     // The package, and how long the process stands still: longer than one tune-in may take, and than the viewer waits.
     for (package, left, still) in [("clip", 3000, 700), ("ticket", 1200, 1300)] {
         with(Behavior::Ignores, |harness| async move {
-            let (mut viewer, of) = (harness.viewer().await, Ref(0x80));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0x80));
             assert!(viewer.write(&asks(of, package, left, "")).await);
             waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
             harness.stops().await;
@@ -781,7 +785,7 @@
             waits("the answer is written", || server.written_bytes.get() > 0).await;
             sleep(ms(still)).await;
             harness.goes_on();
-            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
             assert_eq!(came, Some((Kind::Answer, of)), "{package}");
             assert_eq!(viewer.receive(ms(300)).await, None, "{package}: one answer only");
             assert_eq!(harness.of(Kind::SetUp), 1, "{package}: no further one");
@@ -826,7 +830,7 @@
 
 fn goes_before_its_answer(goes: Goes, first: bool) {
     with(Behavior::Ignores, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, Ref(0xa0));
+        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xa0));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
         waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
         let server = harness.holder();
@@ -852,7 +856,7 @@
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
         let mut viewer = harness.viewer().await;
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        let came = viewer.receive(ms(1500)).await.map(|came| (came.kind, came.of));
+        let came = viewer.receive(ms(1500)).await.map(|came| (came.kind, came.session));
         assert_eq!(came, Some((Kind::Answer, of)));
         assert_eq!(viewer.receive(ms(200)).await, None, "one answer only");
         assert_eq!(harness.set_ups(of), 2);
@@ -864,7 +868,7 @@
     // Which of the two lies first in the sockets.
     for server_first in [true, false] {
         with(Behavior::Plays, |harness| async move {
-            let (mut viewer, of) = (harness.viewer().await, Ref(0xa8));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0xa8));
             assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             let server = harness.holder();
@@ -897,7 +901,7 @@
 #[test]
 fn a_late_second_answer_changes_nothing() {
     with(Behavior::Plays, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, Ref(0xb0));
+        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xb0));
         assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
         assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         let server = harness.holder();
@@ -909,14 +913,14 @@
         assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
         waits("its end at the server", || server.received(Kind::Release).len() == 1).await;
         server.send_bytes(connection, up);
-        let more = viewer.receive(ms(200)).await.filter(|came| came.kind != Kind::Heard);
+        let more = viewer.receive(ms(200)).await.filter(|came| came.kind != Kind::Ack);
         assert_eq!(more, None, "nothing more");
         harness.serves(0xb1).await;
     });
 }
 
 /// What a server that takes one connection's bytes later than another's has processed: connection, kind and session.
-type Processed = Rc<RefCell<Vec<(usize, Kind, Ref)>>>;
+type Processed = Rc<RefCell<Vec<(usize, Kind, SessionRef)>>>;
 
 /// A server that answers nothing. What follows the first message of its first connection is processed `late`; `resets`:
 /// that connection is reset instead, once its first message was processed.
@@ -932,9 +936,9 @@
                 let (mut messages, mut piece) = (Messages::default(), [0; 4096]);
                 while let Ok(read @ 1..) = stream.read(&mut piece).await {
                     messages.push(&piece[..read]);
-                    while let Ok(Some(message)) = messages.cut() {
+                    while let Ok(Some(message)) = messages.next_message() {
                         let signal = binary::read(message).expect("a message");
-                        all.borrow_mut().push((number, signal.kind, signal.of));
+                        all.borrow_mut().push((number, signal.kind, signal.session));
                     }
                     if number == 0 && resets {
                         return drop(stream.set_zero_linger());
@@ -958,7 +962,7 @@
             let address = listener.local_addr().expect("its address");
             let processed = processes_late(listener, late, resets);
             harness.leaves_only("s-late", address).await;
-            let (mut viewer, of) = (harness.viewer().await, Ref(0xc0));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0xc0));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
             let came = viewer.receive(ms(3900)).await.map(|came| (came.kind, came.cause));
             assert_eq!(came, Some((Kind::Release, Some(34))), "late {late:?}, resets {resets}");
@@ -991,25 +995,25 @@
             harness.bus.publish(2, &event(2, false, &gone), 1);
             sleep(ms(100)).await;
             let mut viewer = harness.viewer().await;
-            assert!(viewer.write(&asks(Ref(0xd0), "clip", 3500, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0xd0), "clip", 3500, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             // A set-up that goes unanswered there, paid so that it waits: the next one has a connection of its own.
             server.behavior.set(Behavior::Ignores);
-            assert!(viewer.write(&asks(Ref(0xd1), "clip", 3500, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0xd1), "clip", 3500, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.cause), Some(Some(34)));
             let mut ticket = harness.viewer().await;
-            assert!(ticket.write(&asks(Ref(0xd2), "ticket", 3500, "")).await);
+            assert!(ticket.write(&asks(SessionRef(0xd2), "ticket", 3500, "")).await);
             waits("a second connection", || server.connections() == 2).await;
             if spoilt {
-                let end = binary::write(Kind::Release, Ref(0xd0), &[], Some(16), None).expect("short");
+                let end = binary::write(Kind::Release, SessionRef(0xd0), &[], Some(16), None).expect("short");
                 server.send_bytes(0, [vec![0xff; 64], end].concat());
             } else {
                 server.reset(0);
             }
             waits("a connection on which the end can be told again", || server.connections() == 3).await;
-            server.release(2, Ref(0xd0), 16);
-            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.of));
-            assert_eq!(came, Some((Kind::Release, Ref(0xd0))), "spoilt {spoilt}");
+            server.release(2, SessionRef(0xd0), 16);
+            let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
+            assert_eq!(came, Some((Kind::Release, SessionRef(0xd0))), "spoilt {spoilt}");
         });
     }
 }
@@ -1023,7 +1027,7 @@
             let others = [member(&harness.servers[1], 1, "gone"), member(&harness.servers[2], 2, "gone")];
             harness.bus.publish(2, &event(2, false, &others), 1);
             sleep(ms(100)).await;
-            let (mut viewer, of) = (harness.viewer().await, Ref(0xe0));
+            let (mut viewer, of) = (harness.viewer().await, SessionRef(0xe0));
             assert!(viewer.write(&asks(of, "clip", 3500, "")).await);
             assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             harness.bus.publish(3, &event(3, false, &[member(server, 0, "draining")]), 1);
@@ -1036,7 +1040,7 @@
                 sleep(ms(400)).await;
                 server.set_accept_mode(ivyward_standin::platform::AcceptMode::All);
             }
-            let came = viewer.receive(ms(7000)).await.map(|came| (came.kind, came.of));
+            let came = viewer.receive(ms(7000)).await.map(|came| (came.kind, came.session));
             assert_eq!(came, Some((Kind::Release, of)), "listed {listed}");
         });
     }
@@ -1049,14 +1053,14 @@
     with(Behavior::Plays, |harness| async move {
         // A session that stands keeps the process.
         let mut stays = harness.viewer().await;
-        assert!(stays.write(&asks(Ref(0xef), "clip", 3000, "")).await);
+        assert!(stays.write(&asks(SessionRef(0xef), "clip", 3000, "")).await);
         assert_eq!(stays.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Ignores));
         let mut viewers = vec![];
         for _ in 0..3 {
             let mut viewer = harness.viewer().await;
             assert!(
-                viewer.send_signal(Kind::Test, Ref(2), Some(0)).await
+                viewer.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
                     && viewer.receive(ms(1000)).await.is_some()
             );
             viewers.push(viewer);
@@ -1065,12 +1069,12 @@
         let told = Instant::now();
         for (i, (viewer, after)) in viewers.iter_mut().zip([1000, 2500, 3550]).enumerate() {
             sleep((told + ms(after)).saturating_duration_since(Instant::now())).await;
-            assert!(viewer.write(&asks(Ref(0xf0 + i as u64), "ticket", 4000, "")).await);
+            assert!(viewer.write(&asks(SessionRef(0xf0 + i as u64), "ticket", 4000, "")).await);
         }
         for (i, viewer) in viewers.iter_mut().enumerate() {
             let left = (told + KILL).saturating_duration_since(Instant::now());
-            let came = viewer.receive(left).await.map(|came| (came.kind, came.of));
-            assert_eq!(came, Some((Kind::Release, Ref(0xf0 + i as u64))), "request {i}");
+            let came = viewer.receive(left).await.map(|came| (came.kind, came.session));
+            assert_eq!(came, Some((Kind::Release, SessionRef(0xf0 + i as u64))), "request {i}");
         }
     });
 }
@@ -1080,14 +1084,14 @@
     // What lies first in the sockets: the server's end, or the close.
     for end_first in [true, false] {
         with(Behavior::Plays, |harness| async move {
-            let (mut first, of) = (harness.viewer().await, Ref(0x110));
+            let (mut first, of) = (harness.viewer().await, SessionRef(0x110));
             assert!(first.write(&asks(of, "clip", 3500, "")).await);
             assert_eq!(first.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             let server = harness.holder();
             // The session's own connection is over; another viewer's is there.
             drop(first);
             let mut second = harness.viewer().await;
-            assert!(second.write(&asks(Ref(0x111), "clip", 3500, "")).await);
+            assert!(second.write(&asks(SessionRef(0x111), "clip", 3500, "")).await);
             assert_eq!(second.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
             sleep(ms(100)).await;
             harness.stops().await;
@@ -1104,10 +1108,10 @@
             harness.goes_on();
             sleep(ms(300)).await;
             let mut third = harness.viewer().await;
-            assert!(third.write(&asks(Ref(0x112), "clip", 3500, "")).await);
+            assert!(third.write(&asks(SessionRef(0x112), "clip", 3500, "")).await);
             let mut came = vec![];
             while let Some(signal) = third.receive(ms(500)).await {
-                came.push((signal.kind, signal.of));
+                came.push((signal.kind, signal.session));
             }
             assert!(came.contains(&(Kind::Release, of)), "end first {end_first}: {came:?}");
         });
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -29,7 +29,7 @@
 async fn change(harness: &Harness, keys: &str, signs: &str) {
     let text = keyed(harness, keys, signs);
     let settings = ivyward_daemon::read(&text).expect("settings that fit");
-    harness.standins.keys(ivyward_daemon::setup::keys(&settings.one("tokens")).expect("keys"));
+    harness.standins.keys(ivyward_daemon::setup::keys(&settings.section("tokens")).expect("keys"));
     harness.texts.send(text).expect("a manager");
     sleep(ms(150)).await;
 }
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -155,7 +155,7 @@
 
     fn url(&self, i: usize, session: u128, package: &str) -> String {
         let settings = ivyward_settings::read("Settings", &self.text).expect("settings");
-        let keys = setup::keys(&settings.one("tokens")).expect("keys");
+        let keys = setup::keys(&settings.section("tokens")).expect("keys");
         let token = token(&keys, session, package, "how-to-charge", ms(60_000));
         format!("http://{}/mpd/how-to-charge.mpd?token={token}", self.managers[i].address)
     }
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -8,7 +8,7 @@
 use ivyward_daemon::setup;
 use ivyward_fleet::Cold;
 use ivyward_rules::{History, Life, Package, Terms};
-use ivyward_settings::{Fault, Part};
+use ivyward_settings::{Fault, Section};
 use ivyward_standin::Standins;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -28,13 +28,13 @@
 ///
 /// # Errors
 /// All faults found.
-pub fn read(text: &str) -> Result<Part, Vec<Fault>> {
+pub fn read(text: &str) -> Result<Section, Vec<Fault>> {
     let script = ivyward_settings::read("Day", text)?;
-    let settings = script.one("settings");
+    let settings = script.section("settings");
     let without_list = |fault: &Fault| !fault.field.ends_with("list_address");
     let mut faults: Vec<_> = setup::faults(&settings).into_iter().filter(without_list).collect();
-    let packages = settings.list("package").len();
-    let viewers = script.one("viewers");
+    let packages = settings.sections("package").len();
+    let viewers = script.section("viewers");
     let shares = viewers.numbers("package_share");
     if !shares.is_empty() && shares.len() != packages {
         faults.push(
@@ -44,58 +44,62 @@
     if viewers.number("watch_most_s") < viewers.number("watch_least_s") {
         faults.push(viewers.fault("watch_most_s", "is under watch_least_s"));
     }
-    let tokens = settings.one("tokens");
-    for trouble in script.list("trouble").iter().filter(|trouble| trouble.choice("kind") == "KEY_CHANGE") {
+    let tokens = settings.section("tokens");
+    for trouble in
+        script.sections("trouble").iter().filter(|trouble| trouble.enum_name("kind") == "KEY_CHANGE")
+    {
         // Guards against a key that goes while its tokens still live.
         let least = 3.0 * (tokens.number("life_s") + tokens.number("skew_s"));
         if trouble.number("len_s") < least {
             faults
                 .push(trouble.fault("len_s", &format!("is under {least} s: thrice a token's life and skew")));
         }
-        if tokens.list("key").len() != 2 {
+        if tokens.sections("key").len() != 2 {
             faults.push(trouble.fault("kind", "needs two keys in the settings"));
         }
     }
-    if !script.truth("peers") {
+    if !script.boolean("peers") {
         // Nothing would be cut, and the day be taken for one that was.
-        for trouble in script.list("trouble").iter().filter(|trouble| trouble.choice("kind") == "PEERS_CUT") {
+        for trouble in
+            script.sections("trouble").iter().filter(|trouble| trouble.enum_name("kind") == "PEERS_CUT")
+        {
             faults.push(trouble.fault("kind", "needs peers"));
         }
     }
     let length = script.number("length_s");
-    for trouble in script.list("trouble").iter().filter(|trouble| trouble.number("at_s") >= length) {
+    for trouble in script.sections("trouble").iter().filter(|trouble| trouble.number("at_s") >= length) {
         faults.push(trouble.fault("at_s", &format!("is after the day's {length} s")));
     }
     if faults.is_empty() { Ok(script) } else { Err(faults) }
 }
 
 /// What a script's rules are held to.
-pub fn terms_of(script: &Part) -> Terms {
-    let settings = script.one("settings");
-    let package = |package: &Part| Package {
+pub fn terms_of(script: &Section) -> Terms {
+    let settings = script.section("settings");
+    let package = |package: &Section| Package {
         name: package.text("name"),
-        patience: package.span("patience_s"),
-        target: package.span("join_target_s"),
+        patience: package.duration("patience_s"),
+        target: package.duration("join_target_s"),
         value: package.number("value"),
-        once: package.truth("once"),
+        once: package.boolean("once"),
         floor: package.count("floor"),
         seats: package.count("seats"),
     };
-    let (ration, fleet) = (settings.one("ration"), script.one("fleet"));
+    let (ration, fleet) = (settings.section("ration"), script.section("fleet"));
     let cold = Cold {
         from: fleet.number("cold_from"),
-        warm_up: fleet.span("warm_up_s"),
+        warm_up: fleet.duration("warm_up_s"),
         multiple: fleet.number("multiple"),
-        fall: fleet.span("fall_s"),
+        fall: fleet.duration("fall_s"),
     };
     Terms {
-        packages: settings.list("package").iter().map(package).collect(),
-        grace: settings.one("network").span("drain_grace_s"),
+        packages: settings.sections("package").iter().map(package).collect(),
+        grace: settings.section("network").duration("drain_grace_s"),
         ration: settings
             .has("ration")
-            .then(|| (ration.span("span_s"), ration.number("free"), ration.number("share"))),
-        slack: script.span("slack_s"),
-        grain: script.span("grain_s"),
+            .then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share"))),
+        slack: script.duration("slack_s"),
+        grain: script.duration("grain_s"),
         cold: (cold, fleet.count("places")),
     }
 }
@@ -114,21 +118,21 @@
 }
 
 /// Plain random choice under a manager's settings.
-pub fn random(settings: &Part) -> Random {
+pub fn random(settings: &Section) -> Random {
     let (limits, ration, packages) =
-        (settings.one("limits"), settings.one("ration"), settings.list("package"));
-    let top = settings.one("ladder").list("rung").len() - 1;
-    let package = |p: &Part| (p.truth("once"), p.count("floor"), p.count("top").min(top));
-    let target = packages.iter().map(|p| p.span("join_target_s")).min().unwrap_or_default();
+        (settings.section("limits"), settings.section("ration"), settings.sections("package"));
+    let top = settings.section("ladder").sections("rung").len() - 1;
+    let package = |p: &Section| (p.boolean("once"), p.count("floor"), p.count("top").min(top));
+    let target = packages.iter().map(|p| p.duration("join_target_s")).min().unwrap_or_default();
     Random::new(
-        settings.one("manager").whole("seed"),
-        settings.one("network").count("places") as u32,
+        settings.section("manager").integer("seed"),
+        settings.section("network").count("places") as u32,
         packages.iter().map(package).collect(),
         // The limit that the module starts from.
         (limits.count("tune_ins") as u16, target.mul_f64(0.4)),
         settings
             .has("ration")
-            .then(|| (ration.span("span_s"), ration.number("free"), ration.number("share"))),
+            .then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share"))),
     )
 }
 
@@ -138,10 +142,10 @@
 /// # Errors
 /// It could not be played.
 pub fn play(
-    script: &Part, seed: Option<u64>, (program, random): (Option<&Path>, bool),
+    script: &Section, seed: Option<u64>, (program, random): (Option<&Path>, bool),
     (logs, record): (Option<&Path>, Option<&Path>),
 ) -> Result<Verdict, String> {
-    let seed = seed.unwrap_or_else(|| script.whole("seed"));
+    let seed = seed.unwrap_or_else(|| script.integer("seed"));
     let own = env::current_exe().map_err(|e| e.to_string())?;
     let program = program.unwrap_or(&own);
     let begun = Instant::now();
@@ -151,20 +155,20 @@
     }
     let local = LocalSet::new();
     local.block_on(&runtime()?, async {
-        let (settings, fleet) = (script.one("settings"), script.one("fleet"));
+        let (settings, fleet) = (script.section("settings"), script.section("fleet"));
         let mut settings = settings;
-        let tokens = settings.one("tokens");
-        if script.list("trouble").iter().any(|trouble| trouble.choice("kind") == "KEY_CHANGE") {
+        let tokens = settings.section("tokens");
+        if script.sections("trouble").iter().any(|trouble| trouble.enum_name("kind") == "KEY_CHANGE") {
             settings.put("tokens", trouble::tokens_of(&tokens, &[0], 0));
         }
-        let keys = setup::keys(&settings.one("tokens")).map_err(|faults| format!("{faults:?}"))?;
+        let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
         let model = ivyward_standin::fleet(seed, &fleet, &settings);
-        let cells = settings.one("network").count("places");
-        let about = (fleet.number("vary"), fleet.span("list_late_s"));
-        let standins = Standins::open(seed, model, cells, (keys, tokens.span("skew_s")), about, begun)
+        let cells = settings.section("network").count("places");
+        let about = (fleet.number("vary"), fleet.duration("list_late_s"));
+        let standins = Standins::open(seed, model, cells, (keys, tokens.duration("skew_s")), about, begun)
             .map_err(|e| format!("stand-ins: {e}"))?;
         let siblings = script.count("managers");
-        let speaking = match script.truth("peers") {
+        let speaking = match script.boolean("peers") {
             true => Some(Rc::new(Speaking::open(siblings).await?)),
             false => None,
         };
@@ -186,10 +190,10 @@
             );
         }
         let managers = Rc::new(managers);
-        let begin = begun.elapsed() + script.span("settle_s");
-        let end = begin + script.span("length_s");
+        let begin = begun.elapsed() + script.duration("settle_s");
+        let end = begin + script.duration("length_s");
         let played = trouble::play(
-            &script.list("trouble"),
+            &script.sections("trouble"),
             seed,
             &standins,
             (&managers, speaking),
@@ -208,7 +212,7 @@
         let kills = played.iter().filter(|trouble| !trouble.managers.is_empty());
         let last = kills.map(|trouble| trouble.until).max().unwrap_or_default();
         sleep_until(begun + last).await;
-        sleep(REST.max(script.span("rest_s"))).await;
+        sleep(REST.max(script.duration("rest_s"))).await;
         drop(watch);
         let (mut lives, mut all_ended, mut quality) = (vec![], vec![], String::new());
         let names = standins.manager_names();
@@ -219,7 +223,7 @@
                 sleep(REST).await;
             }
             let no = names.iter().find(|(_, name)| **name == manager.name).map(|(no, _)| *no);
-            if script.one("viewers").truth("reports")
+            if script.section("viewers").boolean("reports")
                 && let Ok(page) = ivyward_daemon::quality::ask(manager.console, "/quality").await
             {
                 quality.push_str(&ivyward_daemon::quality::table(&page));
@@ -239,7 +243,7 @@
         verdict.quality = quality;
         verdict.manifests = seen.manifests;
         verdict.held = held.take();
-        if !script.span("rest_s").is_zero() {
+        if !script.duration("rest_s").is_zero() {
             let left = |ended: &ivyward_daemon::Ended| {
                 // The module's own look at the rungs is always due.
                 (ended.viewings, ended.timers.saturating_sub(1), ended.connections, ended.places)
@@ -268,7 +272,7 @@
 
 /// The viewers, in a thread of their own: they must not wait for the stand-ins.
 async fn crowd(
-    script: &Part, seed: u64, managers: &[Manager], begun: Instant, span: (Duration, Duration),
+    script: &Section, seed: u64, managers: &[Manager], begun: Instant, span: (Duration, Duration),
 ) -> Result<Seen, String> {
     let addresses: Vec<_> = managers.iter().map(|manager| manager.address).collect();
     // A part knows its text by a pointer that stays in its thread, so the script goes over as text.
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -18,7 +18,7 @@
     Answer, AttemptResult, Effects, EndReason, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer,
     TuneIn, Violation,
 };
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -176,7 +176,7 @@
     order: u64,
     chance: Pcg64Mcg,
     spoilt: Option<Spoilt>,
-    settings: Part,
+    settings: Section,
     terms: Terms,
     managers: Vec<Manager>,
     fleet: Fleet,
@@ -207,7 +207,7 @@
 /// Plays the history of a seed.
 pub fn play(seed: u64, spoilt: Option<Spoilt>) -> Played {
     let day = crate::day::read(DAY).expect("the history's own settings");
-    let (settings, fleet) = (day.one("settings"), day.one("fleet"));
+    let (settings, fleet) = (day.section("settings"), day.section("fleet"));
     let terms = terms_of(&day);
     let mut harness = Harness {
         now: START,
@@ -244,7 +244,7 @@
 
 impl Harness {
     fn run(&mut self) {
-        let cells = self.settings.one("network").count("places");
+        let cells = self.settings.section("network").count("places");
         for at in self.fleet.boxes().collect::<Vec<_>>() {
             let row = Row {
                 standing: ServerState::Ready,
@@ -457,8 +457,8 @@
     fn runs(&mut self, manager: usize, server: ServerNo, sent: Sent) {
         let (key, now) = (sent.key, self.now);
         let rates: Vec<_> =
-            self.settings.one("ladder").list("rung").iter().map(|r| r.number("rate_kb")).collect();
-        let lease = self.settings.one("limits").span("lease_s");
+            self.settings.section("ladder").sections("rung").iter().map(|r| r.number("rate_kb")).collect();
+        let lease = self.settings.section("limits").duration("lease_s");
         let came = self.fleet.set_up(now, server, key, &rates, sent.rung, lease);
         if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost | SetUpOutcome::Breaks) {
             self.abouts.insert((server, key), (sent.session, sent.package, sent.title, sent.top));
@@ -640,7 +640,7 @@
     /// A manager starts, and hears the whole list.
     fn start(&mut self, manager: usize) {
         let mut settings = self.settings.clone();
-        let mut of = settings.one("manager");
+        let mut of = settings.section("manager");
         of.put_whole("seed", self.chance.random_range(1..1 << 40));
         of.put_whole("siblings", MANAGERS as u64);
         settings.put("manager", of);
@@ -650,7 +650,7 @@
         }
         if self.spoilt == Some(Spoilt::SeatTooMany) {
             settings.each("package", |package| {
-                let seats = package.whole("seats");
+                let seats = package.integer("seats");
                 package.put_whole("seats", if seats > 0 { seats + 1 } else { 0 });
             });
         }
@@ -745,8 +745,8 @@
             if old.is_some_and(|row| birth < row.birth) {
                 return;
             }
-            let cell =
-                old.map_or(at.0 as u32 % w.settings.one("network").count("places") as u32, |row| row.cell);
+            let cell = old
+                .map_or(at.0 as u32 % w.settings.section("network").count("places") as u32, |row| row.cell);
             let row = Row { standing, birth, born, cell, weight: old.map_or(1.0, |row| row.weight) };
             w.rows[at.0] = Some(row);
             if !w.list_lost {
@@ -898,7 +898,7 @@
         }
         self.list_after(at, ServerState::Ready, late + Duration::from_millis(200));
         if self.chance.random_bool(0.4) {
-            let cell = at.0 as u32 % self.settings.one("network").count("places") as u32;
+            let cell = at.0 as u32 % self.settings.section("network").count("places") as u32;
             let holds = |title: &setup::Title| {
                 cell >= title.cells.first && cell < title.cells.first + title.cells.spread
             };
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -180,7 +180,7 @@
     },
 }
 
-fn read(script: &Path) -> Result<ivyward_settings::Part, String> {
+fn read(script: &Path) -> Result<ivyward_settings::Section, String> {
     let text = fs::read_to_string(script).map_err(|e| format!("{}: {e}", script.display()))?;
     ivyward_lab::day::read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", script.display()));
@@ -289,12 +289,13 @@
 ) -> Result<bool, String> {
     let [first, last] = seeds else { return Err("--seeds takes the first and the last".into()) };
     if plan {
-        println!("{}", ivyward_lab::soak::plan_of(*first));
+        println!("{}", ivyward_lab::soak::describe_plan(*first));
         return Ok(true);
     }
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let program = manager.as_deref().unwrap_or(&own);
-    let ask = ivyward_lab::soak::Ask { seeds: *first..=*last, jobs, program, keep: keep.as_deref() };
+    let ask =
+        ivyward_lab::soak::SoakOptions { seeds: *first..=*last, jobs, program, log_dir: keep.as_deref() };
     ivyward_lab::soak::run(&ask, |line| println!("{line}"))
 }
 
@@ -361,7 +362,7 @@
                 }
                 if alone {
                     script.clear("peers");
-                    script.retain("trouble", |trouble| trouble.choice("kind") != "PEERS_CUT");
+                    script.retain("trouble", |trouble| trouble.enum_name("kind") != "PEERS_CUT");
                 }
                 let program = (manager.as_deref(), random);
                 let verdict =
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -3,7 +3,7 @@
 use ivyward_daemon::{Ended, setup};
 use ivyward_fault_proxy::{Fault, FaultProxy};
 use ivyward_peers::Store;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -73,7 +73,7 @@
     process: RefCell<Option<Process>>,
     /// When it was killed, and up again.
     pub gaps: RefCell<Vec<(Duration, Option<Duration>)>>,
-    settings: RefCell<Part>,
+    settings: RefCell<Section>,
     begun: Instant,
 }
 
@@ -131,12 +131,12 @@
     /// # Errors
     /// It didn't come up.
     pub async fn start(
-        settings: &Part, (i, siblings): (usize, usize), seed: u64,
+        settings: &Section, (i, siblings): (usize, usize), seed: u64,
         (list, speaking): (SocketAddr, Option<&Speaking>), dir: &std::path::Path,
         (program, random): (&std::path::Path, bool), logs: Option<&std::path::Path>, begun: Instant,
     ) -> Result<Manager, String> {
         let name = format!("m{}", i + 1);
-        let (mut settings, mut manager) = (settings.clone(), settings.one("manager"));
+        let (mut settings, mut manager) = (settings.clone(), settings.section("manager"));
         manager.put_text("name", &name);
         manager.put_text("listen", "127.0.0.1:0");
         let console = free_port()?;
@@ -149,10 +149,10 @@
         if let Some(speaking) = speaking {
             let text = settings.to_text() + &speaking.text(i);
             settings = ivyward_settings::read("Settings", &text).map_err(|faults| format!("{faults:?}"))?;
-            Store::begin(&settings.one("manager").text("state_dir"), &setup::group(&settings))?;
+            Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
         }
         let file = dir.join(format!("{name}.txtpb"));
-        let write = |settings: &Part| {
+        let write = |settings: &Section| {
             fs::write(&file, settings.to_text()).map_err(|e| format!("{}: {e}", file.display()))
         };
         write(&settings)?;
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// The file can't be written, or the process can't be told.
-    pub async fn tokens(&self, tokens: Part) -> Result<(), String> {
+    pub async fn tokens(&self, tokens: Section) -> Result<(), String> {
         let text = {
             let mut settings = self.settings.borrow_mut();
             settings.put("tokens", tokens);
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -12,7 +12,7 @@
 use ivyward_daemon::{date, setup};
 use ivyward_dash::manifest;
 use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use ivyward_standin::Standins;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -147,13 +147,13 @@
 /// # Errors
 /// A process didn't come up.
 pub async fn front(
-    script: &Part, program: &Path, rounds: usize, count: usize, lines: usize,
+    script: &Section, program: &Path, rounds: usize, count: usize, lines: usize,
 ) -> Result<(), String> {
-    let (settings, fleet) = (script.one("settings"), script.one("fleet"));
-    let tokens = settings.one("tokens");
+    let (settings, fleet) = (script.section("settings"), script.section("fleet"));
+    let tokens = settings.section("tokens");
     let keys = || setup::keys(&tokens).map_err(|faults| format!("{faults:?}"));
     let model = ivyward_standin::fleet(1, &fleet, &settings);
-    let cells = settings.one("network").count("places");
+    let cells = settings.section("network").count("places");
     let begun = Instant::now();
     let standins = Standins::open(1, model, cells, (keys()?, Duration::ZERO), (0.0, Duration::ZERO), begun)
         .map_err(|e| e.to_string())?;
@@ -171,8 +171,8 @@
     )
     .await?;
     let ((mut other, _), address) = bare_process(program).await?;
-    let package = settings.list("package")[0].text("name");
-    let title = settings.list("title")[0].text("name");
+    let package = settings.sections("package")[0].text("name");
+    let title = settings.sections("title")[0].text("name");
     let keys = keys()?;
     let mut session = 0_u128;
     let mut urls = |address: SocketAddr| -> Result<Vec<String>, String> {
@@ -187,7 +187,7 @@
         (0..count).map(one).collect()
     };
     // Warm caches, and servers that started with the manager.
-    tokio::time::sleep(settings.one("cold").span("warm_up_s")).await;
+    tokio::time::sleep(settings.section("cold").duration("warm_up_s")).await;
     let (mut fronts, mut bares) = (vec![], vec![]);
     for _ in 0..rounds {
         let (id, urls_bare) = (other.id().unwrap_or_default(), urls(address)?);
@@ -195,7 +195,7 @@
         let urls_front = urls(manager.address)?;
         fronts.push(round(manager.id().unwrap_or_default(), urls_front, lines).await);
         // What this round set up ends by its lease, so that each round begins alike.
-        tokio::time::sleep(settings.one("limits").span("lease_s") + Duration::from_secs(1)).await;
+        tokio::time::sleep(settings.section("limits").duration("lease_s") + Duration::from_secs(1)).await;
     }
     println!(
         "{rounds} rounds of {count} viewings over {lines} connections, {} stand-in servers",
--- a/crates/lab/src/quality.rs
+++ b/crates/lab/src/quality.rs
@@ -182,8 +182,9 @@
 
 /// What became of one world: planted and named, planted and missed, named in vain.
 fn judged(planted: &Faults, poor: &Faults, named: &[Blame]) -> (u32, u32, u32) {
-    let is =
-        |of: &(Factor, Level), named: &Blame| (named.factor, named.level) == *of || named.or.contains(of);
+    let is = |of: &(Factor, Level), named: &Blame| {
+        (named.factor, named.level) == *of || named.alternatives.contains(of)
+    };
     let right = planted.iter().filter(|of| named.iter().any(|named| is(of, named))).count() as u32;
     let vain =
         named.iter().filter(|named| !planted.iter().chain(poor).any(|of| is(of, named))).count() as u32;
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -10,7 +10,7 @@
 use crate::day::Folder;
 use crate::managers::{Process, signal, up};
 use ivyward_daemon::embedded;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
     managers: Vec<One>,
     /// Sessions that the first of them was told to revoke, and its settings without any.
     revoked: Vec<String>,
-    settings: Part,
+    settings: Section,
     /// Their addresses.
     near: String,
     _folder: Folder,
@@ -179,7 +179,7 @@
             let dir = folder.0.join(format!("m{}", i + 1));
             fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
             let (file, state, console) = (dir.join("settings.txtpb"), dir.join("state"), own(i, 9002));
-            let (mut settings, mut manager) = (base.clone(), base.one("manager"));
+            let (mut settings, mut manager) = (base.clone(), base.section("manager"));
             manager.put_text("name", &format!("m{}", i + 1));
             manager.put_text("listen", &own(i, 9003).to_string());
             manager.put_text("console", &console.to_string());
@@ -321,7 +321,7 @@
     async fn revokes(&mut self) -> Result<(), String> {
         self.revoked.push(format!("{:032x}", self.revoked.len() + 1));
         let all: String = self.revoked.iter().map(|session| format!("revoked: \"{session}\"\n")).collect();
-        let tokens = self.settings.one("tokens").to_text() + "\n" + &all;
+        let tokens = self.settings.section("tokens").to_text() + "\n" + &all;
         let tokens = ivyward_settings::read("Tokens", &tokens).map_err(|faults| format!("{faults:?}"))?;
         let mut settings = self.settings.clone();
         settings.put("tokens", tokens);
--- a/crates/lab/src/slopes/claim.rs
+++ b/crates/lab/src/slopes/claim.rs
@@ -23,7 +23,7 @@
         whole("processor time of the manager that sets up so many paid viewings and keeps them too", "us");
     let mut free = whole("the same for viewings that ask nobody", "us");
     let script = process::script(SERVERS)?;
-    let (settings, players) = (script.one("settings"), Players::new(&script)?);
+    let (settings, players) = (script.section("settings"), Players::new(&script)?);
     for run in 0..sizes.runs {
         process::room()?;
         let (folder, standins) = (Folder::new(&format!("p{run}"))?, process::standins(&script)?);
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -9,7 +9,7 @@
 use ivyward_daemon::{date, setup};
 use ivyward_dash::manifest;
 use ivyward_dash::token::{Keys, TokenClaims};
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use ivyward_standin::Standins;
 use std::cell::{Cell, RefCell};
 use std::fs;
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 /// The text is wrong.
-pub fn script(servers: usize) -> Result<Part, String> {
+pub fn script(servers: usize) -> Result<Section, String> {
     let titles = servers.min(100);
     let title = |i: usize| {
         let cell = i * servers / titles;
@@ -147,12 +147,12 @@
 ///
 /// # Errors
 /// No address is to be had.
-pub fn standins(script: &Part) -> Result<Standins, String> {
-    let (settings, fleet) = (script.one("settings"), script.one("fleet"));
-    let keys = setup::keys(&settings.one("tokens")).map_err(|faults| format!("{faults:?}"))?;
+pub fn standins(script: &Section) -> Result<Standins, String> {
+    let (settings, fleet) = (script.section("settings"), script.section("fleet"));
+    let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
     let model = ivyward_standin::fleet(1, &fleet, &settings);
-    let cells = settings.one("network").count("places");
-    let late = fleet.span("list_late_s");
+    let cells = settings.section("network").count("places");
+    let late = fleet.duration("list_late_s");
     let opened = Standins::open(1, model, cells, (keys, Duration::ZERO), (0.0, late), Instant::now());
     opened.map_err(|e| format!("stand-ins: {e}"))
 }
@@ -162,9 +162,10 @@
 /// # Errors
 /// It didn't come up.
 pub async fn manager(
-    script: &Part, standins: &Standins, dir: &Path, program: &Path, settle: Duration,
+    script: &Section, standins: &Standins, dir: &Path, program: &Path, settle: Duration,
 ) -> Result<(Manager, u32), String> {
-    let (settings, list, begun) = (script.one("settings"), (standins.list_address(), None), Instant::now());
+    let (settings, list, begun) =
+        (script.section("settings"), (standins.list_address(), None), Instant::now());
     let manager = Manager::start(&settings, (0, 1), 1, list, dir, (program, false), None, begun).await?;
     let id = manager.id().ok_or("a manager ended at its start")?;
     sleep(settle).await;
@@ -181,10 +182,10 @@
 impl Players {
     /// # Errors
     /// The keys can't be used.
-    pub fn new(script: &Part) -> Result<Players, String> {
-        let settings = script.one("settings");
-        let keys = setup::keys(&settings.one("tokens")).map_err(|faults| format!("{faults:?}"))?;
-        let titles = settings.list("title").iter().map(|title| title.text("name")).collect();
+    pub fn new(script: &Section) -> Result<Players, String> {
+        let settings = script.section("settings");
+        let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
+        let titles = settings.sections("title").iter().map(|title| title.text("name")).collect();
         Ok(Players { keys, titles, next: Cell::new(1) })
     }
 
--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -6,7 +6,7 @@
     RETRY_BUDGET_FREE_COUNT, RETRY_BUDGET_INTERVAL, SLOW_START_DURATION, SLOW_START_INITIAL_FRACTION,
     TRIAL_DURATION,
 };
-use ivyward_signal::Ref;
+use ivyward_signal::SessionRef;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -50,13 +50,13 @@
 struct Checker<'a> {
     plan: &'a Plan,
     observations: &'a Observations,
-    by_viewing: BTreeMap<Ref, Vec<&'a Attempt>>,
+    by_viewing: BTreeMap<SessionRef, Vec<&'a Attempt>>,
     violations: Vec<Violation>,
 }
 
 /// Checks a trial and returns its violations in the order of time.
 pub fn check_trial(plan: &Plan, observations: &Observations) -> Vec<Violation> {
-    let mut by_viewing: BTreeMap<Ref, Vec<&Attempt>> = BTreeMap::new();
+    let mut by_viewing: BTreeMap<SessionRef, Vec<&Attempt>> = BTreeMap::new();
     observations
         .attempts
         .iter()
@@ -120,7 +120,7 @@
     }
 
     /// Checks a viewing: one answer, in time, and no refusal of a request that may have run.
-    fn check_viewing(&mut self, viewing_id: Ref, viewing: &Viewing) {
+    fn check_viewing(&mut self, viewing_id: SessionRef, viewing: &Viewing) {
         if viewing.sent_at.is_zero() {
             return;
         }
@@ -205,7 +205,7 @@
     }
 
     /// No attempt may begin long after its viewing was answered or abandoned.
-    fn check_late_attempts(&mut self, viewing_id: Ref, viewing: &Viewing, name: &str) {
+    fn check_late_attempts(&mut self, viewing_id: SessionRef, viewing: &Viewing, name: &str) {
         let answered_at = viewing.answers.first().map(|(at, _)| *at);
         let Some(over_at) = answered_at.into_iter().chain(viewing.abandoned_at).min() else { return };
         let attempts = self.by_viewing.get(&viewing_id).into_iter().flatten();
@@ -224,7 +224,8 @@
 
     /// A served viewing must carry a server's answer, and be released in time once its session ends.
     fn check_served(
-        &mut self, viewing_id: Ref, viewing: &Viewing, name: &str, (at, description): (Duration, &[u8]),
+        &mut self, viewing_id: SessionRef, viewing: &Viewing, name: &str,
+        (at, description): (Duration, &[u8]),
     ) {
         let attempts = self.by_viewing.get(&viewing_id).cloned().unwrap_or_default();
         let Some(attempt) =
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -45,7 +45,7 @@
 const MAX_VOID_FRACTION: f64 = 0.1;
 
 /// Options of a soak test.
-pub struct Ask<'a> {
+pub struct SoakOptions<'a> {
     /// Seeds to run, one trial each.
     pub seeds: RangeInclusive<u64>,
     /// Number of concurrent trials.
@@ -53,7 +53,7 @@
     /// The program that runs a manager when started as `node FILE`.
     pub program: &'a Path,
     /// Directory that keeps the managers' logs; without it they are discarded.
-    pub keep: Option<&'a Path>,
+    pub log_dir: Option<&'a Path>,
 }
 
 /// Result of a trial.
@@ -339,7 +339,7 @@
 }
 
 /// Describes the plan of a seed as text.
-pub fn plan_of(seed: u64) -> String {
+pub fn describe_plan(seed: u64) -> String {
     format!("{:#?}", Plan::draw(seed))
 }
 
@@ -465,7 +465,7 @@
 ///
 /// # Errors
 /// A trial can't be run.
-pub fn run(options: &Ask, report: impl Fn(String) + Sync) -> Result<bool, String> {
+pub fn run(options: &SoakOptions, report: impl Fn(String) + Sync) -> Result<bool, String> {
     let next_seed = AtomicU64::new(*options.seeds.start());
     let run_seeds = || -> Result<Vec<Trial>, String> {
         let mut trials = vec![];
@@ -474,7 +474,7 @@
             if seed > *options.seeds.end() {
                 return Ok(trials);
             }
-            let trial = run_seed(seed, options.program, options.keep)?;
+            let trial = run_seed(seed, options.program, options.log_dir)?;
             report(format_trial(&trial));
             trials.push(trial);
         }
--- a/crates/lab/src/soak/observations.rs
+++ b/crates/lab/src/soak/observations.rs
@@ -4,7 +4,7 @@
 //! trial.
 
 use super::plan::Plan;
-use ivyward_signal::Ref;
+use ivyward_signal::SessionRef;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
 /// A set-up that arrived whole at the manager's end of the path to a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub viewing_id: Ref,
+    pub viewing_id: SessionRef,
     pub manager: usize,
     pub incarnation: usize,
     pub server: usize,
@@ -107,7 +107,7 @@
 /// Everything that was recorded in a trial.
 #[derive(Default)]
 pub struct Observations {
-    pub viewings: BTreeMap<Ref, Viewing>,
+    pub viewings: BTreeMap<SessionRef, Viewing>,
     pub attempts: Vec<Attempt>,
     pub phase_changes: Vec<PhaseChange>,
     /// By manager, in the order of starts.
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::Discovery;
 use super::observations::{Incarnation, SharedContext};
-use ivyward_signal::{Kind, Ref};
+use ivyward_signal::{Kind, SessionRef};
 use ivyward_standin::platform::{Viewer, own_address};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -121,7 +121,7 @@
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline {
             if let Ok(mut viewer) = Viewer::connect(self.address).await
-                && viewer.send_signal(Kind::Test, Ref(1), Some(0)).await
+                && viewer.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await
                 && viewer.receive(READY_TIMEOUT).await.is_some_and(|reply| reply.cause == Some(1))
             {
                 return true;
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -8,7 +8,7 @@
 use super::observations::{Attempt, AttemptEnd, SharedContext};
 use super::plan::{Outcome, Plan};
 use ivyward_signal::binary::{self, Messages};
-use ivyward_signal::{Field, Kind, Ref, Signal};
+use ivyward_signal::{Field, Kind, SessionRef, Signal};
 use ivyward_standin::platform::{listen, own_address};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -85,13 +85,13 @@
     generation: u32,
     connections: Vec<Connection>,
     /// Attempts without an outcome, by connection and viewing.
-    pending_attempts: BTreeMap<(usize, Ref), usize>,
+    pending_attempts: BTreeMap<(usize, SessionRef), usize>,
     /// The last attempt of each viewing that was received and has not ended.
-    latest_attempts: BTreeMap<Ref, usize>,
+    latest_attempts: BTreeMap<SessionRef, usize>,
     /// Attempts whose session is active.
     active_attempts: BTreeSet<usize>,
     /// Ends of sessions to repeat on a manager's next connection.
-    ends_to_repeat: BTreeMap<usize, Vec<(Ref, usize)>>,
+    ends_to_repeat: BTreeMap<usize, Vec<(SessionRef, usize)>>,
 }
 
 /// A server of the trial.
@@ -242,13 +242,13 @@
             };
             let now = self.context.now();
             messages.push(&buffer[..read]);
-            while let Ok(Some(message)) = messages.cut() {
+            while let Ok(Some(message)) = messages.next_message() {
                 let first_byte_at = message_started_at.take().unwrap_or(now);
                 let bytes = message.to_vec();
                 let attempt = self.record_message(&bytes, (connection_index, manager), (first_byte_at, now));
                 input_sender.send(Input::Message { bytes, attempt }).ok();
             }
-            if messages.begun() {
+            if messages.has_partial_message() {
                 message_started_at.get_or_insert(now);
                 if self.draw_reset_within_message() {
                     self.send(connection_index, Output::Reset);
@@ -277,7 +277,7 @@
         match signal.kind {
             Kind::SetUp => {
                 observations.attempts.push(Attempt {
-                    viewing_id: signal.of,
+                    viewing_id: signal.session,
                     manager,
                     incarnation,
                     server: self.index,
@@ -295,7 +295,7 @@
             }
             Kind::Release => {
                 let matches_release = |attempt: &&mut Attempt| {
-                    (attempt.viewing_id, attempt.server) == (signal.of, self.index)
+                    (attempt.viewing_id, attempt.server) == (signal.session, self.index)
                         && attempt.manager == manager
                 };
                 let released_attempts = observations.attempts.iter_mut().filter(matches_release);
@@ -419,21 +419,22 @@
     /// Handles a message from a manager.
     fn handle_signal(self: &Rc<Self>, connection: usize, signal: &Signal, attempt: Option<usize>) {
         match (signal.kind, attempt) {
-            (Kind::Test, _) => {
+            (Kind::Heartbeat, _) => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
                 self.send_bytes(
                     connection,
-                    binary::write(Kind::Tested, signal.of, &report, Some(1), None).unwrap_or_default(),
+                    binary::write(Kind::HeartbeatAck, signal.session, &report, Some(1), None)
+                        .unwrap_or_default(),
                 );
             }
-            (Kind::SetUp, Some(attempt)) => self.handle_set_up(connection, signal.of, attempt),
-            (Kind::Release, _) => self.handle_release(connection, signal.of),
+            (Kind::SetUp, Some(attempt)) => self.handle_set_up(connection, signal.session, attempt),
+            (Kind::Release, _) => self.handle_release(connection, signal.session),
             _ => {}
         }
     }
 
     /// Accepts a set-up and schedules its outcome.
-    fn handle_set_up(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize) {
+    fn handle_set_up(self: &Rc<Self>, connection: usize, viewing_id: SessionRef, attempt: usize) {
         let now = self.context.now();
         let mut state = self.state.borrow_mut();
         if state.connections[connection].unusable {
@@ -474,7 +475,9 @@
     }
 
     /// Applies the drawn outcome, unless the attempt is no longer pending.
-    fn apply_outcome(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize, outcome: Outcome) {
+    fn apply_outcome(
+        self: &Rc<Self>, connection: usize, viewing_id: SessionRef, attempt: usize, outcome: Outcome,
+    ) {
         if self.state.borrow_mut().pending_attempts.remove(&(connection, viewing_id)) != Some(attempt) {
             return;
         }
@@ -524,14 +527,16 @@
     }
 
     /// Answers a set-up and starts its session.
-    fn answer_set_up(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize, outcome: Outcome) {
+    fn answer_set_up(
+        self: &Rc<Self>, connection: usize, viewing_id: SessionRef, attempt: usize, outcome: Outcome,
+    ) {
         let description = format!("v=0 {} {attempt}", self.id.borrow()).into_bytes();
         let answer = |answered_id| {
             let report = [(Field::Report, "x0:0.4;x1:0.3")];
             binary::write(Kind::Answer, answered_id, &report, None, Some(&description)).unwrap_or_default()
         };
         if outcome == Outcome::PrecededByForeignAnswer {
-            self.send_bytes(connection, answer(Ref(!viewing_id.0)));
+            self.send_bytes(connection, answer(SessionRef(!viewing_id.0)));
         }
         self.context.observations.borrow_mut().attempts[attempt].description = description.clone();
         self.send(
@@ -550,7 +555,7 @@
 
     /// Runs a session until its end. The end is reported on the session's connection or on another one of the
     /// manager, and repeated on the manager's next connection.
-    fn start_session(self: &Rc<Self>, connection: usize, viewing_id: Ref, attempt: usize) {
+    fn start_session(self: &Rc<Self>, connection: usize, viewing_id: SessionRef, attempt: usize) {
         let generation = {
             let mut state = self.state.borrow_mut();
             state.active_attempts.insert(attempt);
@@ -573,7 +578,7 @@
     }
 
     /// Reports the end of a session and queues its repetition.
-    fn report_end(&self, connection: usize, viewing_id: Ref, attempt: usize) {
+    fn report_end(&self, connection: usize, viewing_id: SessionRef, attempt: usize) {
         let (target, manager) = {
             let state = self.state.borrow();
             let manager = state.connections[connection].manager;
@@ -588,13 +593,13 @@
     }
 
     /// Queues the release that reports the end of a session.
-    fn send_end(&self, connection: usize, viewing_id: Ref, attempt: usize) {
+    fn send_end(&self, connection: usize, viewing_id: SessionRef, attempt: usize) {
         let bytes = binary::write(Kind::Release, viewing_id, &[], Some(16), None).unwrap_or_default();
         self.send(connection, Output::Bytes { bytes, answered_attempt: None, ended_attempt: Some(attempt) });
     }
 
     /// Records the end of an attempt. Returns whether it had not ended before.
-    fn finish_attempt(&self, viewing_id: Ref, attempt: usize, attempt_end: AttemptEnd) -> bool {
+    fn finish_attempt(&self, viewing_id: SessionRef, attempt: usize, attempt_end: AttemptEnd) -> bool {
         let mut state = self.state.borrow_mut();
         state.active_attempts.remove(&attempt);
         if state.latest_attempts.get(&viewing_id) == Some(&attempt) {
@@ -609,7 +614,7 @@
 
     /// Handles a release. It applies to the viewing's attempt pending on the same connection, else to the
     /// last one received.
-    fn handle_release(&self, connection: usize, viewing_id: Ref) {
+    fn handle_release(&self, connection: usize, viewing_id: SessionRef) {
         let attempt = {
             let mut state = self.state.borrow_mut();
             let own_attempt = state.pending_attempts.remove(&(connection, viewing_id));
@@ -644,7 +649,7 @@
                     let observations = self.context.observations.borrow();
                     (observations.attempts[attempt].viewing_id, observations.attempts[attempt].connection)
                 };
-                let fields = [(Field::Note, "asked"), (Field::Figure, "0.4")];
+                let fields = [(Field::Note, "asked"), (Field::NoteValue, "0.4")];
                 if !self.state.borrow().connections[connection].unusable {
                     self.send_bytes(
                         connection,
--- a/crates/lab/src/soak/viewer.rs
+++ b/crates/lab/src/soak/viewer.rs
@@ -6,7 +6,7 @@
 use super::observations::{FinalAnswer, SharedContext, Viewing};
 use super::plan::{Habit, REQUESTS_END_AT};
 use ivyward_signal::line::{self, Lines};
-use ivyward_signal::{Field, Kind, Ref, Signal};
+use ivyward_signal::{Field, Kind, SessionRef, Signal};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -56,7 +56,7 @@
     max_requests: u64,
     rng: Pcg64Mcg,
     /// Requests to send again on the next connection, as the close of the last one may have crossed them.
-    to_resend: Vec<Ref>,
+    to_resend: Vec<SessionRef>,
 }
 
 /// An open connection to a manager.
@@ -67,11 +67,11 @@
     /// The index of its entry in `viewer_connections`.
     record: usize,
     /// Unanswered requests, with the time at which their last byte was written.
-    unanswered: BTreeMap<Ref, Instant>,
+    unanswered: BTreeMap<SessionRef, Instant>,
     /// Active sessions, with the time at which the viewer ends them, if it does.
-    sessions: BTreeMap<Ref, Option<Instant>>,
+    sessions: BTreeMap<SessionRef, Option<Instant>>,
     /// When the viewer gives up requests.
-    abandon_at: BTreeMap<Ref, Instant>,
+    abandon_at: BTreeMap<SessionRef, Instant>,
     /// When something was last sent or received.
     last_used_at: Instant,
 }
@@ -210,9 +210,10 @@
     }
 
     /// Draws and records the next request.
-    fn draw_request(&mut self, connection: &Connection) -> Ref {
+    fn draw_request(&mut self, connection: &Connection) -> SessionRef {
         self.request_count += 1;
-        let viewing_id = Ref((self.context.plan.seed << 44) | (self.number << 24) | self.request_count);
+        let viewing_id =
+            SessionRef((self.context.plan.seed << 44) | (self.number << 24) | self.request_count);
         let class = self.rng.random_range(0..self.context.plan.classes.len());
         let patience = match self.habit {
             Habit::Hurried => Duration::from_millis(self.rng.random_range(2..40)),
@@ -235,7 +236,7 @@
     }
 
     /// Sends a request. Returns whether it was written whole.
-    async fn send_set_up(&mut self, connection: &mut Connection, viewing_id: Ref) -> bool {
+    async fn send_set_up(&mut self, connection: &mut Connection, viewing_id: SessionRef) -> bool {
         let text = {
             let (observations, plan) = (self.context.observations.borrow(), &self.context.plan);
             let viewing = &observations.viewings[&viewing_id];
@@ -249,7 +250,7 @@
             let title = format!("{:016x}", viewing_id.0 % plan.servers as u64);
             let fields = [
                 (Field::Package, plan.classes[viewing.class].name),
-                (Field::Left, &patience_ms),
+                (Field::TimeLeft, &patience_ms),
                 (Field::Tenant, "acme"),
                 (Field::Title, &title),
                 (Field::Extras, &extras),
@@ -287,7 +288,7 @@
     /// Handles the messages received so far. Returns whether the input is invalid, so that reading must stop.
     fn handle_input(&mut self, connection: &mut Connection, next_request_at: &mut Instant) -> bool {
         loop {
-            let signal = match connection.lines.cut() {
+            let signal = match connection.lines.next_line() {
                 Ok(None) => return false,
                 Ok(Some(text)) => line::read(text),
                 Err(error) => Err(error),
@@ -307,7 +308,7 @@
 
     /// Handles one message from the manager.
     fn handle_signal(&mut self, connection: &mut Connection, signal: &Signal, next_request_at: &mut Instant) {
-        let (viewing_id, now) = (signal.of, self.context.now());
+        let (viewing_id, now) = (signal.session, self.context.now());
         connection.last_used_at = Instant::now();
         connection.abandon_at.remove(&viewing_id);
         let mut observations = self.context.observations.borrow_mut();
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -102,7 +102,7 @@
                 assert_eq!(named, planted, "{kind:?}, seed {seed}");
             }
             let [before, after] = [&plain, &other].map(|window| window.stalls.whole());
-            assert_eq!(before.n, after.n);
+            assert_eq!(before.count, after.count);
             let moved = (after.mean() / before.mean() - 1.0).abs();
             assert!(moved < 0.03, "{kind:?}, seed {seed}: {moved}");
         }
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -3,7 +3,7 @@
 use crate::managers::{Manager, Speaking};
 use ivyward_fault_proxy::Fault;
 use ivyward_fleet::ServerNo;
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use ivyward_standin::Standins;
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -36,16 +36,16 @@
 
 /// Plays all troubles of a day that begins at `begin`; what each takes is drawn here, so that it is known beforehand.
 pub fn play(
-    troubles: &[Part], seed: u64, standins: &Standins,
-    (managers, speaking): (&Rc<Vec<Manager>>, Option<Rc<Speaking>>), tokens: &Part,
+    troubles: &[Section], seed: u64, standins: &Standins,
+    (managers, speaking): (&Rc<Vec<Manager>>, Option<Rc<Speaking>>), tokens: &Section,
     (begun, begin): (Instant, Duration),
 ) -> Vec<Played> {
     let mut all = vec![];
     for (i, trouble) in troubles.iter().enumerate() {
         let mut chance = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(i as u64));
-        let kind = trouble.choice("kind");
-        let (from, len) = (begin + trouble.span("at_s"), trouble.span("len_s"));
-        let (part, size, extra) = (trouble.number("part"), trouble.number("size"), trouble.span("extra"));
+        let kind = trouble.enum_name("kind");
+        let (from, len) = (begin + trouble.duration("at_s"), trouble.duration("len_s"));
+        let (part, size, extra) = (trouble.number("part"), trouble.number("size"), trouble.duration("extra"));
         let mut servers: Vec<_> = standins.model(|fleet| fleet.boxes().collect());
         let (mut taken, mut racks) = (vec![], vec![]);
         match kind.as_str() {
@@ -198,8 +198,8 @@
 }
 
 /// The tokens of a day before, during and after a change of keys: from the first key by way of both to the second.
-pub fn tokens_of(tokens: &Part, taken: &[usize], signs: usize) -> Part {
-    let ids: Vec<_> = tokens.list("key").iter().map(|key| key.text("id")).collect();
+pub fn tokens_of(tokens: &Section, taken: &[usize], signs: usize) -> Section {
+    let ids: Vec<_> = tokens.sections("key").iter().map(|key| key.text("id")).collect();
     let mut tokens = tokens.clone();
     let there = |id: &String| ids.iter().position(|at| at == id).is_some_and(|at| taken.contains(&at));
     tokens.retain("key", |key| there(&key.text("id")));
@@ -207,7 +207,7 @@
     tokens
 }
 
-async fn key_change(standins: &Standins, managers: &[Manager], tokens: &Part, step: Duration) {
+async fn key_change(standins: &Standins, managers: &[Manager], tokens: &Section, step: Duration) {
     for (taken, signs) in [(&[0, 1][..], 0), (&[0, 1], 1), (&[1], 1)] {
         let tokens = tokens_of(tokens, taken, signs);
         match ivyward_daemon::setup::keys(&tokens) {
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -10,7 +10,7 @@
 use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_rules::{Asked, Came};
-use ivyward_settings::Part;
+use ivyward_settings::Section;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::SeedableRng;
@@ -105,37 +105,42 @@
 
 /// Plays the viewers from `begin` to `end`, and lets all come to their end.
 pub async fn play(
-    script: &Part, seed: u64, managers: Vec<SocketAddr>, begun: Instant, (begin, end): (Duration, Duration),
+    script: &Section, seed: u64, managers: Vec<SocketAddr>, begun: Instant,
+    (begin, end): (Duration, Duration),
 ) -> Result<Seen, String> {
-    let (viewers, settings) = (script.one("viewers"), script.one("settings"));
-    let tokens = settings.one("tokens");
-    let packages: Vec<_> = settings.list("package");
+    let (viewers, settings) = (script.section("viewers"), script.section("settings"));
+    let tokens = settings.section("tokens");
+    let packages: Vec<_> = settings.sections("package");
     let shares = Some(viewers.numbers("package_share")).filter(|shares| shares.iter().sum::<f64>() > 0.0);
     let shares = shares.unwrap_or_else(|| vec![1.0; packages.len()]);
     let titles = setup::titles(&settings);
     let zipf: Vec<_> = (1..=titles.len()).map(|rank| (rank as f64).powf(-viewers.number("zipf"))).collect();
     let worths: Vec<_> =
-        settings.one("ladder").list("rung").iter().map(|rung| rung.number("worth")).collect();
-    let bursts: Vec<_> = script.list("trouble").into_iter().filter(|t| t.choice("kind") == "BURST").collect();
+        settings.section("ladder").sections("rung").iter().map(|rung| rung.number("worth")).collect();
+    let bursts: Vec<_> =
+        script.sections("trouble").into_iter().filter(|t| t.enum_name("kind") == "BURST").collect();
     let keys = || setup::keys(&tokens).map_err(|faults| format!("{faults:?}"));
-    let change = script.list("trouble").into_iter().find(|t| t.choice("kind") == "KEY_CHANGE");
-    let changed = change.map(|t| begin + t.span("at_s") + t.span("len_s") / 3);
+    let change = script.sections("trouble").into_iter().find(|t| t.enum_name("kind") == "KEY_CHANGE");
+    let changed = change.map(|t| begin + t.duration("at_s") + t.duration("len_s") / 3);
     let crowd = Rc::new(Crowd {
         managers,
         keys: keys()?,
         changed: match changed {
             Some(at) => {
-                let (mut keys, ids) = (keys()?, tokens.list("key"));
+                let (mut keys, ids) = (keys()?, tokens.sections("key"));
                 ids.get(1).is_some_and(|key| keys.sign_by(&key.text("id"))).then_some((at, keys))
             }
             None => None,
         },
-        life: tokens.span("life_s"),
-        packages: packages.iter().map(|p| (p.text("name"), p.span("patience_s"), p.truth("once"))).collect(),
-        segment: settings.one("manifest").span("segment_s"),
-        returns: (viewers.number("returns"), viewers.span("returns_after_s")),
-        fetch: viewers.truth("fetch"),
-        reports: viewers.truth("reports"),
+        life: tokens.duration("life_s"),
+        packages: packages
+            .iter()
+            .map(|p| (p.text("name"), p.duration("patience_s"), p.boolean("once")))
+            .collect(),
+        segment: settings.section("manifest").duration("segment_s"),
+        returns: (viewers.number("returns"), viewers.duration("returns_after_s")),
+        fetch: viewers.boolean("fetch"),
+        reports: viewers.boolean("reports"),
         begun,
         seen: RefCell::default(),
         out: Cell::new(0),
@@ -154,9 +159,9 @@
         if at >= end {
             break;
         }
-        let within = |burst: &&Part| {
-            let from = begin + burst.span("at_s");
-            from <= at && at < from + burst.span("len_s")
+        let within = |burst: &&Section| {
+            let from = begin + burst.duration("at_s");
+            from <= at && at < from + burst.duration("len_s")
         };
         let rate = bursts.iter().filter(within).map(|burst| burst.number("size")).fold(1.0, f64::max);
         let comes = chance.random::<f64>() < rate / most;
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,6 +1,6 @@
 //! Runs the trials of a few seeds through the public entry point of the soak test.
 
-use ivyward_lab::soak::{Ask, run};
+use ivyward_lab::soak::{SoakOptions, run};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -13,7 +13,7 @@
 fn managers_keep_all_rules_in_dense_trials_under_faults() {
     let program = Path::new(env!("CARGO_BIN_EXE_ivyward-lab"));
     let report = Mutex::new(String::new());
-    let options = Ask { seeds: SEED_RANGE.0..=SEED_RANGE.1, jobs: JOB_COUNT, program, keep: None };
+    let options = SoakOptions { seeds: SEED_RANGE.0..=SEED_RANGE.1, jobs: JOB_COUNT, program, log_dir: None };
     let result = run(&options, |line| {
         println!("{line}");
         let mut report = report.lock().expect("no thread panics while it holds the lock");
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -25,7 +25,7 @@
 /// # Errors
 /// The field is missing or not sixteen hexadecimal digits.
 pub fn seed(file: &Path, all: &Value) -> Result<u64, String> {
-    field(file, "seed", "sixteen hexadecimal digits", all["seed"].as_str().and_then(ivyward_signal::id))
+    field(file, "seed", "sixteen hexadecimal digits", all["seed"].as_str().and_then(ivyward_signal::parse_id))
 }
 
 /// Descriptors that this instance may hold.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -66,13 +66,13 @@
     let (bus, descriptors) = (config::address(file, &all, "bus")?, config::descriptors(file, &all)?);
     let (offset, known) = config::known(file, &all)?;
     let policy = options::manager(seed, settings).map_err(named)?;
-    let (grace, slack, seats) = options::rules(settings).map_err(named)?;
+    let (grace, slack, seats) = options::grace_slack_and_seats(settings).map_err(named)?;
     tracing::debug!(%settings, "told");
     let (streams, connect, keep) = options::connections(settings).map_err(named)?;
-    let (told, cold) = options::spans(settings).map_err(named)?;
-    let terms = options::terms(settings).map_err(named)?;
+    let (told, cold) = options::report_interval_and_cold_time(settings).map_err(named)?;
+    let terms = options::patience_and_payment(settings).map_err(named)?;
     let longest = terms.iter().map(|(patience, _)| *patience).max().unwrap_or_default();
-    let ration = options::ration(settings).map_err(named)?;
+    let ration = options::retry_budget(settings).map_err(named)?;
     let [packages, tenants, zones, kinds] = options::names(settings);
 
     let rule_guard = RuleGuard::new(grace, ration, seats);
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -10,7 +10,7 @@
 use ivyward_edge::{UpstreamPolicy, UpstreamState};
 use ivyward_session::{Incarnation, TuneIn};
 use ivyward_signal::binary::{self, Messages};
-use ivyward_signal::{Kind, Ref};
+use ivyward_signal::{Kind, SessionRef};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 
 /// A tune-in that is out, and the connection that it was written on.
 struct Attempt {
-    of: Ref,
+    of: SessionRef,
     server: ServerId,
     rung: usize,
     until: Duration,
@@ -42,9 +42,9 @@
     /// Since when nothing more is written on it, and what still comes is read until the server closes it.
     retiring: Option<Duration>,
     waiting: Vec<Key>,
-    open: BTreeMap<Ref, Key>,
-    given_up: VecDeque<Ref>,
-    tests: BTreeSet<Ref>,
+    open: BTreeMap<SessionRef, Key>,
+    given_up: VecDeque<SessionRef>,
+    tests: BTreeSet<SessionRef>,
     upstream: UpstreamState,
 }
 
@@ -61,7 +61,7 @@
     links: BTreeMap<u64, Link>,
     attempts: BTreeMap<Key, Attempt>,
     /// Sessions to be ended at servers that could not be reached, and since when.
-    owed_releases: BTreeMap<ServerId, BTreeMap<Ref, Duration>>,
+    owed_releases: BTreeMap<ServerId, BTreeMap<SessionRef, Duration>>,
     unreached: BTreeMap<ServerId, Unreached>,
     upstreams: UpstreamPolicy,
     connect: Duration,
@@ -90,7 +90,7 @@
         }
     }
 
-    pub fn attempt(&mut self, key: Key, of: Ref, server: ServerId, rung: usize, until: Duration) {
+    pub fn attempt(&mut self, key: Key, of: SessionRef, server: ServerId, rung: usize, until: Duration) {
         self.attempts.insert(key, Attempt { of, server, rung, until, link: None });
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// The connection for something to a server: one that stands and isn't suspect before one that doesn't yet.
-    fn usable_link(&self, server: ServerId, of: Option<Ref>) -> Option<u64> {
+    fn usable_link(&self, server: ServerId, of: Option<SessionRef>) -> Option<u64> {
         let fits = |link: &Link| {
             let given_up = of.is_some_and(|of| link.given_up.contains(&of));
             let stalls = link.up && !link.writer.clear();
@@ -133,6 +133,6 @@
     }
 }
 
-fn release(of: Ref) -> Result<Vec<u8>, String> {
+fn release(of: SessionRef) -> Result<Vec<u8>, String> {
     binary::write(Kind::Release, of, &[], Some(OK), None)
 }
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -5,7 +5,7 @@
 use ivyward::interface::{LoadReport, ServerId};
 use ivyward_session::{AttemptResult, SessionCore};
 use ivyward_signal::binary;
-use ivyward_signal::{Field, Kind, Ref};
+use ivyward_signal::{Field, Kind, SessionRef};
 use std::time::Duration;
 
 /// The last so many set-ups given up on a connection: what still comes of them is nobody's.
@@ -46,7 +46,8 @@
         let bytes = self.viewers.open.get(&of).map(|open| {
             let (left, rung) = (left.as_millis().max(1).to_string(), rung.to_string());
             let package = (Field::Package, open.package.as_str());
-            let fields = [package, (Field::Left, &left), (Field::Title, &open.title), (Field::Rung, &rung)];
+            let fields =
+                [package, (Field::TimeLeft, &left), (Field::Title, &open.title), (Field::Rung, &rung)];
             binary::write(Kind::SetUp, of, &fields, None, Some(&open.description))
         });
         let Some(Ok(bytes)) = bytes else {
@@ -121,7 +122,7 @@
     }
 
     /// Ends a session at its server, now or once that can be reached.
-    pub fn end_there(&mut self, server: ServerId, of: Ref) {
+    pub fn end_there(&mut self, server: ServerId, of: SessionRef) {
         let there = self.servers.any_link(server);
         let written = there.is_some_and(|id| self.servers.write(id, release(of)));
         let (id, word) = (format!("{:016x}", of.0), self.word(server));
@@ -132,7 +133,7 @@
         }
     }
 
-    pub fn new_rung(&mut self, server: ServerId, of: Ref, rung: usize) {
+    pub fn new_rung(&mut self, server: ServerId, of: SessionRef, rung: usize) {
         let bytes = binary::write(Kind::Rung, of, &[(Field::Rung, &rung.to_string())], None, None);
         if let Some(id) = self.servers.any_link(server) {
             self.servers.write(id, bytes);
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -7,7 +7,7 @@
 use ivyward_edge::{UpstreamPolicy, UpstreamState};
 use ivyward_session::{AttemptResult, SessionCore};
 use ivyward_signal::binary::{self, Messages};
-use ivyward_signal::{Kind, Ref};
+use ivyward_signal::{Kind, SessionRef};
 use rand::RngExt;
 use socket2::SockRef;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -110,7 +110,7 @@
         link.stream = Some(stream);
         let waiting = std::mem::take(&mut link.waiting);
         for test in link.tests.clone() {
-            self.servers.write(id, binary::write(Kind::Test, test, &[], Some(REPORT), None));
+            self.servers.write(id, binary::write(Kind::Heartbeat, test, &[], Some(REPORT), None));
         }
         tracing::debug!(server = self.word(server), connection = id, set_ups, tests, "a connection stands");
         if self.servers.unreached.remove(&server).is_some_and(|unreached| unreached.refused) {
@@ -305,8 +305,8 @@
         }
         if stand && self.servers.upstreams.needs_test(now, heard, &link.upstream) {
             link.upstream.test_sent_at = Some(now);
-            let of = Ref(self.servers.chance.random());
-            self.servers.write(id, binary::write(Kind::Test, of, &[], Some(BARE), None));
+            let of = SessionRef(self.servers.chance.random());
+            self.servers.write(id, binary::write(Kind::Heartbeat, of, &[], Some(BARE), None));
         }
     }
 }
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -8,7 +8,7 @@
 use ivyward::interface::{LoadReport, ServerId, ServerUpdate};
 use ivyward_options as options;
 use ivyward_session::{AttemptResult, EndReason, SessionCore};
-use ivyward_signal::{Field, Kind, Ref, Signal, binary, line};
+use ivyward_signal::{Field, Kind, SessionRef, Signal, binary, line};
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 impl NodeHost {
     /// Asks a server for its load.
     pub fn probe_there(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
-        let of = Ref(self.servers.chance.random());
+        let of = SessionRef(self.servers.chance.random());
         let upstream = self.servers.usable_link(server, None);
         let Some(id) = upstream.or_else(|| self.new_link(core, now, server)) else {
             return core.on_probe_result(self, now, server, None);
@@ -32,7 +32,7 @@
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         link.tests.insert(of);
         if link.up {
-            self.servers.write(id, binary::write(Kind::Test, of, &[], Some(REPORT), None));
+            self.servers.write(id, binary::write(Kind::Heartbeat, of, &[], Some(REPORT), None));
         }
         let (events, within) = (self.events.clone(), self.servers.connect);
         spawn_local(async move {
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn fail_tests(
-        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, tests: BTreeSet<Ref>,
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, tests: BTreeSet<SessionRef>,
     ) {
         for _ in tests {
             core.on_probe_result(self, now, server, None);
@@ -85,8 +85,8 @@
         loop {
             let Some(link) = self.servers.links.get_mut(&id) else { return };
             let server = link.server;
-            let message = match link.messages.cut() {
-                Ok(None) => return link.upstream.set_partial(now, link.messages.begun()),
+            let message = match link.messages.next_message() {
+                Ok(None) => return link.upstream.set_partial(now, link.messages.has_partial_message()),
                 Ok(Some(message)) => message.to_vec(),
                 Err(wrong) => return self.spoilt(core, now, id, &wrong),
             };
@@ -111,8 +111,8 @@
     pub(super) fn message(
         &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
     ) -> Result<(), String> {
-        let of = signal.of;
-        let load = signal.text(Field::Report).map(options::load);
+        let of = signal.session;
+        let load = signal.text(Field::Report).map(options::parse_load);
         if let Some(load) = load {
             self.log_report(core, server, load);
         }
@@ -124,16 +124,16 @@
                 let cause = signal.cause.ok_or("a release without a cause")?;
                 self.server_released(core, now, (id, server), (of, cause), load);
             }
-            Kind::Tested => {
+            Kind::HeartbeatAck => {
                 if link.tests.remove(&of) {
                     core.on_probe_result(self, now, server, (signal.cause == Some(1)).then_some(load));
                 }
             }
-            Kind::Test => {
-                self.servers.write(id, binary::write(Kind::Tested, of, &[], Some(1), None));
+            Kind::Heartbeat => {
+                self.servers.write(id, binary::write(Kind::HeartbeatAck, of, &[], Some(1), None));
             }
             Kind::Note => self.note(core, now, (id, server), signal),
-            Kind::Heard => {
+            Kind::Ack => {
                 let (of, server) = (format!("{:016x}", of.0), self.word(server));
                 tracing::debug!(of, server, connection = id, "a release is acknowledged");
             }
@@ -157,7 +157,7 @@
         &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
         load: LoadReport,
     ) -> Result<(), String> {
-        let of = signal.of;
+        let of = signal.session;
         let Some(link) = self.servers.links.get_mut(&id) else { return Ok(()) };
         // A second copy, or one for what is nobody's any more, is left alone.
         let Some(key) = link.open.get(&of).copied() else {
@@ -182,7 +182,7 @@
     /// A server ended a set-up, or what stood.
     fn server_released(
         &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId),
-        (of, cause): (Ref, u8), load: LoadReport,
+        (of, cause): (SessionRef, u8), load: LoadReport,
     ) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         if let Some(key) = link.open.remove(&of) {
@@ -214,10 +214,11 @@
     fn note(
         &mut self, core: &mut SessionCore, now: Duration, (id, server): (u64, ServerId), signal: &Signal,
     ) {
-        let open = self.servers.links.get(&id).and_then(|link| link.open.get(&signal.of)).map(|key| key.0);
-        let stand = self.stands.get(signal.of).filter(|stand| stand.server == server);
+        let open =
+            self.servers.links.get(&id).and_then(|link| link.open.get(&signal.session)).map(|key| key.0);
+        let stand = self.stands.get(signal.session).filter(|stand| stand.server == server);
         let viewing = open.or(stand.map(|stand| stand.key.1));
-        let Some(figure) = signal.number(Field::Figure) else { return };
+        let Some(figure) = signal.number(Field::NoteValue) else { return };
         let news = match signal.text(Field::Note) {
             Some("share") => ServerUpdate::Share(figure),
             Some("step") => ServerUpdate::Rung(figure.max(0.0) as usize),
--- a/crates/node/src/servers/sessions.rs
+++ b/crates/node/src/servers/sessions.rs
@@ -4,7 +4,7 @@
 use crate::shell::NodeHost;
 use ivyward::interface::ServerId;
 use ivyward_session::{EndReason, SessionCore};
-use ivyward_signal::Ref;
+use ivyward_signal::SessionRef;
 use std::time::Duration;
 
 /// The cause with which a viewer's own end of a session is told.
@@ -30,7 +30,8 @@
                 continue;
             }
             let started_at = self.list.row(server).and_then(|row| row.listed.started_at).unwrap_or_default();
-            let earlier = |of: &Ref| self.stands.get(*of).is_some_and(|stand| stand.since < started_at);
+            let earlier =
+                |of: &SessionRef| self.stands.get(*of).is_some_and(|stand| stand.since < started_at);
             for of in self.stands.at(server).filter(earlier).collect::<Vec<_>>() {
                 self.session_over(core, now, server, of, LOST, EndReason::ServerLost);
             }
@@ -43,7 +44,7 @@
 
     /// A session that stood there is over.
     pub(super) fn session_over(
-        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, of: Ref, cause: u8,
+        &mut self, core: &mut SessionCore, now: Duration, server: ServerId, of: SessionRef, cause: u8,
         why: EndReason,
     ) {
         if self.stands.get(of).is_none_or(|stand| stand.server != server) {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -8,7 +8,7 @@
 use ivyward_edge::LogRateLimiter;
 use ivyward_event_loop::{EventSender, Timers};
 use ivyward_session::{Answer, Effects, Incarnation, SessionCore, SessionId, Timer, TuneIn, Violation};
-use ivyward_signal::Ref;
+use ivyward_signal::SessionRef;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -35,20 +35,20 @@
 /// All sessions that stand, by what names them on the wire and by their viewings.
 #[derive(Default)]
 pub struct Stands {
-    by_ref: BTreeMap<Ref, Stand>,
-    there: BTreeMap<ServerId, BTreeSet<Ref>>,
-    refs: BTreeMap<ViewingId, Ref>,
+    by_ref: BTreeMap<SessionRef, Stand>,
+    there: BTreeMap<ServerId, BTreeSet<SessionRef>>,
+    refs: BTreeMap<ViewingId, SessionRef>,
 }
 
 impl Stands {
-    pub fn insert(&mut self, of: Ref, stand: Stand) {
+    pub fn insert(&mut self, of: SessionRef, stand: Stand) {
         self.remove(of);
         self.there.entry(stand.server).or_default().insert(of);
         self.refs.insert(stand.key.1, of);
         self.by_ref.insert(of, stand);
     }
 
-    pub fn remove(&mut self, of: Ref) -> Option<Stand> {
+    pub fn remove(&mut self, of: SessionRef) -> Option<Stand> {
         let stand = self.by_ref.remove(&of)?;
         if let Some(there) = self.there.get_mut(&stand.server) {
             there.remove(&of);
@@ -60,19 +60,19 @@
         Some(stand)
     }
 
-    pub fn get(&self, of: Ref) -> Option<&Stand> {
+    pub fn get(&self, of: SessionRef) -> Option<&Stand> {
         self.by_ref.get(&of)
     }
 
-    pub fn get_mut(&mut self, of: Ref) -> Option<&mut Stand> {
+    pub fn get_mut(&mut self, of: SessionRef) -> Option<&mut Stand> {
         self.by_ref.get_mut(&of)
     }
 
-    pub fn of(&self, vw: ViewingId) -> Option<Ref> {
+    pub fn of(&self, vw: ViewingId) -> Option<SessionRef> {
         self.refs.get(&vw).copied()
     }
 
-    pub fn at(&self, server: ServerId) -> impl ExactSizeIterator<Item = Ref> {
+    pub fn at(&self, server: ServerId) -> impl ExactSizeIterator<Item = SessionRef> {
         self.there.get(&server).into_iter().flatten().copied().collect::<Vec<_>>().into_iter()
     }
 
@@ -157,7 +157,7 @@
         &mut self, who: (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId, rung: usize,
         _: (PackageId, TitleId), limit: Duration,
     ) {
-        let of = Ref(who.0.0 as u64);
+        let of = SessionRef(who.0.0 as u64);
         self.servers.attempt((vw, tune_in), of, server, rung, self.events.now() + limit);
         self.events.send(move |core, host, now| host.dispatch(core, now, (vw, tune_in)));
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -7,7 +7,7 @@
 use ivyward_event_loop::EventSender;
 use ivyward_session::{Answer, EndReason, RequestId, SessionCore, SessionId};
 use ivyward_signal::line::{self, Lines};
-use ivyward_signal::{Field, Kind, Ref, Signal, binary, id};
+use ivyward_signal::{Field, Kind, SessionRef, Signal, binary, parse_id};
 use socket2::SockRef;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
@@ -50,10 +50,10 @@
 pub struct Viewers {
     connections: BTreeMap<u64, Connection>,
     clients: ClientLimits,
-    pub open: BTreeMap<Ref, Open>,
-    requests: BTreeMap<RequestId, Ref>,
+    pub open: BTreeMap<SessionRef, Open>,
+    requests: BTreeMap<RequestId, SessionRef>,
     /// Ends that no connection could be found for, with their causes and when they were.
-    owed: BTreeMap<Ref, (u8, Duration)>,
+    owed: BTreeMap<SessionRef, (u8, Duration)>,
     packages: Vec<String>,
     tenants: Vec<String>,
     longest: Duration,
@@ -113,7 +113,7 @@
         self.clients.server_connection_limit()
     }
 
-    fn refuse(&mut self, client: u64, of: Ref, cause: u8) {
+    fn refuse(&mut self, client: u64, of: SessionRef, cause: u8) {
         if let Ok(line) = line::write(Kind::Release, of, &[], Some(cause), None) {
             self.say(client, line);
         }
@@ -125,16 +125,16 @@
         let known = |names: &[String], field| {
             signal.text(field).is_some_and(|text| names.iter().any(|name| name == text))
         };
-        let left = signal.whole(Field::Left).map(Duration::from_millis);
+        let left = signal.integer(Field::TimeLeft).map(Duration::from_millis);
         let extra = |name, least: u64| {
             signal.extra(name).is_some_and(|text| text.parse::<u32>().is_ok_and(|n| u64::from(n) >= least))
         };
-        let title = signal.text(Field::Title).and_then(id).is_some();
+        let title = signal.text(Field::Title).and_then(parse_id).is_some();
         let fits = signal.description.as_deref().is_some_and(|description| {
             let fields =
                 [Field::Package, Field::Title].map(|field| (field, signal.text(field).unwrap_or_default()));
-            let fields = [fields[0], fields[1], (Field::Left, "4294967295"), (Field::Rung, "255")];
-            binary::write(Kind::SetUp, signal.of, &fields, None, Some(description)).is_ok()
+            let fields = [fields[0], fields[1], (Field::TimeLeft, "4294967295"), (Field::Rung, "255")];
+            binary::write(Kind::SetUp, signal.session, &fields, None, Some(description)).is_ok()
         });
         let stands = signal.extra("at").is_some();
         [
@@ -235,7 +235,7 @@
         }
     }
 
-    fn given_up(&mut self, core: &mut SessionCore, now: Duration, of: Ref) {
+    fn given_up(&mut self, core: &mut SessionCore, now: Duration, of: SessionRef) {
         tracing::debug!(of = format!("{:016x}", of.0), "given up");
         let Some(open) = self.viewers.open.remove(&of) else { return };
         self.viewers.requests.remove(&open.request);
@@ -258,7 +258,7 @@
     /// Reads what the connection on which a set-up was asked for holds by now. Guards against a set-up sent on for a viewer
     /// whose close or give-up lies unread: it came while its connection waited to be taken, behind a queue, or while this
     /// process stood still. Whether that is all there is.
-    pub fn look_at_viewer(&mut self, core: &mut SessionCore, now: Duration, of: Ref) -> bool {
+    pub fn look_at_viewer(&mut self, core: &mut SessionCore, now: Duration, of: SessionRef) -> bool {
         let Some(client) = self.viewers.open.get(&of).map(|open| open.client) else { return true };
         let Some(connection) = self.viewers.connections.get(&client) else { return true };
         let came = look(&connection.stream);
@@ -300,7 +300,7 @@
         connection.lines.push(piece);
         loop {
             let Some(connection) = self.viewers.connections.get_mut(&client) else { return };
-            let signal = match connection.lines.cut() {
+            let signal = match connection.lines.next_line() {
                 Ok(None) => return,
                 Ok(Some(text)) => line::read(text),
                 Err(wrong) => Err(wrong),
@@ -318,10 +318,10 @@
             (connection.client.last, connection.leaving) = (now, false);
             match signal.kind {
                 Kind::SetUp => self.asked(core, now, client, &signal),
-                Kind::Release => self.viewer_ends(core, now, client, signal.of),
-                Kind::Test => {
+                Kind::Release => self.viewer_ends(core, now, client, signal.session),
+                Kind::Heartbeat => {
                     connection.client.answered = true;
-                    if let Ok(line) = line::write(Kind::Tested, signal.of, &[], Some(1), None) {
+                    if let Ok(line) = line::write(Kind::HeartbeatAck, signal.session, &[], Some(1), None) {
                         self.viewers.say(client, line);
                     }
                 }
@@ -331,7 +331,7 @@
     }
 
     fn asked(&mut self, core: &mut SessionCore, now: Duration, client: u64, signal: &Signal) {
-        let of = signal.of;
+        let of = signal.session;
         let wrong = self.viewers.wrong(signal);
         let known = self.viewers.open.contains_key(&of) || self.stands.get(of).is_some();
         if let Some(word) = signal.extra("at") {
@@ -371,7 +371,7 @@
         let (package, title, top) = self.about(signal);
         let cells = |name| signal.extra(name).and_then(|text| text.parse().ok()).unwrap_or_default();
         let about = (package, title, Cells { first: cells("home"), spread: cells("copies") }, top);
-        let left = Duration::from_millis(signal.whole(Field::Left).unwrap_or_default());
+        let left = Duration::from_millis(signal.integer(Field::TimeLeft).unwrap_or_default());
         tracing::debug!(of = format!("{:016x}", of.0), ?left, package = open.package, "asked");
         self.viewers.open.insert(of, open);
         self.viewers.requests.insert(request, of);
@@ -382,7 +382,7 @@
     fn about(&self, signal: &Signal) -> (PackageId, TitleId, usize) {
         let package = signal.text(Field::Package);
         let package = self.viewers.packages.iter().position(|name| Some(name.as_str()) == package);
-        let title = signal.text(Field::Title).and_then(id).unwrap_or_default();
+        let title = signal.text(Field::Title).and_then(parse_id).unwrap_or_default();
         let top = signal.extra("top").and_then(|text| text.parse().ok()).unwrap_or_default();
         (PackageId(package.unwrap_or(usize::MAX)), TitleId(title), top)
     }
@@ -397,16 +397,16 @@
         };
         let (package, title, top) = self.about(signal);
         // Its rung comes in a note.
-        let session = SessionId(signal.of.0.into());
+        let session = SessionId(signal.session.0.into());
         if let Some(key) = core.adopt_viewing(self, now, server, session, (package, title, (0, top))) {
             self.stands
-                .insert(signal.of, Stand { server, key, client: Some(client), since: now, link: None });
+                .insert(signal.session, Stand { server, key, client: Some(client), since: now, link: None });
             self.reach(server);
         }
     }
 
     /// A viewer gives a set-up up, or ends a session that stands.
-    fn viewer_ends(&mut self, core: &mut SessionCore, now: Duration, client: u64, of: Ref) {
+    fn viewer_ends(&mut self, core: &mut SessionCore, now: Duration, client: u64, of: SessionRef) {
         if self.viewers.open.get(&of).is_some_and(|open| open.client == client) {
             return self.given_up(core, now, of);
         }
@@ -415,7 +415,7 @@
             core.on_viewing_ended(self, now, stand.server, stand.key, EndReason::ViewerLeft);
         }
         self.viewers.owed.remove(&of);
-        if let Ok(line) = line::write(Kind::Heard, of, &[], None, None) {
+        if let Ok(line) = line::write(Kind::Ack, of, &[], None, None) {
             self.viewers.say(client, line);
         }
     }
@@ -457,7 +457,7 @@
     }
 
     /// A session that stood is over: its viewer is told on the connection on which it asked, else on another from there.
-    pub fn tell_viewer(&mut self, now: Duration, of: Ref, client: Option<u64>, cause: u8) {
+    pub fn tell_viewer(&mut self, now: Duration, of: SessionRef, client: Option<u64>, cause: u8) {
         let Ok(line) = line::write(Kind::Release, of, &[], Some(cause), None) else { return };
         if client.is_some_and(|client| self.viewers.ends(client, line.clone(), (of, cause))) {
             return;
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use ivyward_edge::ClientLimits;
-use ivyward_signal::{LONGEST, Ref};
+use ivyward_signal::{MAX_MESSAGE_BYTES, SessionRef};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, Read};
@@ -19,9 +19,9 @@
 /// What is read in one turn.
 const PIECE: usize = 4096;
 /// What is read at most by one look.
-const LOOK: usize = 4 * LONGEST;
+const LOOK: usize = 4 * MAX_MESSAGE_BYTES;
 /// What may lie unsent in the socket of a connection: what is there can't be recalled any more.
-const BEGUN: usize = 2 * LONGEST;
+const BEGUN: usize = 2 * MAX_MESSAGE_BYTES;
 
 /// What is to be done on a connection, in order.
 enum Line {
@@ -32,7 +32,7 @@
 }
 
 /// A session and the cause with which it ended.
-pub type End = (Ref, u8);
+pub type End = (SessionRef, u8);
 
 /// A connection that stands, read by the core's task.
 pub type Stream = Rc<TcpStream>;
--- a/crates/node/src/wire_tests.rs
+++ b/crates/node/src/wire_tests.rs
@@ -4,7 +4,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const END: End = (Ref(7), 16);
+const END: End = (SessionRef(7), 16);
 
 fn block_on<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -75,7 +75,7 @@
     let cases: [(bool, &[End], &[End]); 4] = [
         (true, &[END], &[]),
         (false, &[END], &[END]),
-        (false, &[END, (Ref(8), 41)], &[END, (Ref(8), 41)]),
+        (false, &[END, (SessionRef(8), 41)], &[END, (SessionRef(8), 41)]),
         (false, &[], &[]),
     ];
     for (reads, ends, back) in cases {
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -135,10 +135,10 @@
         number(options, "/guarantees/tip-multiple")?,
         duration_from_micros(number(options, "/guarantees/fall-us")?),
     );
-    let retry_budget = ration(options)?.map(|(span, free, share)| RetryBudget::new(span, free, share));
+    let retry_budget = retry_budget(options)?.map(|(span, free, share)| RetryBudget::new(span, free, share));
     let max_come_back = duration_from_micros(number_or_zero(options, "/limits/max-retry-after-us")?);
     let (reports_links, probe_price) = (
-        report(options).iter().any(|gauge| matches!(gauge, Gauge::Link)),
+        report_gauges(options).iter().any(|gauge| matches!(gauge, Gauge::Link)),
         number_or_zero(options, "/prices/probe")?,
     );
     let limits = Limits {
@@ -163,7 +163,7 @@
 ///
 /// # Errors
 /// A key has an invalid value.
-pub fn ration(options: &Value) -> Result<Option<(Duration, f64, f64)>, String> {
+pub fn retry_budget(options: &Value) -> Result<Option<(Duration, f64, f64)>, String> {
     let window = duration_from_micros(number_or_zero(options, "/guarantees/budget-span-us")?);
     let (free, share) = (
         number_or_zero(options, "/guarantees/min-extra")?,
@@ -173,7 +173,7 @@
 }
 
 /// The meaning of each value in a load report, in the order of the values.
-pub fn report(options: &Value) -> Vec<Gauge> {
+pub fn report_gauges(options: &Value) -> Vec<Gauge> {
     report_fields(options).map(gauge).collect()
 }
 
@@ -194,7 +194,7 @@
 
 /// Parses a load report of the form `x0:12;x1:40`. Values that are malformed, negative or not finite are
 /// left out.
-pub fn load(text: &str) -> LoadReport {
+pub fn parse_load(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
         let value = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
@@ -211,7 +211,7 @@
 ///
 /// # Errors
 /// A package has no patience.
-pub fn terms(options: &Value) -> Result<Vec<(Duration, bool)>, String> {
+pub fn patience_and_payment(options: &Value) -> Result<Vec<(Duration, bool)>, String> {
     let term = |package: &Value| {
         Ok((duration_from_micros(number(package, "/hard-limit-us")?), at_most_once(package)))
     };
@@ -223,7 +223,7 @@
 ///
 /// # Errors
 /// A key is missing.
-pub fn rules(options: &Value) -> Result<(Duration, Duration, Vec<usize>), String> {
+pub fn grace_slack_and_seats(options: &Value) -> Result<(Duration, Duration, Vec<usize>), String> {
     let seats = numbers(options, "/specifics/class-seats")?;
     let duration = |key| Ok::<_, String>(duration_from_micros(number(options, key)?));
     let grace_and_slack = (duration("/guarantees/drain-grace-us")?, duration("/guarantees/answer-slack-us")?);
@@ -246,7 +246,7 @@
 ///
 /// # Errors
 /// A key is missing.
-pub fn spans(options: &Value) -> Result<(Duration, Duration), String> {
+pub fn report_interval_and_cold_time(options: &Value) -> Result<(Duration, Duration), String> {
     let duration = |key| Ok::<_, String>(duration_from_micros(number(options, key)?));
     Ok((duration("/specifics/told-every-us")?, duration("/guarantees/cold-us")?))
 }
--- a/crates/options/src/tests.rs
+++ b/crates/options/src/tests.rs
@@ -15,7 +15,7 @@
         ("x0:inf;x1:1e400", both(None, None)),
     ];
     for (text, expected) in cases {
-        assert_eq!(load(text), expected, "{text}");
+        assert_eq!(parse_load(text), expected, "{text}");
     }
 }
 
@@ -31,15 +31,19 @@
         "specifics": {"class-seats": [0, 2], "told-every-us": 3_000_000},
     });
     let ms = Duration::from_millis;
-    assert_eq!(terms(&options), Ok(vec![(ms(4000), false), (ms(3000), true)]));
-    assert_eq!(rules(&options), Ok((ms(250), ms(40), vec![0, 2])));
+    assert_eq!(patience_and_payment(&options), Ok(vec![(ms(4000), false), (ms(3000), true)]));
+    assert_eq!(grace_slack_and_seats(&options), Ok((ms(250), ms(40), vec![0, 2])));
     assert_eq!(connections(&options), Ok((32, ms(250), ms(15_000))));
-    assert_eq!(spans(&options), Ok((ms(3000), ms(5000))));
-    assert_eq!(ration(&options), Ok(Some((ms(5000), 5.0, 0.2))));
+    assert_eq!(report_interval_and_cold_time(&options), Ok((ms(3000), ms(5000))));
+    assert_eq!(retry_budget(&options), Ok(Some((ms(5000), 5.0, 0.2))));
     assert_eq!(names(&options), [vec!["clip", "ticket"], vec!["acme"], vec!["east"], vec!["std"]]);
     let reports = |key: &str, without: &Value| {
-        let errors =
-            [terms(without).err(), rules(without).err(), connections(without).err(), spans(without).err()];
+        let errors = [
+            patience_and_payment(without).err(),
+            grace_slack_and_seats(without).err(),
+            connections(without).err(),
+            report_interval_and_cold_time(without).err(),
+        ];
         errors.into_iter().flatten().any(|error| error.contains(key))
     };
     for key in [
--- a/crates/quality/src/blame.rs
+++ b/crates/quality/src/blame.rs
@@ -40,12 +40,12 @@
     /// How much worse its sessions are than those of other levels, in badness.
     pub excess: f64,
     /// The excess in standard errors, as estimated by the additive model.
-    pub plain: f64,
+    pub standard_errors: f64,
     /// The number of sessions of the level.
     pub sessions: f64,
     /// Levels of other factors that most of the same sessions share, so that the data can't distinguish
     /// them from this one.
-    pub or: Vec<(Factor, Level)>,
+    pub alternatives: Vec<(Factor, Level)>,
 }
 
 /// Fits the additive model by iterating over the factors: each level with its effect, and the effect in
@@ -66,12 +66,12 @@
             let mut residuals = vec![0.0; effects[f].len()];
             for (cell, sum) in &cells {
                 let others: f64 = (0..FACTORS.len()).filter(|g| *g != f).map(|g| effects[g][cell[g]]).sum();
-                residuals[cell[f]] += sum.bad - sum.n * (total.mean() + others);
+                residuals[cell[f]] += sum.badness_sum - sum.count * (total.mean() + others);
             }
             let shrunk = residuals
                 .iter()
                 .zip(&levels[f])
-                .map(|(residual, (_, sum))| residual / (sum.n + SHRINKAGE_SESSION_COUNT));
+                .map(|(residual, (_, sum))| residual / (sum.count + SHRINKAGE_SESSION_COUNT));
             effects[f] = shrunk.collect();
         }
     }
@@ -79,7 +79,7 @@
     for (f, factor) in FACTORS.into_iter().enumerate() {
         for ((level, sum), effect) in levels[f].iter().zip(&effects[f]) {
             let standard_errors =
-                effect / (overall_variance / (sum.n + SHRINKAGE_SESSION_COUNT)).sqrt().max(1e-9);
+                effect / (overall_variance / (sum.count + SHRINKAGE_SESSION_COUNT)).sqrt().max(1e-9);
             results.push((factor, *level, *effect, standard_errors));
         }
     }
@@ -102,15 +102,15 @@
 fn compare(strata: impl Iterator<Item = (Sum, Sum)>, overall_variance: f64) -> Comparison {
     let (mut weights, mut excess, mut variance, mut compared, mut total) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for (own, rest) in strata {
-        total += own.n;
-        if own.n < 1.0 || rest.n < 1.0 {
+        total += own.count;
+        if own.count < 1.0 || rest.count < 1.0 {
             continue;
         }
-        let weight = own.n * rest.n / (own.n + rest.n);
-        compared += own.n;
+        let weight = own.count * rest.count / (own.count + rest.count);
+        compared += own.count;
         weights += weight;
         excess += weight * (own.mean() - rest.mean());
-        let mean_variance = |sum: &Sum| sum.variance(overall_variance, PRIOR_SESSION_COUNT) / sum.n;
+        let mean_variance = |sum: &Sum| sum.variance(overall_variance, PRIOR_SESSION_COUNT) / sum.count;
         variance += weight * weight * (mean_variance(&own) + mean_variance(&rest));
     }
     if weights <= 0.0 || total <= 0.0 {
@@ -155,9 +155,10 @@
     for (levels, sum) in table.cells().filter(|(levels, _)| levels[Factor::Rack as usize] == rack) {
         servers.entry(levels[Factor::Server as usize]).or_default().add(sum);
     }
-    let worst = servers.iter().max_by(|a, b| a.1.bad.total_cmp(&b.1.bad)).map(|(server, _)| *server);
+    let worst =
+        servers.iter().max_by(|a, b| a.1.badness_sum.total_cmp(&b.1.badness_sum)).map(|(server, _)| *server);
     let mut rest = table.clone();
-    rest.drop(|levels| Some(levels[Factor::Server as usize]) == worst);
+    rest.remove_matching(|levels| Some(levels[Factor::Server as usize]) == worst);
     compare_levels(&rest, Factor::Rack, Factor::Title, overall_variance)
         .get(&rack)
         .copied()
@@ -169,7 +170,7 @@
 fn indistinguishable(
     table: &Table, factor: Factor, level: Level, overall_variance: f64,
 ) -> Vec<(Factor, Level)> {
-    let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
+    let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.count);
     let mut alternatives = vec![];
     for within in strata_factors(factor) {
         let comparison =
@@ -178,7 +179,8 @@
             continue;
         }
         let cells = table.across((factor, *within));
-        let shared_levels = cells.iter().filter(|((own, _), sum)| *own == level && sum.n > sessions / 2.0);
+        let shared_levels =
+            cells.iter().filter(|((own, _), sum)| *own == level && sum.count > sessions / 2.0);
         alternatives.extend(shared_levels.map(|((_, other), _)| (*within, *other)));
     }
     alternatives
@@ -203,11 +205,13 @@
         for (j, (other_factor, other_level, ..)) in proposed.iter().enumerate().filter(|(j, _)| *j != i) {
             let named_before =
                 named.iter().any(|blame| (blame.factor, blame.level) == (*other_factor, *other_level));
-            let shared =
-                table.across((factor, *other_factor)).get(&(level, *other_level)).map_or(0.0, |sum| sum.n);
-            let own = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
+            let shared = table
+                .across((factor, *other_factor))
+                .get(&(level, *other_level))
+                .map_or(0.0, |sum| sum.count);
+            let own = table.by(factor).get(&level).map_or(0.0, |sum| sum.count);
             if named_before || j > i && shared < own / 2.0 {
-                rest.drop(|levels| levels[*other_factor as usize] == *other_level);
+                rest.remove_matching(|levels| levels[*other_factor as usize] == *other_level);
             }
         }
         let compare_within = |within: &Factor| {
@@ -237,9 +241,16 @@
                 continue;
             }
         }
-        let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.n);
+        let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.count);
         let alternatives = indistinguishable(table, factor, level, overall_variance);
-        named.push(Blame { factor, level, excess, plain: standard_errors, sessions, or: alternatives });
+        named.push(Blame {
+            factor,
+            level,
+            excess,
+            standard_errors: standard_errors,
+            sessions,
+            alternatives: alternatives,
+        });
     }
     named
 }
--- a/crates/quality/src/intake.rs
+++ b/crates/quality/src/intake.rs
@@ -25,7 +25,7 @@
 
 /// The outcome of a report. Operators see the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Taken {
+pub enum ReportOutcome {
     /// The report was stored.
     Kept,
     /// A report with the same sequence number was stored before.
@@ -87,7 +87,7 @@
     /// The sessions; a session's badness is the fraction of the window in which it stalled.
     pub stalls: Table,
     /// The sessions that started in the window; a session's badness is the slowness of its start.
-    pub slow: Table,
+    pub slow_starts: Table,
     /// The start-up delays reported in the window.
     pub starts: Vec<Duration>,
     /// The number of changes of rendition.
@@ -111,7 +111,7 @@
     clients: BTreeMap<ClientId, (Duration, usize)>,
     /// The end of the last closed window.
     closed_until: Duration,
-    counts: BTreeMap<Taken, u64>,
+    counts: BTreeMap<ReportOutcome, u64>,
 }
 
 impl Player {
@@ -187,7 +187,7 @@
     pub fn report(
         &mut self, now: Duration, session: SessionId, client: ClientId, levels: [Level; FACTORS.len()],
         figures: Figures,
-    ) -> Taken {
+    ) -> ReportOutcome {
         let outcome = self.process(now, session, client, levels, figures);
         *self.counts.entry(outcome).or_default() += 1;
         outcome
@@ -197,7 +197,7 @@
     fn process(
         &mut self, now: Duration, session: SessionId, client: ClientId, levels: [Level; FACTORS.len()],
         figures: Figures,
-    ) -> Taken {
+    ) -> ReportOutcome {
         // Checks the rate of the client first, so that a flood costs no more than one map lookup a report.
         let client_reports = self.clients.entry(client).or_insert((now, 0));
         if now >= client_reports.0 + self.window_length {
@@ -205,14 +205,14 @@
         }
         client_reports.1 += 1;
         if client_reports.1 > self.max_reports {
-            return Taken::Flood;
+            return ReportOutcome::Flood;
         }
         let Figures { sequence, sent, start_up, stalled, stalled_in_all, rate } = figures;
         if start_up.is_none() && stalled.is_none() && stalled_in_all.is_none() && rate.is_none() {
-            return Taken::Empty;
+            return ReportOutcome::Empty;
         }
         if !self.players.contains_key(&session) && self.players.len() >= self.max_sessions {
-            return Taken::Full;
+            return ReportOutcome::Full;
         }
         let player = self.players.entry(session).or_insert_with(|| Player {
             levels,
@@ -225,21 +225,21 @@
         // A report without a sequence number follows the last one stored.
         let sequence = sequence.unwrap_or_else(|| player.reports.back().map_or(1, |last| last.sequence + 1));
         if player.discarded_up_to.is_some_and(|discarded| sequence <= discarded) {
-            return Taken::Late;
+            return ReportOutcome::Late;
         }
         let position = match player.reports.binary_search_by_key(&sequence, |report| report.sequence) {
-            Ok(_) => return Taken::Doubled,
+            Ok(_) => return ReportOutcome::Doubled,
             Err(position) => position,
         };
         if made_at < self.closed_until {
-            return Taken::Late;
+            return ReportOutcome::Late;
         }
         (player.last_report_at, player.levels) = (now, levels);
         player.reports.insert(position, Report { sequence, made_at, figures });
         if player.reports.len() > STORED_REPORT_COUNT {
             player.discarded_up_to = player.reports.pop_front().map(|oldest| oldest.sequence);
         }
-        Taken::Kept
+        ReportOutcome::Kept
     }
 
     /// Closes the next window and returns its summary, or none as long as reports of that window are still
@@ -253,7 +253,7 @@
         for player in self.players.values() {
             let Some((stalled, start)) = player.badness(from, until) else { continue };
             window.stalls.add(player.levels, stalled);
-            start.into_iter().for_each(|start| window.slow.add(player.levels, start));
+            start.into_iter().for_each(|start| window.slow_starts.add(player.levels, start));
             window.sessions += 1;
             let within = || player.reports.iter().filter(|r| from <= r.made_at && r.made_at < until);
             window.starts.extend(within().filter_map(|r| r.figures.start_up));
@@ -268,7 +268,7 @@
     }
 
     /// The number of reports with each outcome so far.
-    pub fn counts(&self) -> &BTreeMap<Taken, u64> {
+    pub fn counts(&self) -> &BTreeMap<ReportOutcome, u64> {
         &self.counts
     }
 
--- a/crates/quality/src/lib.rs
+++ b/crates/quality/src/lib.rs
@@ -8,7 +8,7 @@
 mod table;
 
 pub use blame::{Blame, blame};
-pub use intake::{ClientId, Figures, Intake, SessionId, Taken, Window};
+pub use intake::{ClientId, Figures, Intake, ReportOutcome, SessionId, Window};
 pub use table::{FACTORS, Factor, Level, Sum, Table};
 
 #[cfg(test)]
--- a/crates/quality/src/table.rs
+++ b/crates/quality/src/table.rs
@@ -26,38 +26,38 @@
 /// and 1 a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
-    pub n: f64,
-    pub bad: f64,
+    pub count: f64,
+    pub badness_sum: f64,
     pub squares: f64,
 }
 
 impl Sum {
     /// Adds other sessions.
     pub fn add(&mut self, other: &Sum) {
-        (self.n, self.bad, self.squares) =
-            (self.n + other.n, self.bad + other.bad, self.squares + other.squares);
+        (self.count, self.badness_sum, self.squares) =
+            (self.count + other.count, self.badness_sum + other.badness_sum, self.squares + other.squares);
     }
 
     /// These sessions without some of them. Rounding errors don't make a part negative.
     pub fn without(&self, other: &Sum) -> Sum {
         let at_least_zero = |x: f64| x.max(0.0);
         Sum {
-            n: at_least_zero(self.n - other.n),
-            bad: at_least_zero(self.bad - other.bad),
+            count: at_least_zero(self.count - other.count),
+            badness_sum: at_least_zero(self.badness_sum - other.badness_sum),
             squares: at_least_zero(self.squares - other.squares),
         }
     }
 
     /// The mean badness; zero without sessions.
     pub fn mean(&self) -> f64 {
-        if self.n > 0.0 { self.bad / self.n } else { 0.0 }
+        if self.count > 0.0 { self.badness_sum / self.count } else { 0.0 }
     }
 
     /// The variance of a session's badness, estimated with a prior: `prior_sessions` sessions of variance
     /// `prior_variance` are added to those that were observed.
     pub fn variance(&self, prior_variance: f64, prior_sessions: f64) -> f64 {
-        let observed = self.squares - self.bad * self.mean();
-        (observed.max(0.0) + prior_sessions * prior_variance) / (self.n - 1.0 + prior_sessions).max(1.0)
+        let observed = self.squares - self.badness_sum * self.mean();
+        (observed.max(0.0) + prior_sessions * prior_variance) / (self.count - 1.0 + prior_sessions).max(1.0)
     }
 }
 
@@ -72,7 +72,7 @@
     /// Adds a session with its badness, which is limited to 0 to 1; a badness that is not finite counts as 0.
     pub fn add(&mut self, levels: [Level; FACTORS.len()], bad: f64) {
         let bad = if bad.is_finite() { bad.clamp(0.0, 1.0) } else { 0.0 };
-        self.cells.entry(levels).or_default().add(&Sum { n: 1.0, bad, squares: bad * bad });
+        self.cells.entry(levels).or_default().add(&Sum { count: 1.0, badness_sum: bad, squares: bad * bad });
     }
 
     /// Each combination of levels with the sum of its sessions.
@@ -115,7 +115,7 @@
     }
 
     /// Removes the sessions whose levels match.
-    pub fn drop(&mut self, matches: impl Fn(&[Level; FACTORS.len()]) -> bool) {
+    pub fn remove_matching(&mut self, matches: impl Fn(&[Level; FACTORS.len()]) -> bool) {
         self.cells.retain(|levels, _| !matches(levels));
     }
 }
--- a/crates/quality/src/tests.rs
+++ b/crates/quality/src/tests.rs
@@ -1,6 +1,6 @@
 //! Attribution of bad sessions with planted causes, and the intake with faulty reports.
 
-use crate::{ClientId, FACTORS, Factor, Figures, Intake, Level, SessionId, Table, Taken, blame};
+use crate::{ClientId, FACTORS, Factor, Figures, Intake, Level, ReportOutcome, SessionId, Table, blame};
 use std::time::Duration;
 
 fn secs(seconds: u64) -> Duration {
@@ -89,7 +89,7 @@
     let exists = |[rack, _, title, ..]: [u32; FACTORS.len()]| (title == 1) == (rack == 2);
     let named = blame(&table_of(|[rack, ..]| rack == 2, exists));
     assert_eq!(named.len(), 1, "{named:?}");
-    let mut levels_named = named[0].or.clone();
+    let mut levels_named = named[0].alternatives.clone();
     levels_named.push((named[0].factor, named[0].level));
     assert!(
         [(Factor::Rack, Level(2)), (Factor::Title, Level(1))]
@@ -117,29 +117,29 @@
     // The second of receipt, the sequence number, the second of sending, the total stall reported, and the
     // outcome.
     let cases = [
-        (1002, 1, 2, 0, Taken::Kept),
-        (1012, 2, 12, 500, Taken::Kept),
-        (1013, 2, 12, 500, Taken::Doubled),
+        (1002, 1, 2, 0, ReportOutcome::Kept),
+        (1012, 2, 12, 500, ReportOutcome::Kept),
+        (1013, 2, 12, 500, ReportOutcome::Doubled),
         // Made after the next report, but received before it.
-        (1029, 4, 29, 3000, Taken::Kept),
-        (1035, 3, 20, 2000, Taken::Kept),
-        (1041, 5, 41, 3000, Taken::Kept),
-        (1042, 5, 41, 9000, Taken::Doubled),
+        (1029, 4, 29, 3000, ReportOutcome::Kept),
+        (1035, 3, 20, 2000, ReportOutcome::Kept),
+        (1041, 5, 41, 3000, ReportOutcome::Kept),
+        (1042, 5, 41, 9000, ReportOutcome::Doubled),
     ];
     for (now, sequence, sent, stalled, outcome) in cases {
         assert_eq!(report(now, 1, figures(sequence, sent, stalled)), outcome, "report {sequence} at {now}");
     }
-    assert_eq!(report(1041, 2, Figures::default()), Taken::Empty);
+    assert_eq!(report(1041, 2, Figures::default()), ReportOutcome::Empty);
     assert!(intake.close(secs(1059)).is_none(), "late reports are still accepted");
     let window = intake.close(secs(1060)).expect("the window can be closed");
     let all = window.stalls.whole();
-    assert_eq!((window.sessions, all.n), (1, 1.0));
+    assert_eq!((window.sessions, all.count), (1, 1.0));
     // 3 s of stall in 29 s of reports.
-    assert!((all.bad - 3.0 / 29.0).abs() < 0.01, "{}", all.bad);
+    assert!((all.badness_sum - 3.0 / 29.0).abs() < 0.01, "{}", all.badness_sum);
     let late = intake.report(secs(1061), SessionId(1), ClientId(1), levels([0; 5]), figures(9, 22, 4000));
-    assert_eq!(late, Taken::Late, "its window has closed");
+    assert_eq!(late, ReportOutcome::Late, "its window has closed");
     let next = intake.close(secs(1090)).expect("the next window");
-    assert_eq!((next.sessions, next.stalls.whole().bad), (1, 0.0), "nothing stalled since");
+    assert_eq!((next.sessions, next.stalls.whole().badness_sum), (1, 0.0), "nothing stalled since");
 }
 
 #[test]
@@ -151,12 +151,12 @@
         let report_figures = Figures { start_up, ..figures(1, 5, 0) };
         assert_eq!(
             intake.report(secs(1005), SessionId(1), ClientId(1), levels([0; 5]), report_figures),
-            Taken::Kept
+            ReportOutcome::Kept
         );
         let window = intake.close(secs(1060)).expect("the window can be closed");
-        let (stalls, slow) = (window.stalls.whole(), window.slow.whole());
-        assert_eq!((stalls.bad, slow.n, window.starts.len()), (0.0, 1.0, 1));
-        assert!((slow.bad - badness).abs() < 1e-9, "{ms} ms: {}", slow.bad);
+        let (stalls, slow) = (window.stalls.whole(), window.slow_starts.whole());
+        assert_eq!((stalls.badness_sum, slow.count, window.starts.len()), (0.0, 1.0, 1));
+        assert!((slow.badness_sum - badness).abs() < 1e-9, "{ms} ms: {}", slow.badness_sum);
     }
 }
 
@@ -172,10 +172,10 @@
             report_figures.sent = Some(Duration::from_millis(sent as u64));
             assert_eq!(
                 intake.report(secs(at), SessionId(1), ClientId(1), levels([0; 5]), report_figures),
-                Taken::Kept
+                ReportOutcome::Kept
             );
         }
-        let bad = intake.close(secs(1060)).expect("the window can be closed").stalls.whole().bad;
+        let bad = intake.close(secs(1060)).expect("the window can be closed").stalls.whole().badness_sum;
         assert!((bad - 2.7 / 28.0).abs() < 0.02, "off by {offset} s, drift {drift}: {bad}");
     }
 }
@@ -187,27 +187,27 @@
         let client = ClientId(session as u64);
         assert_eq!(
             intake.report(secs(1005), SessionId(session), client, levels([0; 5]), figures(1, 5, 0)),
-            Taken::Kept
+            ReportOutcome::Kept
         );
     }
-    let mut outcomes = std::collections::BTreeMap::<Taken, u64>::new();
+    let mut outcomes = std::collections::BTreeMap::<ReportOutcome, u64>::new();
     for i in 0..5000_u64 {
         let report_figures = figures(i + 2, 6, 60_000);
         *outcomes
             .entry(intake.report(secs(1006), SessionId(7), ClientId(7), levels([0; 5]), report_figures))
             .or_default() += 1;
     }
-    assert!(outcomes[&Taken::Flood] > 4900, "{outcomes:?}");
+    assert!(outcomes[&ReportOutcome::Flood] > 4900, "{outcomes:?}");
     let window = intake.close(secs(1060)).expect("the window can be closed");
     assert_eq!(window.sessions, 50);
-    assert!(window.stalls.whole().bad <= 1.0, "at most the weight of one session");
+    assert!(window.stalls.whole().badness_sum <= 1.0, "at most the weight of one session");
     // Further sessions are rejected, and the stored ones stay.
     let many = (100..300_u128).map(|i| {
         intake.report(secs(1061), SessionId(i), ClientId(i as u64), levels([0; 5]), figures(1, 61, 0))
     });
-    let rejected = many.filter(|outcome| *outcome == Taken::Full).count();
+    let rejected = many.filter(|outcome| *outcome == ReportOutcome::Full).count();
     assert!(rejected > 0 && intake.len() <= 100, "{rejected}");
-    assert_eq!(intake.counts()[&Taken::Full], rejected as u64);
+    assert_eq!(intake.counts()[&ReportOutcome::Full], rejected as u64);
     while intake.close(secs(2000)).is_some() {}
     assert!(intake.is_empty(), "sessions without reports are discarded");
 }
@@ -237,7 +237,7 @@
                     session_levels,
                     report_figures,
                 );
-                assert_eq!(outcome, Taken::Kept);
+                assert_eq!(outcome, ReportOutcome::Kept);
             }
         }
         if let Some(last) = window_number.checked_sub(2) {
