--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -4,7 +4,7 @@
 use crate::record::{Asked, Came, Record, SetUpEnd, Standing, What};
 use crate::{History, Life, Package, Terms};
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, StreamEnd, TuneInKey};
-use ivyward_settings::{Fault, Part};
+use ivyward_settings::{Fault, Section};
 use std::time::Duration;
 
 const STANDINGS: [(&str, Standing); 3] =
@@ -164,12 +164,12 @@
     }
 }
 
-fn span(part: &Part, name: &str) -> Duration {
-    Duration::from_micros(part.whole(name))
+fn span(part: &Section, name: &str) -> Duration {
+    Duration::from_micros(part.integer(name))
 }
 
 fn line_of(
-    part: &Part, at: Duration, terms: &mut Option<Terms>, history: &mut History, ended: &mut bool,
+    part: &Section, at: Duration, terms: &mut Option<Terms>, history: &mut History, ended: &mut bool,
 ) -> Result<(), Fault> {
     let kinds: Vec<_> = KINDS.into_iter().filter(|kind| part.has(kind)).collect();
     let [kind] = kinds[..] else {
@@ -177,7 +177,7 @@
             part.fault("at_us", &format!("stands with {} kinds of things seen, not one", kinds.len()))
         );
     };
-    let of = part.one(kind);
+    let of = part.section(kind);
     if terms.is_none() && kind != "terms" {
         return Err(of.fault("", "stands before the terms"));
     }
@@ -224,9 +224,9 @@
                 at,
                 came_at,
                 came: came.ok_or_else(|| of.fault("came", "is no status, nor closed, cut or nothing"))?,
-                new: of.truth("fresh"),
-                refresh: of.truth("refresh"),
-                sent: of.truth("sent"),
+                new: of.boolean("fresh"),
+                refresh: of.boolean("refresh"),
+                sent: of.boolean("sent"),
                 more: of.count("more"),
             });
         }
@@ -253,7 +253,12 @@
         "told" => {
             let (manager, standing) =
                 (ManagerNo(of.count("manager") as u32), named(&of, "standing", &STANDINGS)?);
-            history.records.push(record(What::Told { manager, server, standing, birth: of.whole("birth") }));
+            history.records.push(record(What::Told {
+                manager,
+                server,
+                standing,
+                birth: of.integer("birth"),
+            }));
         }
         "born" => history.records.push(record(What::Born { server })),
         "died" => {
@@ -269,24 +274,24 @@
     names.iter().find(|(name, _)| *name == text).map(|(_, value)| *value)
 }
 
-fn named<T: Copy>(of: &Part, field: &str, names: &[(&'static str, T)]) -> Result<T, Fault> {
+fn named<T: Copy>(of: &Section, field: &str, names: &[(&'static str, T)]) -> Result<T, Fault> {
     let all = || names.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
     one_of(&of.text(field), names).ok_or_else(|| of.fault(field, &format!("is none of {}", all())))
 }
 
-fn key_of(of: &Part) -> TuneInKey {
-    let key = of.one("key");
+fn key_of(of: &Section) -> TuneInKey {
+    let key = of.section("key");
     let (manager, vw) = (ManagerNo(key.count("manager") as u32), key.count("vw") as u32);
-    TuneInKey { manager, birth: key.whole("birth"), vw, n: key.count("n") as u16 }
+    TuneInKey { manager, birth: key.integer("birth"), vw, n: key.count("n") as u16 }
 }
 
-fn terms_of(of: &Part) -> Terms {
-    let package = |p: &Part| Package {
+fn terms_of(of: &Section) -> Terms {
+    let package = |p: &Section| Package {
         name: p.text("name"),
         patience: span(p, "patience_us"),
         target: span(p, "target_us"),
         value: p.number("value"),
-        once: p.truth("once"),
+        once: p.boolean("once"),
         floor: p.count("floor"),
         seats: p.count("seats"),
     };
@@ -297,7 +302,7 @@
         fall: span(of, "fall_us"),
     };
     Terms {
-        packages: of.list("package").iter().map(package).collect(),
+        packages: of.sections("package").iter().map(package).collect(),
         grace: span(of, "grace_us"),
         ration: of
             .has("ration_us")
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -42,7 +42,7 @@
 
 /// A message of a text, with the positions of its fields.
 #[derive(Clone)]
-pub struct Part {
+pub struct Section {
     message: DynamicMessage,
     place: Place,
     /// The path of the message from the text's root; empty for the root.
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// All faults found: syntax errors, unknown, repeated or missing fields, and values out of range.
-pub fn read(message: &str, text: &str) -> Result<Part, Vec<Fault>> {
+pub fn read(message: &str, text: &str) -> Result<Section, Vec<Fault>> {
     let pool = SCHEMAS.with(DescriptorPool::clone);
     let kind =
         pool.get_message_by_name(&format!("ivyward.{message}")).expect("the schemas define the message");
@@ -90,7 +90,8 @@
             _ => return Err(faults),
         }
     };
-    let section = Part { message, place: place::scan(&cleaned_text), path: String::new(), text: text.into() };
+    let section =
+        Section { message, place: place::scan(&cleaned_text), path: String::new(), text: text.into() };
     section.check(&pool, &kind, &mut faults);
     faults.sort_by_key(|fault| (fault.line, fault.column));
     if faults.is_empty() { Ok(section) } else { Err(faults) }
@@ -106,7 +107,7 @@
     }
 }
 
-impl Part {
+impl Section {
     /// Checks the message and those inside it against the options of the schema's fields.
     fn check(&self, pool: &DescriptorPool, kind: &MessageDescriptor, faults: &mut Vec<Fault>) {
         for field in kind.fields() {
@@ -157,7 +158,7 @@
     }
 
     /// The messages in a field, in their order.
-    fn sections_in(&self, field: &FieldDescriptor) -> Vec<Part> {
+    fn sections_in(&self, field: &FieldDescriptor) -> Vec<Section> {
         let value = self.message.get_field(field).into_owned();
         let messages = match value {
             Value::List(list) => list,
@@ -170,7 +171,7 @@
             let place =
                 self.place.inner(field.name(), i).cloned().unwrap_or_else(|| self.place.without_fields());
             let path = if self.path.is_empty() { path } else { format!("{}.{path}", self.path) };
-            Some(Part { message, place, path, text: self.text.clone() })
+            Some(Section { message, place, path, text: self.text.clone() })
         };
         messages.into_iter().enumerate().filter_map(section).collect()
     }
@@ -206,12 +207,12 @@
     }
 
     /// The value of an integer field.
-    pub fn whole(&self, name: &str) -> u64 {
+    pub fn integer(&self, name: &str) -> u64 {
         self.message.get_field(&self.field(name)).as_u64().unwrap_or_else(|| self.number(name) as u64)
     }
 
     /// The value of a boolean field.
-    pub fn truth(&self, name: &str) -> bool {
+    pub fn boolean(&self, name: &str) -> bool {
         self.message.get_field(&self.field(name)).as_bool().unwrap_or_default()
     }
 
@@ -221,19 +222,19 @@
     }
 
     /// The value of a field in seconds as a duration.
-    pub fn span(&self, name: &str) -> Duration {
+    pub fn duration(&self, name: &str) -> Duration {
         Duration::try_from_secs_f64(self.number(name)).unwrap_or_default()
     }
 
     /// The messages in a repeated field, in their order.
-    pub fn list(&self, name: &str) -> Vec<Part> {
+    pub fn sections(&self, name: &str) -> Vec<Section> {
         self.sections_in(&self.field(name))
     }
 
     /// The message in a field, or one with default values if the field isn't set.
-    pub fn one(&self, name: &str) -> Part {
+    pub fn section(&self, name: &str) -> Section {
         let field = self.field(name);
-        self.sections_in(&field).pop().unwrap_or_else(|| Part {
+        self.sections_in(&field).pop().unwrap_or_else(|| Section {
             message: DynamicMessage::new(
                 field.kind().as_message().expect("the field holds a message").clone(),
             ),
@@ -269,12 +270,12 @@
     }
 
     /// Sets a field that holds a message.
-    pub fn put(&mut self, name: &str, section: Part) {
+    pub fn put(&mut self, name: &str, section: Section) {
         self.message.set_field(&self.field(name), Value::Message(section.message));
     }
 
     /// The name of the value of an enum field.
-    pub fn choice(&self, name: &str) -> String {
+    pub fn enum_name(&self, name: &str) -> String {
         let (field, kind) = (self.field(name), self.field(name).kind());
         let number = self.message.get_field(&field).as_enum_number().unwrap_or_default();
         let values = kind.as_enum().expect("the field is an enum");
@@ -288,15 +289,15 @@
     }
 
     /// Removes the messages of a repeated field for which `keep` is false.
-    pub fn retain(&mut self, name: &str, keep: impl Fn(&Part) -> bool) {
-        let remaining: Vec<_> = self.list(name).into_iter().filter(|section| keep(section)).collect();
+    pub fn retain(&mut self, name: &str, keep: impl Fn(&Section) -> bool) {
+        let remaining: Vec<_> = self.sections(name).into_iter().filter(|section| keep(section)).collect();
         let values = remaining.into_iter().map(|section| Value::Message(section.message)).collect();
         self.message.set_field(&self.field(name), Value::List(values));
     }
 
     /// Changes each message of a repeated field.
-    pub fn each(&mut self, name: &str, change: impl Fn(&mut Part)) {
-        let mut sections = self.list(name);
+    pub fn each(&mut self, name: &str, change: impl Fn(&mut Section)) {
+        let mut sections = self.sections(name);
         sections.iter_mut().for_each(change);
         let values = sections.into_iter().map(|section| Value::Message(section.message)).collect();
         self.message.set_field(&self.field(name), Value::List(values));
@@ -316,8 +317,8 @@
 }
 
 /// Returns a fault for each of `sections` whose field `name` has the value of an earlier one.
-pub fn twice(sections: &[Part], name: &str) -> Vec<Fault> {
-    let duplicate = |(i, section): (usize, &Part)| {
+pub fn duplicate_faults(sections: &[Section], name: &str) -> Vec<Fault> {
+    let duplicate = |(i, section): (usize, &Section)| {
         let value = section.text(name);
         let is_duplicate = sections[..i].iter().any(|other| other.text(name) == value);
         is_duplicate.then(|| section.fault(name, &format!("{value:?} is given twice")))
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -46,10 +46,10 @@
     let section = read("Settings", VALID_SETTINGS).unwrap_or_else(|faults| panic!("{faults:#?}"));
     let section_again = read("Settings", &section.to_text()).unwrap_or_else(|faults| panic!("{faults:#?}"));
     assert_eq!(section.to_text(), section_again.to_text());
-    let titles = section.list("title");
-    assert!(titles.len() > 1 && section.one("ladder").list("rung").len() > 1);
-    assert_eq!(twice(&titles, "name"), []);
-    assert_eq!(twice(&[titles[0].clone(), titles[0].clone()], "name").len(), 1);
+    let titles = section.sections("title");
+    assert!(titles.len() > 1 && section.section("ladder").sections("rung").len() > 1);
+    assert_eq!(duplicate_faults(&titles, "name"), []);
+    assert_eq!(duplicate_faults(&[titles[0].clone(), titles[0].clone()], "name").len(), 1);
 }
 
 #[test]
--- a/crates/signal/src/binary.rs
+++ b/crates/signal/src/binary.rs
@@ -4,7 +4,7 @@
 //! parameters. A parameter is its code (1 byte), its length (2 bytes) and its value. Numbers are
 //! big-endian; the length of a message does not count the 2 bytes of the length itself.
 
-use crate::{FIELDS, Field, KINDS, Kind, LONGEST, Ref, Signal};
+use crate::{FIELDS, Field, KINDS, Kind, MAX_MESSAGE_BYTES, SessionRef, Signal};
 use std::borrow::Cow;
 
 /// Size of the length prefix.
@@ -37,11 +37,11 @@
     /// # Errors
     /// The length or the type is invalid. The position of the next message is then unknown, so the
     /// connection has to be closed.
-    pub fn cut(&mut self) -> Result<Option<&[u8]>, String> {
+    pub fn next_message(&mut self) -> Result<Option<&[u8]>, String> {
         let rest = &self.buffer[self.consumed_bytes..];
         let Some(&[high, low]) = rest.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([high, low]));
-        if !(HEADER_BYTES..=LONGEST - LENGTH_PREFIX_BYTES).contains(&length) {
+        if !(HEADER_BYTES..=MAX_MESSAGE_BYTES - LENGTH_PREFIX_BYTES).contains(&length) {
             return Err(format!("invalid message length: {length} bytes"));
         }
         // Checks the type before the whole message is there: a stream of other bytes may announce a long
@@ -61,7 +61,7 @@
     }
 
     /// Whether the buffer holds an incomplete message.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.consumed_bytes < self.buffer.len()
     }
 }
@@ -76,7 +76,7 @@
     let kind = kind.ok_or_else(|| format!("unknown message type {type_number}"))?.0;
     let (session, mut rest) =
         rest.split_first_chunk::<8>().ok_or("message without a complete session reference")?;
-    let session = Ref(u64::from_be_bytes(*session));
+    let session = SessionRef(u64::from_be_bytes(*session));
     let (mut cause, mut description, mut fields) = (None, None, vec![]);
     while !rest.is_empty() {
         let (&[code, high, low], after) =
@@ -97,7 +97,7 @@
             }
         }
     }
-    Ok(Signal { kind, of: session, cause, description, fields })
+    Ok(Signal { kind, session: session, cause, description, fields })
 }
 
 /// Encodes a message with its length prefix.
@@ -105,7 +105,7 @@
 /// # Errors
 /// The message or one of its parameters is too long.
 pub fn write(
-    kind: Kind, session: Ref, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&[u8]>,
+    kind: Kind, session: SessionRef, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&[u8]>,
 ) -> Result<Vec<u8>, String> {
     let type_number =
         KINDS.iter().find(|(known, ..)| *known == kind).map_or(0, |(.., type_number)| *type_number);
@@ -120,7 +120,7 @@
         bytes.extend(length.to_be_bytes());
         bytes.extend(value);
     }
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(format!("message is too long: {} bytes", bytes.len()));
     }
     let length = (bytes.len() - LENGTH_PREFIX_BYTES) as u16;
--- a/crates/signal/src/lib.rs
+++ b/crates/signal/src/lib.rs
@@ -11,11 +11,11 @@
 
 /// The greatest length of a message, in bytes. It includes the length prefix of a binary message and the
 /// line end of a line that is written, but not the line end of a line that is read.
-pub const LONGEST: usize = 16 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
 
 /// The reference that identifies a session on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ref(pub u64);
+pub struct SessionRef(pub u64);
 
 /// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,11 +29,11 @@
     /// Ends a set-up or a session, with a cause.
     Release,
     /// Acknowledges a message.
-    Heard,
+    Ack,
     /// A heartbeat request.
-    Test,
+    Heartbeat,
     /// The reply to a heartbeat request.
-    Tested,
+    HeartbeatAck,
     /// A notification about a session or its server, such as a load figure.
     Note,
     /// Moves a session to another server.
@@ -48,9 +48,9 @@
     (Kind::Progress, "wait", 6),
     (Kind::Answer, "up", 9),
     (Kind::Release, "down", 12),
-    (Kind::Heard, "ack", 16),
-    (Kind::Test, "hb", 52),
-    (Kind::Tested, "hb_ok", 53),
+    (Kind::Ack, "ack", 16),
+    (Kind::Heartbeat, "hb", 52),
+    (Kind::HeartbeatAck, "hb_ok", 53),
     (Kind::Note, "tell", 44),
     (Kind::Move, "shift", 51),
     (Kind::Rung, "step", 60),
@@ -61,7 +61,7 @@
 pub enum Field {
     Package,
     /// How much longer the viewer waits for an answer, in milliseconds.
-    Left,
+    TimeLeft,
     Tenant,
     Title,
     /// Further parameters as `name:value` pairs, separated by semicolons.
@@ -72,21 +72,21 @@
     Report,
     Rung,
     /// The value that a notification reports.
-    Figure,
+    NoteValue,
 }
 
 /// Each field with its name in JSON lines and its code in binary messages. An empty name or a code of 0
 /// means that the encoding has no such field.
 const FIELDS: [(Field, &str, u8); 9] = [
     (Field::Package, "class", 64),
-    (Field::Left, "left", 66),
+    (Field::TimeLeft, "left", 66),
     (Field::Tenant, "tenant", 0),
     (Field::Title, "key", 72),
     (Field::Extras, "extras", 0),
     (Field::Note, "", 78),
     (Field::Report, "", 82),
     (Field::Rung, "", 86),
-    (Field::Figure, "", 88),
+    (Field::NoteValue, "", 88),
 ];
 
 /// A decoded message.
@@ -94,7 +94,7 @@
 pub struct Signal<'a> {
     pub kind: Kind,
     /// The session that the message concerns.
-    pub of: Ref,
+    pub session: SessionRef,
     pub cause: Option<u8>,
     pub description: Option<Cow<'a, [u8]>>,
     fields: Vec<(Field, Cow<'a, str>)>,
@@ -107,7 +107,7 @@
     }
 
     /// The value of a field as a whole number.
-    pub fn whole(&self, field: Field) -> Option<u64> {
+    pub fn integer(&self, field: Field) -> Option<u64> {
         self.text(field)?.parse().ok()
     }
 
@@ -124,7 +124,7 @@
 }
 
 /// Parses an id, which consists of sixteen hexadecimal digits.
-pub fn id(text: &str) -> Option<u64> {
+pub fn parse_id(text: &str) -> Option<u64> {
     let well_formed = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| well_formed)
 }
--- a/crates/signal/src/line.rs
+++ b/crates/signal/src/line.rs
@@ -3,7 +3,7 @@
 //! Each line is an object with the keys `t` (kind), `ref` (session reference), `f` (fields), `c` (cause)
 //! and `d` (description); the last three may be left out.
 
-use crate::{FIELDS, Field, KINDS, Kind, LONGEST, Ref, Signal, id};
+use crate::{FIELDS, Field, KINDS, Kind, MAX_MESSAGE_BYTES, SessionRef, Signal, parse_id};
 use serde_json::{Map, Value, json};
 use std::borrow::Cow;
 
@@ -27,21 +27,23 @@
     ///
     /// # Errors
     /// The line exceeds the greatest length of a message; the connection has to be closed.
-    pub fn cut(&mut self) -> Result<Option<&[u8]>, String> {
+    pub fn next_line(&mut self) -> Result<Option<&[u8]>, String> {
         let rest = &self.buffer[self.consumed_bytes..];
-        match rest.iter().take(LONGEST + 1).position(|byte| *byte == b'\n') {
+        match rest.iter().take(MAX_MESSAGE_BYTES + 1).position(|byte| *byte == b'\n') {
             Some(end) => {
                 let start = self.consumed_bytes;
                 self.consumed_bytes += end + 1;
                 Ok(Some(&self.buffer[start..start + end]))
             }
-            None if rest.len() > LONGEST => Err(format!("line is longer than {LONGEST} bytes")),
+            None if rest.len() > MAX_MESSAGE_BYTES => {
+                Err(format!("line is longer than {MAX_MESSAGE_BYTES} bytes"))
+            }
             None => Ok(None),
         }
     }
 
     /// Whether the buffer holds an incomplete line.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         self.consumed_bytes < self.buffer.len()
     }
 }
@@ -58,8 +60,8 @@
     };
     let kind = message.get("t").and_then(Value::as_str).ok_or("t is missing or not a string")?;
     let kind = KINDS.iter().find(|(_, name, _)| *name == kind).ok_or("t is not a known message kind")?.0;
-    let session = message.get("ref").and_then(Value::as_str).and_then(id);
-    let session = Ref(session.ok_or("ref is missing or not sixteen hexadecimal digits")?);
+    let session = message.get("ref").and_then(Value::as_str).and_then(parse_id);
+    let session = SessionRef(session.ok_or("ref is missing or not sixteen hexadecimal digits")?);
     let cause = match message.get("c") {
         None => None,
         Some(cause) => {
@@ -87,7 +89,7 @@
         };
         known_fields.push((*field, Cow::Owned(value)));
     }
-    Ok(Signal { kind, of: session, cause, description, fields: known_fields })
+    Ok(Signal { kind, session: session, cause, description, fields: known_fields })
 }
 
 /// Encodes a message as a line with its line end.
@@ -95,7 +97,7 @@
 /// # Errors
 /// The line is too long.
 pub fn write(
-    kind: Kind, session: Ref, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&str>,
+    kind: Kind, session: SessionRef, fields: &[(Field, &str)], cause: Option<u8>, description: Option<&str>,
 ) -> Result<Vec<u8>, String> {
     let name = KINDS.iter().find(|(known, ..)| *known == kind).map_or("", |(_, name, _)| name);
     let field_name =
@@ -111,5 +113,9 @@
     }
     let mut bytes = line.to_string().into_bytes();
     bytes.push(b'\n');
-    if bytes.len() > LONGEST { Err(format!("line is longer than {LONGEST} bytes")) } else { Ok(bytes) }
+    if bytes.len() > MAX_MESSAGE_BYTES {
+        Err(format!("line is longer than {MAX_MESSAGE_BYTES} bytes"))
+    } else {
+        Ok(bytes)
+    }
 }
--- a/crates/signal/src/tests.rs
+++ b/crates/signal/src/tests.rs
@@ -2,23 +2,23 @@
 
 use crate::binary::Messages;
 use crate::line::Lines;
-use crate::{Field, Kind, LONGEST, Ref, binary, id, line};
+use crate::{Field, Kind, MAX_MESSAGE_BYTES, SessionRef, binary, line, parse_id};
 use proptest::prelude::*;
 
-const SESSION: Ref = Ref(0x9b1f_03aa_5c7e_2d41);
+const SESSION: SessionRef = SessionRef(0x9b1f_03aa_5c7e_2d41);
 
 #[test]
 fn every_kind_is_read_and_written_in_both_encodings() {
     let cases: [(Kind, Option<u8>, &str, &[u8]); 5] = [
         (Kind::Release, Some(34), r#"{"t":"down","ref":"9b1f03aa5c7e2d41","f":{},"c":34}"#, &[12]),
-        (Kind::Test, Some(0), r#"{"t":"hb","ref":"9b1f03aa5c7e2d41","f":{},"c":0}"#, &[52]),
-        (Kind::Tested, Some(1), r#"{"t":"hb_ok","ref":"9b1f03aa5c7e2d41","f":{},"c":1}"#, &[53]),
-        (Kind::Heard, None, r#"{"t":"ack","ref":"9b1f03aa5c7e2d41"}"#, &[16]),
+        (Kind::Heartbeat, Some(0), r#"{"t":"hb","ref":"9b1f03aa5c7e2d41","f":{},"c":0}"#, &[52]),
+        (Kind::HeartbeatAck, Some(1), r#"{"t":"hb_ok","ref":"9b1f03aa5c7e2d41","f":{},"c":1}"#, &[53]),
+        (Kind::Ack, None, r#"{"t":"ack","ref":"9b1f03aa5c7e2d41"}"#, &[16]),
         (Kind::Move, None, r#"{"t":"shift","ref":"9b1f03aa5c7e2d41","f":{}}"#, &[51]),
     ];
     for (kind, cause, text, header) in cases {
         let read = line::read(text.as_bytes()).expect(text);
-        assert_eq!((read.kind, read.of, read.cause), (kind, SESSION, cause), "{text}");
+        assert_eq!((read.kind, read.session, read.cause), (kind, SESSION, cause), "{text}");
         let written = line::write(kind, SESSION, &[], cause, None).expect(text);
         assert_eq!(line::read(&written).expect(text), read, "{text}");
         let parameters: Vec<u8> = cause.into_iter().flat_map(|cause| [92, 0, 1, cause]).collect();
@@ -35,11 +35,11 @@
         .replace('\n', "");
     let read = line::read(text.as_bytes()).expect("a set-up");
     assert_eq!(read.description.as_deref(), Some("a\r\n\u{e4}\0".as_bytes()));
-    assert_eq!((read.whole(Field::Left), read.text(Field::Tenant)), (Some(1500), Some("acme")));
+    assert_eq!((read.integer(Field::TimeLeft), read.text(Field::Tenant)), (Some(1500), Some("acme")));
     assert_eq!((read.extra("home"), read.extra("again"), read.extra("at")), (Some("4"), Some("1"), None));
     let fields = [
         (Field::Package, "paid"),
-        (Field::Left, "1500"),
+        (Field::TimeLeft, "1500"),
         (Field::Title, "7f3a9c21e0b4d655"),
         (Field::Rung, "2"),
     ];
@@ -47,14 +47,14 @@
         binary::write(Kind::SetUp, SESSION, &fields, None, read.description.as_deref()).expect("a set-up");
     let mut messages = Messages::default();
     messages.push(&bytes);
-    let message = messages.cut().expect("whole").expect("one").to_vec();
+    let message = messages.next_message().expect("whole").expect("one").to_vec();
     let forwarded = binary::read(&message).expect("a set-up");
     assert_eq!(forwarded.description, read.description);
     assert_eq!(
-        (forwarded.text(Field::Title), forwarded.whole(Field::Rung)),
+        (forwarded.text(Field::Title), forwarded.integer(Field::Rung)),
         (read.text(Field::Title), Some(2))
     );
-    assert!(!messages.begun());
+    assert!(!messages.has_partial_message());
 }
 
 #[test]
@@ -98,12 +98,12 @@
     {
         let mut messages = Messages::default();
         messages.push(&length.to_be_bytes());
-        assert_eq!(messages.cut().is_ok(), fits, "{length}");
+        assert_eq!(messages.next_message().is_ok(), fits, "{length}");
     }
-    for (length, fits) in [(LONGEST, true), (LONGEST + 1, false)] {
+    for (length, fits) in [(MAX_MESSAGE_BYTES, true), (MAX_MESSAGE_BYTES + 1, false)] {
         let mut lines = Lines::default();
         lines.push(&vec![b'x'; length]);
-        assert_eq!(lines.cut().is_ok(), fits, "{length}");
+        assert_eq!(lines.next_line().is_ok(), fits, "{length}");
         let overhead = line::write(Kind::Answer, SESSION, &[], None, Some("")).expect("empty").len();
         let description = "x".repeat(length - overhead);
         assert_eq!(
@@ -113,7 +113,7 @@
         );
     }
     for (text, parsed) in [("00000000000000ff", Some(255)), ("0x000000000000ff", None), ("ff", None)] {
-        assert_eq!(id(text), parsed, "{text}");
+        assert_eq!(parse_id(text), parsed, "{text}");
     }
 }
 
@@ -128,15 +128,15 @@
             if !lines_failed {
                 lines.push(piece);
             }
-            while let Some(line) = lines.cut().unwrap_or_else(|_| { lines_failed = true; None }) {
-                prop_assert!(line.len() <= LONGEST);
+            while let Some(line) = lines.next_line().unwrap_or_else(|_| { lines_failed = true; None }) {
+                prop_assert!(line.len() <= MAX_MESSAGE_BYTES);
                 let _ = line::read(line);
             }
             if !messages_failed {
                 messages.push(piece);
             }
-            while let Some(message) = messages.cut().unwrap_or_else(|_| { messages_failed = true; None }) {
-                prop_assert!(message.len() <= LONGEST);
+            while let Some(message) = messages.next_message().unwrap_or_else(|_| { messages_failed = true; None }) {
+                prop_assert!(message.len() <= MAX_MESSAGE_BYTES);
                 let _ = binary::read(message);
             }
         }
@@ -149,10 +149,10 @@
         let cut = cut.min(bytes.len());
         messages.push(&bytes[..cut]);
         if cut < bytes.len() {
-            prop_assert_eq!(messages.cut(), Ok(None));
+            prop_assert_eq!(messages.next_message(), Ok(None));
             messages.push(&bytes[cut..]);
         }
-        let message = messages.cut().expect("whole").expect("one").to_vec();
+        let message = messages.next_message().expect("whole").expect("one").to_vec();
         let read = binary::read(&message).expect("an answer");
         prop_assert_eq!(read.description.as_deref(), Some(&description[..]));
         prop_assert_eq!(read.text(Field::Report), Some("x0:12"));
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -4,7 +4,7 @@
 use ivyward_rules::SetUpEnd;
 use ivyward_signal::binary::{self, Messages};
 use ivyward_signal::line::{self, Lines};
-use ivyward_signal::{Field, Kind, Ref, Signal};
+use ivyward_signal::{Field, Kind, SessionRef, Signal};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -63,7 +63,7 @@
     pub at: Instant,
     pub connection: usize,
     pub kind: Kind,
-    pub of: Ref,
+    pub of: SessionRef,
     pub cause: Option<u8>,
     pub description: Option<Vec<u8>>,
     pub package: Option<String>,
@@ -75,7 +75,7 @@
 pub struct End {
     pub at: Instant,
     pub connection: usize,
-    pub of: Ref,
+    pub of: SessionRef,
     pub how: SetUpEnd,
 }
 
@@ -93,7 +93,7 @@
     /// What was written on connections, in bytes.
     pub written_bytes: Cell<usize>,
     /// Set-ups without an end, and the connections that they came on.
-    open_set_ups: RefCell<BTreeSet<(usize, Ref)>>,
+    open_set_ups: RefCell<BTreeSet<(usize, SessionRef)>>,
     connections: RefCell<Vec<Out>>,
     accept_mode: watch::Sender<AcceptMode>,
 }
@@ -196,7 +196,7 @@
             let open = std::mem::take(&mut *serves.open_set_ups.borrow_mut());
             let (lost, others) = open.into_iter().partition(|(connection, _)| *connection == number);
             *serves.open_set_ups.borrow_mut() = others;
-            let lost: BTreeSet<(usize, Ref)> = lost;
+            let lost: BTreeSet<(usize, SessionRef)> = lost;
             lost.into_iter().for_each(|(connection, of)| serves.record_end(connection, of, SetUpEnd::Closed));
         });
     }
@@ -227,7 +227,7 @@
                 read = stream.read(&mut piece) => {
                     let Ok(read @ 1..) = read else { return };
                     messages.push(&piece[..read]);
-                    while let Ok(Some(message)) = messages.cut() {
+                    while let Ok(Some(message)) = messages.next_message() {
                         let Ok(signal) = binary::read(message) else { return };
                         self.on_signal(number, &signal);
                     }
@@ -236,19 +236,19 @@
         }
     }
 
-    fn record_end(&self, connection: usize, of: Ref, how: SetUpEnd) {
+    fn record_end(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
         self.set_up_ends.borrow_mut().push(End { at: Instant::now(), connection, of, how });
     }
 
     /// A set-up that was open has its end.
-    fn end_set_up(&self, connection: usize, of: Ref, how: SetUpEnd) {
+    fn end_set_up(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
         if self.open_set_ups.borrow_mut().remove(&(connection, of)) {
             self.record_end(connection, of, how);
         }
     }
 
     fn on_signal(&self, connection: usize, signal: &Signal) {
-        let of = signal.of;
+        let of = signal.session;
         if signal.kind == Kind::SetUp {
             self.open_set_ups.borrow_mut().insert((connection, of));
         } else if signal.kind == Kind::Release {
@@ -262,7 +262,7 @@
             cause: signal.cause,
             description: signal.description.as_deref().map(<[u8]>::to_vec),
             package: signal.text(Field::Package).map(Into::into),
-            rung: signal.whole(Field::Rung),
+            rung: signal.integer(Field::Rung),
         });
         let say = |bytes| self.send_bytes(connection, bytes);
         let up = |of, description: &[u8]| {
@@ -277,9 +277,9 @@
         };
         let description = signal.description.as_deref().unwrap_or_default();
         match (signal.kind, self.behavior.get()) {
-            (Kind::Test, _) if self.answers_tests.get() => {
+            (Kind::Heartbeat, _) if self.answers_tests.get() => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
-                say(binary::write(Kind::Tested, of, &report, Some(1), None).unwrap_or_default());
+                say(binary::write(Kind::HeartbeatAck, of, &report, Some(1), None).unwrap_or_default());
             }
             (Kind::SetUp, Behavior::Plays) => {
                 self.end_set_up(connection, of, SetUpEnd::Plays);
@@ -287,7 +287,7 @@
             }
             (Kind::SetUp, Behavior::PlaysTwice) => say([up(of, description), up(of, description)].concat()),
             (Kind::SetUp, Behavior::AnswersOtherFirst) => {
-                say([up(Ref(!of.0), description), up(of, description)].concat());
+                say([up(SessionRef(!of.0), description), up(of, description)].concat());
             }
             (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, of, cause),
             (Kind::SetUp, Behavior::Resets) => self.reset(connection),
@@ -308,7 +308,7 @@
         }
     }
 
-    pub fn release(&self, connection: usize, of: Ref, cause: u8) {
+    pub fn release(&self, connection: usize, of: SessionRef, cause: u8) {
         // Full and moot: it never ran.
         let never = [34, 102].contains(&cause);
         self.end_set_up(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::Errored });
@@ -451,7 +451,7 @@
         self.stream.write_all(bytes).await.is_ok()
     }
 
-    pub async fn send_signal(&mut self, kind: Kind, of: Ref, cause: Option<u8>) -> bool {
+    pub async fn send_signal(&mut self, kind: Kind, of: SessionRef, cause: Option<u8>) -> bool {
         let line = line::write(kind, of, &[], cause, None).unwrap_or_default();
         self.write(&line).await
     }
@@ -468,7 +468,7 @@
             let read = timeout(left, self.stream.read(&mut piece)).await;
             let Ok(Ok(read @ 1..)) = read else { return None };
             self.lines.push(&piece[..read]);
-            while let Ok(Some(line)) = self.lines.cut() {
+            while let Ok(Some(line)) = self.lines.next_line() {
                 self.received_lines.push_back(line.to_vec());
             }
         }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -147,7 +147,7 @@
         if code == 3 {
             let seed = r.u64(2, "prng")?;
             let all = options::read(r.tail(10, 1, "options")?)?;
-            let (mut manager, report) = (options::manager(seed, &all)?, options::report(&all));
+            let (mut manager, report) = (options::manager(seed, &all)?, options::report_gauges(&all));
             manager.start(act, now);
             self.instances.insert(who, Instance { manager, report });
             return Ok(());
