--- a/crates/daemon/src/birth.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -25,11 +25,11 @@
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => 0,
         Err(e) => return Err(told(e)),
     };
-    let birth = now.max(last + 1);
+    let incarnation = now.max(last + 1);
     // Guards against a file half written: the old one stays until the new one is whole on disk.
     let new = dir.join("birth.new");
     let mut out = File::create(&new).map_err(told)?;
-    out.write_all(format!("{birth}\n").as_bytes()).and_then(|()| out.sync_all()).map_err(told)?;
+    out.write_all(format!("{incarnation}\n").as_bytes()).and_then(|()| out.sync_all()).map_err(told)?;
     fs::rename(&new, &file).and_then(|()| File::open(dir)?.sync_all()).map_err(told)?;
-    Ok(birth)
+    Ok(incarnation)
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod quality;
 pub mod setup;
 
-pub mod birth;
+pub mod incarnation;
 mod link;
 mod list;
 mod paid;
@@ -110,18 +110,18 @@
     let wanted = manager.text("listen");
     let listener = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("{wanted}: {e}"))?;
-    let birth = birth::next(&manager.text("state_dir"), (outside.clock)())?;
+    let incarnation = incarnation::next(&manager.text("state_dir"), (outside.clock)())?;
     let paid = paid::Paid::open(&manager.text("state_dir"), (outside.clock)())?;
     let local = LocalSet::new();
     local
         .run_until(async {
             let peers = match setup::peers(settings) {
-                Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(birth)).await?),
+                Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(incarnation)).await?),
                 None => None,
             };
             let outer = (outside.clock, outside.dropped);
-            let shell = Shell::start(settings, policy, (birth, paid), peers, address, outer)?;
-            tracing::info!(manager = manager.text("name"), %address, birth, "takes viewings");
+            let shell = Shell::start(settings, policy, (incarnation, paid), peers, address, outer)?;
+            tracing::info!(manager = manager.text("name"), %address, birth = incarnation, "takes viewings");
             let quality = quality::Quality::start(shell.clone(), settings);
             if manager.has("console") {
                 let wanted = manager.text("console");
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -77,11 +77,11 @@
 
 /// One tune-in on its socket, from the connection to what became of it. `until`: when nobody waits for it any more.
 pub async fn set_up(
-    shell: Shell, who: (SessionId, usize), (vw, tune_in): (ViewingId, TuneIn), server: ServerId, rung: usize,
-    about: (PackageId, TitleId), until: Duration,
+    shell: Shell, who: (SessionId, usize), (viewing_id, tune_in): (ViewingId, TuneIn), server: ServerId,
+    rung: usize, about: (PackageId, TitleId), until: Duration,
 ) {
     let (attempt_result, load) = match shell.place(server, Purpose::SetUp, until).await {
-        Some(_place) => tried(&shell, who, vw, tune_in, server, rung, about, until).await,
+        Some(_place) => tried(&shell, who, viewing_id, tune_in, server, rung, about, until).await,
         // Guards against a queue at one server that outlasts its viewers.
         None => (Some(AttemptResult::NotWritten), LoadReport::default()),
     };
@@ -92,16 +92,16 @@
         shell.0.paid.add((who.0, server, Duration::ZERO)).await.ok();
     }
     let Some(attempt_result) = attempt_result else { return };
-    tracing::debug!(viewing = vw.0, tune_in = tune_in.0, server = %server_address(server), attempt_result = ?attempt_result, "set-up");
+    tracing::debug!(viewing = viewing_id.0, tune_in = tune_in.0, server = %server_address(server), happened = ?attempt_result, "set-up");
     shell.tell(move |core, host, now| {
-        host.over(vw, tune_in);
-        core.on_attempt_result(host, now, vw, tune_in, attempt_result, load);
+        host.over(viewing_id, tune_in);
+        core.on_attempt_result(host, now, viewing_id, tune_in, attempt_result, load);
     });
 }
 
 async fn tried(
-    shell: &Shell, (session, top): (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId,
-    rung: usize, (package, title): (PackageId, TitleId), until: Duration,
+    shell: &Shell, (session, top): (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
+    server: ServerId, rung: usize, (package, title): (PackageId, TitleId), until: Duration,
 ) -> (Option<AttemptResult>, LoadReport) {
     let none = LoadReport::default();
     let address = server_address(server);
@@ -127,8 +127,8 @@
                 if word != ClaimOutcome::Granted {
                     let (taken, come_back) = (word == ClaimOutcome::Taken, shell.0.come_back);
                     shell.tell(move |core, host, now| {
-                        host.over(vw, tune_in);
-                        core.on_claim_denied(host, now, vw, tune_in, taken, come_back);
+                        host.over(viewing_id, tune_in);
+                        core.on_claim_denied(host, now, viewing_id, tune_in, taken, come_back);
                     });
                     shell.0.pool.put(address, connection);
                     return (None, none);
@@ -147,7 +147,7 @@
             }
             let (tell, told) = oneshot::channel();
             shell.tell(move |core, host, now| {
-                let _ = tell.send(core.may_send_set_up(host, now, vw, tune_in));
+                let _ = tell.send(core.may_send_set_up(host, now, viewing_id, tune_in));
             });
             allowed = told.await.unwrap_or(false);
             if !allowed {
@@ -163,7 +163,7 @@
         let length = title.map_or(Duration::ZERO, |title| title.length);
         let segments = (length.as_secs_f64() / inner.segment.as_secs_f64()).ceil() as u64;
         let body = json!({
-            "manager": inner.name, "birth": inner.birth, "vw": vw.0, "n": tune_in.0,
+            "manager": inner.name, "birth": inner.incarnation, "vw": viewing_id.0, "n": tune_in.0,
             "session": format!("{:032x}", session.0), "package": package.0,
             "title": title.map_or("", |title| title.name.as_str()), "rung": rung, "top": top, "rates": rates,
             "lease_ms": inner.lease.as_millis() as u64, "segment_ms": inner.segment.as_millis() as u64,
@@ -233,8 +233,8 @@
     }
 }
 
-fn path(shell: &Shell, (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn)) -> String {
-    format!("/viewings/{}/{}/{}/{}", encoded(&shell.0.name), birth.0, vw.0, tune_in.0)
+fn path(shell: &Shell, (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn)) -> String {
+    format!("/viewings/{}/{}/{}/{}", encoded(&shell.0.name), incarnation.0, viewing_id.0, tune_in.0)
 }
 
 /// Asks again and again, with growing pauses, until it is answered or no longer matters.
@@ -317,7 +317,7 @@
 
 /// One connection's notes, to its end. Whether any came.
 async fn notes(shell: &Shell, server: ServerId) -> bool {
-    let path = format!("/notes?manager={}&birth={}", encoded(&shell.0.name), shell.0.birth);
+    let path = format!("/notes?manager={}&birth={}", encoded(&shell.0.name), shell.0.incarnation);
     let mut connection = match Connection::open(server_address(server), shell.0.connect).await {
         Ok(connection) => connection,
         Err(error) => {
@@ -362,9 +362,9 @@
 
 fn heard(shell: &Shell, server: ServerId, told: &Value) {
     let tune_in = |of: &Value| {
-        let vw = u32::try_from(of["vw"].as_u64()?).ok()?;
+        let viewing_id = u32::try_from(of["vw"].as_u64()?).ok()?;
         let n = u16::try_from(of["n"].as_u64()?).ok()?;
-        Some((Incarnation(of["birth"].as_u64()?), ViewingId(vw), TuneIn(n)))
+        Some((Incarnation(of["birth"].as_u64()?), ViewingId(viewing_id), TuneIn(n)))
     };
     if let Some(rows) = told["playing"].as_array() {
         let row = |of: &Value| {
@@ -388,15 +388,16 @@
             core.on_inventory_complete(host, now, server);
         });
     }
-    let Some((birth, vw, n)) = tune_in(told) else { return };
+    let Some((incarnation, viewing_id, n)) = tune_in(told) else { return };
     let over = match told["over"].as_str() {
         Some("ended") => Some(EndReason::Completed),
         Some("left") => Some(EndReason::ViewerLeft),
         _ => None,
     };
     if let Some(why) = over {
-        return shell
-            .tell(move |core, host, now| core.on_viewing_ended(host, now, server, (birth, vw, n), why));
+        return shell.tell(move |core, host, now| {
+            core.on_viewing_ended(host, now, server, (incarnation, viewing_id, n), why)
+        });
     }
     let x = told["x"].as_f64().unwrap_or(f64::NAN);
     let news = match told["note"].as_str() {
@@ -406,6 +407,6 @@
         _ => return,
     };
     if x.is_finite() && x >= 0.0 {
-        shell.tell_if_free(move |core, _, now| core.on_server_update(now, server, vw, news));
+        shell.tell_if_free(move |core, _, now| core.on_server_update(now, server, viewing_id, news));
     }
 }
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -83,13 +83,13 @@
 
 fn listed(row: &Value, now: Duration, births: &mut Births) -> Option<ServerEntry> {
     let server = server_id(row["server"].as_str()?)?;
-    let birth = row["birth"].as_u64()?;
+    let incarnation = row["birth"].as_u64()?;
     let before = births.get(&server).copied();
-    let known = before.filter(|(number, _)| *number == birth).map(|(_, started_at)| started_at);
+    let known = before.filter(|(number, _)| *number == incarnation).map(|(_, started_at)| started_at);
     let age = row["age_ms"].as_u64().map(Duration::from_millis);
     // Guards against another start that is told without its age: it was since the last, so it counts as just now.
     let started_at = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
-    births.insert(server, (birth, started_at));
+    births.insert(server, (incarnation, started_at));
     Some(ServerEntry {
         server,
         state: match row["standing"].as_str()? {
@@ -126,9 +126,9 @@
         ];
         for (told, started_at) in cases {
             let mut births = Births::new();
-            let row = |(birth, age): &(u64, Option<u64>)| {
+            let row = |(incarnation, age): &(u64, Option<u64>)| {
                 json!({
-                    "server": "127.0.0.1:80", "standing": "ready", "birth": birth, "age_ms": age, "cell": 0,
+                    "server": "127.0.0.1:80", "standing": "ready", "birth": incarnation, "age_ms": age, "cell": 0,
                     "weight": 1.0, "zone": 0, "kind": 0,
                 })
             };
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -39,7 +39,7 @@
 
 pub struct Inner {
     pub name: String,
-    pub birth: u64,
+    pub incarnation: u64,
     pub address: SocketAddr,
     pub pool: Pool,
     pub connect: Duration,
@@ -89,8 +89,9 @@
     /// # Errors
     /// The settings don't fit together.
     pub fn start(
-        settings: &Section, policy: Box<dyn Policy>, (birth, (paid, spent)): (u64, (Paid, Vec<paid::Row>)),
-        peers: Option<Peers>, address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
+        settings: &Section, policy: Box<dyn Policy>,
+        (incarnation, (paid, spent)): (u64, (Paid, Vec<paid::Row>)), peers: Option<Peers>,
+        address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
     ) -> Result<Shell, String> {
         let (manager, limits) = (settings.section("manager"), settings.section("limits"));
         let manifest = settings.section("manifest");
@@ -99,7 +100,7 @@
         let (events, event_loop) = channel(spans);
         let inner = Inner {
             name: manager.text("name"),
-            birth,
+            incarnation,
             address,
             pool: Pool::default(),
             connect: limits.duration("connect_s"),
@@ -144,7 +145,7 @@
             setup::terms(settings),
             spans,
             setup::ration(settings),
-            Incarnation(birth),
+            Incarnation(incarnation),
         );
         let mut host = DaemonHost {
             shell: shell.clone(),
@@ -478,8 +479,8 @@
     }
 
     /// A set-up has come to its end.
-    pub fn over(&mut self, vw: ViewingId, tune_in: TuneIn) {
-        self.out.remove(&(vw, tune_in));
+    pub fn over(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
+        self.out.remove(&(viewing_id, tune_in));
     }
 }
 
@@ -497,46 +498,51 @@
     }
 
     fn set_up(
-        &mut self, who: (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId, rung: usize,
-        about: (PackageId, TitleId), limit: Duration,
+        &mut self, who: (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn, server: ServerId,
+        rung: usize, about: (PackageId, TitleId), limit: Duration,
     ) {
         let until = self.shell.now() + limit;
-        let set_up = link::set_up(self.shell.clone(), who, (vw, tune_in), server, rung, about, until);
-        self.out.insert((vw, tune_in), spawn_local(set_up).abort_handle());
+        let set_up = link::set_up(self.shell.clone(), who, (viewing_id, tune_in), server, rung, about, until);
+        self.out.insert((viewing_id, tune_in), spawn_local(set_up).abort_handle());
     }
 
-    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
         // The connection goes with the task.
-        if let Some(task) = self.out.remove(&(vw, tune_in)) {
+        if let Some(task) = self.out.remove(&(viewing_id, tune_in)) {
             task.abort();
         }
     }
 
-    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
-        spawn_local(link::release(self.shell.clone(), server, (birth, vw, tune_in)));
+    fn release(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+    ) {
+        spawn_local(link::release(self.shell.clone(), server, (incarnation, viewing_id, tune_in)));
     }
 
     fn change_rung(
-        &mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn, rung: usize,
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+        rung: usize,
     ) {
-        spawn_local(link::change_rung(self.shell.clone(), server, (birth, vw, tune_in), rung));
+        spawn_local(link::change_rung(self.shell.clone(), server, (incarnation, viewing_id, tune_in), rung));
     }
 
     fn probe(&mut self, server: ServerId) {
         spawn_local(link::probe(self.shell.clone(), server));
     }
 
-    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn) {
-        spawn_local(link::query_last_fetch(self.shell.clone(), server, (birth, vw, tune_in)));
+    fn query_last_fetch(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+    ) {
+        spawn_local(link::query_last_fetch(self.shell.clone(), server, (incarnation, viewing_id, tune_in)));
     }
 
     fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.set(self.shell.now() + after, timer);
     }
 
-    fn report_violation(&mut self, violation: Violation, vw: ViewingId) {
+    fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
         if let Some(left_out) = self.shell.line("a rule") {
-            tracing::error!(breach = ?violation, viewing = vw.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule is broken");
         }
     }
 }
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -383,7 +383,7 @@
         let given = token_claims.granted.as_ref().filter(|given| given.manager == self.shell.0.name);
         let origin = given.and_then(|given| {
             let server = setup::server_id(&given.server.to_string())?;
-            Some(TokenOrigin::Manager { birth: given.birth, server, sequence: given.sequence })
+            Some(TokenOrigin::Manager { incarnation: given.incarnation, server, sequence: given.sequence })
         });
         let begun_at = self.shell.now();
         if token_claims.granted.is_none()
@@ -410,14 +410,15 @@
             self.shell.0.overload_gate.borrow_mut().record_answer(after);
         }
         match answer {
-            Answer::Plays { server, birth, vw, tune_in, rung, sequence } => {
+            Answer::Plays { server, incarnation, viewing_id, tune_in, rung, sequence } => {
                 let server = setup::server_address(server);
                 // The answer may have taken a while: what is said now is dated now.
                 let now = self.shell.date();
                 let said = token_claims.granted.as_ref().map(|given| given.began);
                 let began = self.shell.began(session, said);
-                let (manager, birth, vw, n) = (self.shell.0.name.clone(), birth.0, vw.0, tune_in.0);
-                let given = GrantedTuneIn { manager, birth, vw, n, server, sequence, began };
+                let (manager, incarnation, viewing_id, n) =
+                    (self.shell.0.name.clone(), incarnation.0, viewing_id.0, tune_in.0);
+                let given = GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began };
                 let token_claims = TokenClaims { granted: Some(given), ..token_claims };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
                 let page = self.manifest(title, server, rates, &token_claims, (began, now));
--- a/crates/daemon/tests/command.rs
+++ b/crates/daemon/tests/command.rs
@@ -110,11 +110,11 @@
     let dir = env::temp_dir().join(format!("ivyward-state-{}", std::process::id()));
     let name = dir.to_string_lossy().into_owned();
     let ms = Duration::from_millis;
-    for (date, birth) in [(ms(1000), 1000), (ms(500), 1001), (ms(1001), 1002), (ms(5000), 5000)] {
-        assert_eq!(ivyward_daemon::birth::next(&name, date), Ok(birth));
+    for (date, incarnation) in [(ms(1000), 1000), (ms(500), 1001), (ms(1001), 1002), (ms(5000), 5000)] {
+        assert_eq!(ivyward_daemon::incarnation::next(&name, date), Ok(incarnation));
     }
     fs::write(dir.join("birth"), "no number").expect("written");
-    assert!(ivyward_daemon::birth::next(&name, ms(1)).is_err_and(|e| e.contains("no number")));
+    assert!(ivyward_daemon::incarnation::next(&name, ms(1)).is_err_and(|e| e.contains("no number")));
     fs::remove_dir_all(&dir).ok();
-    assert_eq!(ivyward_daemon::birth::next("", ms(7)), Ok(7));
+    assert_eq!(ivyward_daemon::incarnation::next("", ms(7)), Ok(7));
 }
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -303,9 +303,9 @@
 }
 
 /// A line of the list of a server.
-pub fn row(address: SocketAddr, standing: &str, birth: u64, age_ms: Option<u64>) -> Value {
+pub fn row(address: SocketAddr, standing: &str, incarnation: u64, age_ms: Option<u64>) -> Value {
     json!({
-        "server": address.to_string(), "standing": standing, "birth": birth, "age_ms": age_ms, "cell": 3,
+        "server": address.to_string(), "standing": standing, "birth": incarnation, "age_ms": age_ms, "cell": 3,
         "weight": 1.0, "zone": 0, "kind": 0,
     })
 }
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -805,7 +805,8 @@
         seen.sort_by_key(|(_, seen)| seen.at);
         for (n, seen) in &seen {
             let number = numbers.entry(seen.of).and_modify(|n| *n += 1).or_insert(0u16);
-            let key = TuneInKey { manager: ManagerNo(0), birth: 1, vw: seen.of.0 as u32, n: *number };
+            let key =
+                TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id: seen.of.0 as u32, n: *number };
             let server = ServerNo(*n);
             let (session, rung) = (seen.of.0.into(), seen.rung.unwrap_or_default() as usize);
             let package = usize::from(seen.package.as_deref() == Some("ticket"));
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -40,8 +40,8 @@
         let server = ([127, 0, 0, 1], 80).into();
         let granted = GrantedTuneIn {
             manager: "m".into(),
-            birth: u64::MAX,
-            vw: 7,
+            incarnation: u64::MAX,
+            viewing_id: 7,
             n: 3,
             server,
             sequence: 9,
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -68,8 +68,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantedTuneIn {
     pub manager: String,
-    pub birth: u64,
-    pub vw: u32,
+    pub incarnation: u64,
+    pub viewing_id: u32,
     pub n: u16,
     pub server: SocketAddr,
     pub sequence: u32,
@@ -79,7 +79,8 @@
 impl GrantedTuneIn {
     /// Whether both are for one tune-in, whatever their turns.
     pub fn same_tune_in(&self, other: &GrantedTuneIn) -> bool {
-        let of = |granted: &GrantedTuneIn| (granted.birth, granted.vw, granted.n, granted.server);
+        let of =
+            |granted: &GrantedTuneIn| (granted.incarnation, granted.viewing_id, granted.n, granted.server);
         self.manager == other.manager && of(self) == of(other)
     }
 }
@@ -161,9 +162,11 @@
             "vw": format!("{:032x}", token_claims.session), "title": token_claims.title, "pkg": token_claims.package, "top": token_claims.top,
             "tenant": token_claims.tenant, "nbf": now.as_secs(), "exp": ends,
         });
-        if let Some(GrantedTuneIn { manager, birth, vw, n, server, sequence, began }) = &token_claims.granted
+        if let Some(GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began }) =
+            &token_claims.granted
         {
-            claims["tin"] = json!([manager, birth, vw, n, server.to_string(), sequence, began.as_secs()]);
+            claims["tin"] =
+                json!([manager, incarnation, viewing_id, n, server.to_string(), sequence, began.as_secs()]);
         }
         encode(&header, &claims, signs).map_err(|e| e.to_string())
     }
@@ -205,13 +208,13 @@
 
 fn parse_token_claims(claims: &Value) -> Option<TokenClaims> {
     let text = |name: &str| claims[name].as_str().map(String::from);
-    let session = text("vw").filter(|vw| vw.len() == 32)?;
+    let session = text("vw").filter(|viewing_id| viewing_id.len() == 32)?;
     let granted = match &claims["tin"] {
         Value::Null => None,
         tin => Some(GrantedTuneIn {
             manager: tin[0].as_str()?.to_string(),
-            birth: tin[1].as_u64()?,
-            vw: u32::try_from(tin[2].as_u64()?).ok()?,
+            incarnation: tin[1].as_u64()?,
+            viewing_id: u32::try_from(tin[2].as_u64()?).ok()?,
             n: u16::try_from(tin[3].as_u64()?).ok()?,
             server: tin[4].as_str()?.parse().ok()?,
             sequence: u32::try_from(tin[5].as_u64()?).ok()?,
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -151,7 +151,7 @@
 }
 
 fn given(sequence: u32) -> TokenOrigin {
-    TokenOrigin::Manager { birth: 1, server: server(1), sequence }
+    TokenOrigin::Manager { incarnation: 1, server: server(1), sequence }
 }
 
 #[test]
--- a/crates/edge/src/token_chain.rs
+++ b/crates/edge/src/token_chain.rs
@@ -11,7 +11,7 @@
     /// The app, at that date.
     App { issued: Duration },
     /// A manager: its start, the server that it sent the player to, and the token's turn.
-    Manager { birth: u64, server: ServerId, sequence: u32 },
+    Manager { incarnation: u64, server: ServerId, sequence: u32 },
 }
 
 /// A viewing's tokens from the first to the last.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TuneInKey {
     pub manager: ManagerNo,
-    pub birth: u64,
-    pub vw: u32,
+    pub incarnation: u64,
+    pub viewing_id: u32,
     pub n: u16,
 }
 
@@ -101,7 +101,7 @@
     up: bool,
     draining: bool,
     born: Option<Duration>,
-    birth: u64,
+    incarnation: u64,
     faults: Faults,
     streams: BTreeMap<TuneInKey, Stream>,
     /// The latest start of each manager, and the tune-ins that were released up to which number.
@@ -141,7 +141,7 @@
             up: true,
             draining: false,
             born: None,
-            birth: 1,
+            incarnation: 1,
             faults: Faults::default(),
             streams: BTreeMap::new(),
             births: BTreeMap::new(),
@@ -182,8 +182,8 @@
     }
 
     /// Its start's number, and when it was; none for long ago.
-    pub fn birth(&self, at: ServerNo) -> (u64, Option<Duration>) {
-        (self.servers[at.0].birth, self.servers[at.0].born)
+    pub fn incarnation(&self, at: ServerNo) -> (u64, Option<Duration>) {
+        (self.servers[at.0].incarnation, self.servers[at.0].born)
     }
 
     pub fn rack(&self, at: ServerNo) -> usize {
@@ -242,10 +242,10 @@
         let (places, slow) = (self.places, self.set_up);
         let server = &mut self.servers[at.0];
         // Guards against a set-up that outlived its manager, or its viewing's move elsewhere.
-        let birth = server.births.entry(key.manager).or_insert(key.birth);
-        *birth = key.birth.max(*birth);
-        let released = server.released.get(&(key.manager, key.birth, key.vw));
-        if key.birth < *birth
+        let incarnation = server.births.entry(key.manager).or_insert(key.incarnation);
+        *incarnation = key.incarnation.max(*incarnation);
+        let released = server.released.get(&(key.manager, key.incarnation, key.viewing_id));
+        if key.incarnation < *incarnation
             || released.is_some_and(|(n, _)| key.n <= *n)
             || server.streams.contains_key(&key)
         {
@@ -292,7 +292,8 @@
     pub fn release(&mut self, now: Duration, at: ServerNo, key: TuneInKey, keep: Duration) -> bool {
         let server = &mut self.servers[at.0];
         server.released.retain(|_, (_, until)| *until > now);
-        let released = server.released.entry((key.manager, key.birth, key.vw)).or_insert((key.n, now));
+        let released =
+            server.released.entry((key.manager, key.incarnation, key.viewing_id)).or_insert((key.n, now));
         *released = (released.0.max(key.n), now + keep);
         server.streams.remove(&key).is_some()
     }
@@ -327,15 +328,15 @@
 
     /// A manager's start makes itself known: what an earlier one sent and that has not run yet never will. False where a
     /// later start is known.
-    pub fn begins(&mut self, at: ServerNo, manager: ManagerNo, birth: u64) -> bool {
-        let last = self.servers[at.0].births.entry(manager).or_insert(birth);
-        *last = birth.max(*last);
-        birth == *last
+    pub fn begins(&mut self, at: ServerNo, manager: ManagerNo, incarnation: u64) -> bool {
+        let last = self.servers[at.0].births.entry(manager).or_insert(incarnation);
+        *last = incarnation.max(*last);
+        incarnation == *last
     }
 
     /// What a manager has there, from that start and from those before it.
-    pub fn playing(&self, at: ServerNo, manager: ManagerNo, birth: u64) -> Vec<TuneInKey> {
-        let ours = |key: &&TuneInKey| key.manager == manager && key.birth <= birth;
+    pub fn playing(&self, at: ServerNo, manager: ManagerNo, incarnation: u64) -> Vec<TuneInKey> {
+        let ours = |key: &&TuneInKey| key.manager == manager && key.incarnation <= incarnation;
         self.servers[at.0].streams.keys().filter(ours).copied().collect()
     }
 
@@ -378,7 +379,7 @@
     /// A process starts there, cold.
     pub fn start(&mut self, now: Duration, at: ServerNo) {
         let server = &mut self.servers[at.0];
-        (server.up, server.born, server.birth) = (true, Some(now), server.birth + 1);
+        (server.up, server.born, server.incarnation) = (true, Some(now), server.incarnation + 1);
         server.set_ups.clear();
     }
 
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -6,8 +6,8 @@
     Duration::from_millis(ms)
 }
 
-fn key(birth: u64, vw: u32, n: u16) -> TuneInKey {
-    TuneInKey { manager: ManagerNo(1), birth, vw, n }
+fn key(incarnation: u64, viewing_id: u32, n: u16) -> TuneInKey {
+    TuneInKey { manager: ManagerNo(1), incarnation, viewing_id, n }
 }
 
 fn fleet(places: usize, guard: f64) -> Fleet {
@@ -57,8 +57,9 @@
 #[test]
 fn places_guard_and_shares_hold() {
     let mut full = fleet(2, 0.0);
-    let came: Vec<_> =
-        (0..3).map(|vw| full.set_up(ms(0), ServerNo(0), key(1, vw, 0), &RATES, 2, ms(500))).collect();
+    let came: Vec<_> = (0..3)
+        .map(|viewing_id| full.set_up(ms(0), ServerNo(0), key(1, viewing_id, 0), &RATES, 2, ms(500)))
+        .collect();
     assert!(
         matches!(came[..], [SetUpOutcome::Plays(_), SetUpOutcome::Plays(_), SetUpOutcome::Full]),
         "{came:?}"
@@ -79,8 +80,8 @@
 #[test]
 fn streams_end_by_lease_last_segment_release_and_death() {
     let mut fleet = fleet(9, 0.0);
-    for vw in 0..4 {
-        fleet.set_up(ms(0), ServerNo(0), key(1, vw, 0), &RATES, 1, ms(500));
+    for viewing_id in 0..4 {
+        fleet.set_up(ms(0), ServerNo(0), key(1, viewing_id, 0), &RATES, 1, ms(500));
     }
     assert_eq!(
         fleet.fetch(ms(400), ServerNo(0), key(1, 0, 0), 2, false, ms(200)),
@@ -120,14 +121,14 @@
 #[test]
 fn notes_are_late_and_end_with_a_full_share() {
     let mut fleet = fleet(20, 0.0);
-    for vw in 0..5 {
-        fleet.set_up(ms(0), ServerNo(0), key(1, vw, 0), &RATES, 2, ms(90_000));
+    for viewing_id in 0..5 {
+        fleet.set_up(ms(0), ServerNo(0), key(1, viewing_id, 0), &RATES, 2, ms(90_000));
     }
     let mut told = vec![];
     for at in 0..100 {
         if at == 50 {
-            for vw in 0..4 {
-                fleet.release(ms(at * 100), ServerNo(0), key(1, vw, 0), ms(1));
+            for viewing_id in 0..4 {
+                fleet.release(ms(at * 100), ServerNo(0), key(1, viewing_id, 0), ms(1));
             }
         }
         told.extend(fleet.notes(ms(at * 100)).into_iter().map(|(_, _, note)| (at, note)));
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -64,17 +64,17 @@
         self.further.len() as f64 + 1.0 > free + share * self.taken.len() as f64
     }
 
-    fn tune_in(&mut self, act: &mut dyn Actions, vw: ViewingId) {
-        let rationed = self.viewings.get(&vw).is_some_and(|v| v.tune_ins > 0) && self.rationed();
-        let Some(v) = self.viewings.get_mut(&vw) else { return };
+    fn tune_in(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
+        let rationed = self.viewings.get(&viewing_id).is_some_and(|v| v.tune_ins > 0) && self.rationed();
+        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
         let holds =
             |cell: u32| (cell + self.places - v.cells.first % self.places) % self.places < v.cells.spread;
         let ready = |s: &&ServerEntry| s.state == ServerState::Ready && holds(s.cell % self.places);
         let holders: Vec<_> = self.servers.values().filter(ready).map(|s| s.server).collect();
         let left = v.ends.saturating_sub(self.now);
         if holders.is_empty() || rationed || v.tune_ins >= self.tune_ins || left.is_zero() {
-            self.viewings.remove(&vw);
-            return act.block(vw, None, RefusalReason::TuneInsUsedUp);
+            self.viewings.remove(&viewing_id);
+            return act.block(viewing_id, None, RefusalReason::TuneInsUsedUp);
         }
         let server = holders[self.chance.random_range(0..holders.len())];
         if v.tune_ins > 0 {
@@ -83,8 +83,8 @@
         v.tune_ins += 1;
         v.idle = false;
         let last = self.packages[v.package].0 || v.tune_ins == self.tune_ins;
-        act.set_rung(vw, v.rung);
-        act.tune_in(vw, server, if last { left } else { self.limit.min(left) });
+        act.set_rung(viewing_id, v.rung);
+        act.tune_in(viewing_id, server, if last { left } else { self.limit.min(left) });
     }
 }
 
@@ -99,8 +99,8 @@
     }
 
     fn on_request(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, _: TitleId,
-        cells: Cells, top: usize, ends: Duration,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
+        _: TitleId, cells: Cells, top: usize, ends: Duration,
     ) {
         self.now = now;
         self.taken.push_back(now);
@@ -109,50 +109,50 @@
         let rung = (floor + top.min(most).max(floor)) / 2;
         let viewing =
             Viewing { package: package.0, cells, rung, ends, tune_ins: 0, idle: true, answered: false };
-        self.viewings.insert(vw, viewing);
-        act.set_timer(ends.saturating_sub(now), u64::from(vw.0));
-        self.tune_in(act, vw);
+        self.viewings.insert(viewing_id, viewing);
+        act.set_timer(ends.saturating_sub(now), u64::from(viewing_id.0));
+        self.tune_in(act, viewing_id);
     }
 
-    fn on_playing(&mut self, now: Duration, vw: ViewingId, _: ServerId) {
+    fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, _: ServerId) {
         self.now = now;
-        self.viewings.entry(vw).and_modify(|v| v.answered = true);
+        self.viewings.entry(viewing_id).and_modify(|v| v.answered = true);
     }
 
     fn restore_viewing(
-        &mut self, now: Duration, vw: ViewingId, _: ServerId, package: PackageId, _: TitleId,
+        &mut self, now: Duration, viewing_id: ViewingId, _: ServerId, package: PackageId, _: TitleId,
         (rung, _): (usize, usize),
     ) {
         self.now = now;
         let (package, cells) = (package.0, Cells { first: 0, spread: 0 });
         let (ends, tune_ins, idle, answered) = (now, 1, false, true);
-        self.viewings.insert(vw, Viewing { package, cells, rung, ends, tune_ins, idle, answered });
+        self.viewings.insert(viewing_id, Viewing { package, cells, rung, ends, tune_ins, idle, answered });
     }
 
     fn on_tune_in_ended(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, _: u16, _: ServerId,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, _: u16, _: ServerId,
         outcome: TuneInOutcome, terminal: bool, _: LoadReport,
     ) {
         self.now = now;
-        let Some(v) = self.viewings.get_mut(&vw) else { return };
+        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
         v.idle = true;
         if terminal || v.answered {
-            self.viewings.remove(&vw);
+            self.viewings.remove(&viewing_id);
         } else if self.packages[v.package].0 && !outcome.never_ran() {
-            self.viewings.remove(&vw);
-            act.abort(vw, RefusalReason::MayHaveRun);
+            self.viewings.remove(&viewing_id);
+            act.abort(viewing_id, RefusalReason::MayHaveRun);
         } else {
-            self.tune_in(act, vw);
+            self.tune_in(act, viewing_id);
         }
     }
 
-    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
-        let Some(v) = self.viewings.get_mut(&vw) else { return };
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
+        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
         v.answered = true;
         if v.idle {
-            self.viewings.remove(&vw);
+            self.viewings.remove(&viewing_id);
         } else {
-            act.cancel_tune_in(vw, v.tune_ins - 1);
+            act.cancel_tune_in(viewing_id, v.tune_ins - 1);
         }
     }
 
@@ -164,17 +164,17 @@
 
     fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.now = now;
-        let vw = ViewingId(token as u32);
-        let Some(v) = self.viewings.get(&vw).filter(|v| !v.answered) else { return };
+        let viewing_id = ViewingId(token as u32);
+        let Some(v) = self.viewings.get(&viewing_id).filter(|v| !v.answered) else { return };
         let (paid, n, idle) = (self.packages[v.package].0, v.tune_ins, v.idle);
-        self.viewings.remove(&vw);
+        self.viewings.remove(&viewing_id);
         if !idle {
-            act.cancel_tune_in(vw, n - 1);
+            act.cancel_tune_in(viewing_id, n - 1);
         }
         if paid && n > 0 {
-            act.abort(vw, RefusalReason::PatienceOver)
+            act.abort(viewing_id, RefusalReason::PatienceOver)
         } else {
-            act.block(vw, None, RefusalReason::PatienceOver)
+            act.block(viewing_id, None, RefusalReason::PatienceOver)
         }
     }
 }
--- a/crates/lab/src/growth.rs
+++ b/crates/lab/src/growth.rs
@@ -88,15 +88,24 @@
 
     /// A viewing comes and plays; the time that the module took for it.
     fn places(&mut self) -> Duration {
-        let (vw, mut hand) = (ViewingId(self.next), Hand::default());
+        let (viewing_id, mut hand) = (ViewingId(self.next), Hand::default());
         self.next += 1;
         self.now += Duration::from_micros(500);
         let cells = Cells { first: self.next.wrapping_mul(7) % self.servers, spread: 6 };
         let (title, ends) = (TitleId(u64::from(cells.first)), self.now + Duration::from_secs(3));
         let begun = Instant::now();
-        self.manager.on_request(&mut hand, self.now, vw, PackageId(0), title, cells, RATES.len() - 1, ends);
+        self.manager.on_request(
+            &mut hand,
+            self.now,
+            viewing_id,
+            PackageId(0),
+            title,
+            cells,
+            RATES.len() - 1,
+            ends,
+        );
         if let Some(server) = hand.0 {
-            self.manager.on_playing(self.now, vw, server);
+            self.manager.on_playing(self.now, viewing_id, server);
         }
         begun.elapsed()
     }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -104,25 +104,29 @@
         self.did.push(Did::Answer(request, answer));
     }
     fn set_up(
-        &mut self, (session, top): (SessionId, usize), vw: ViewingId, n: TuneIn, server: ServerId,
+        &mut self, (session, top): (SessionId, usize), viewing_id: ViewingId, n: TuneIn, server: ServerId,
         rung: usize, (package, title): (PackageId, TitleId), _: Duration,
     ) {
-        self.did.push(Did::SetUp(session, top, (vw, n), no(server), rung, (package.0, title.0)));
+        self.did.push(Did::SetUp(session, top, (viewing_id, n), no(server), rung, (package.0, title.0)));
     }
-    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
-        self.did.push(Did::Drop(vw, n));
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, n: TuneIn) {
+        self.did.push(Did::Drop(viewing_id, n));
     }
-    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
-        self.did.push(Did::Release(no(server), birth, vw, n));
+    fn release(&mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn) {
+        self.did.push(Did::Release(no(server), incarnation, viewing_id, n));
     }
-    fn change_rung(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn, rung: usize) {
-        self.did.push(Did::Rung(no(server), birth, vw, n, rung));
+    fn change_rung(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn, rung: usize,
+    ) {
+        self.did.push(Did::Rung(no(server), incarnation, viewing_id, n, rung));
     }
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(no(server)));
     }
-    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, n: TuneIn) {
-        self.did.push(Did::Fetched(no(server), birth, vw, n));
+    fn query_last_fetch(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn,
+    ) {
+        self.did.push(Did::Fetched(no(server), incarnation, viewing_id, n));
     }
     fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.did.push(Did::Wake(after, timer));
@@ -135,7 +139,7 @@
 /// One manager: its core while it is up, its start, what it has on disk, and the servers whose notes it follows.
 struct Manager {
     core: Option<SessionCore>,
-    birth: u64,
+    incarnation: u64,
     paid: BTreeMap<SessionId, (ServerId, Duration)>,
     follows: BTreeSet<ServerNo>,
     gaps: Vec<(Duration, Option<Duration>)>,
@@ -145,7 +149,7 @@
 #[derive(Clone, Copy)]
 struct Row {
     standing: ServerState,
-    birth: u64,
+    incarnation: u64,
     born: Option<Duration>,
     cell: u32,
     weight: f64,
@@ -248,7 +252,7 @@
         for at in self.fleet.boxes().collect::<Vec<_>>() {
             let row = Row {
                 standing: ServerState::Ready,
-                birth: 1,
+                incarnation: 1,
                 born: None,
                 cell: (at.0 % cells) as u32,
                 weight: 1.0,
@@ -260,9 +264,9 @@
         }
         let begin = self.now;
         for i in 0..MANAGERS {
-            let (birth, gaps) = (100, vec![]);
+            let (incarnation, gaps) = (100, vec![]);
             let (paid, follows) = (BTreeMap::new(), BTreeSet::new());
-            self.managers.push(Manager { core: None, birth, paid, follows, gaps });
+            self.managers.push(Manager { core: None, incarnation, paid, follows, gaps });
             self.start(i);
         }
         self.tick();
@@ -318,9 +322,10 @@
 
     /// A turn at a manager's core, if that start of it is still up.
     fn turn(
-        &mut self, manager: usize, birth: u64, act: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration),
+        &mut self, manager: usize, incarnation: u64,
+        act: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration),
     ) {
-        if self.managers[manager].birth != birth {
+        if self.managers[manager].incarnation != incarnation {
             return;
         }
         let (now, mut effects) = (self.now, EffectLog::default());
@@ -328,38 +333,45 @@
         act(core, &mut effects, now);
         self.breaches += effects.breaches.len() as u64;
         for did in effects.did {
-            self.does(manager, birth, did);
+            self.does(manager, incarnation, did);
         }
     }
 
-    fn does(&mut self, manager: usize, birth: u64, did: Did) {
-        let key = |birth: Incarnation, vw: ViewingId, n: TuneIn| TuneInKey {
+    fn does(&mut self, manager: usize, incarnation: u64, did: Did) {
+        let key = |incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn| TuneInKey {
             manager: ManagerNo(manager as u32),
-            birth: birth.0,
-            vw: vw.0,
+            incarnation: incarnation.0,
+            viewing_id: viewing_id.0,
             n: n.0,
         };
         let way = self.way();
         match did {
             Did::Answer(request, answer) => self.answered(manager, request, answer),
-            Did::SetUp(session, top, (vw, n), server, rung, (package, title)) => {
+            Did::SetUp(session, top, (viewing_id, n), server, rung, (package, title)) => {
                 let rung = match self.spoilt {
                     Some(Spoilt::UnderFloor) => 0,
                     _ => rung,
                 };
-                let sent = Sent { key: key(Incarnation(birth), vw, n), session, package, title, rung, top };
+                let sent = Sent {
+                    key: key(Incarnation(incarnation), viewing_id, n),
+                    session,
+                    package,
+                    title,
+                    rung,
+                    top,
+                };
                 self.out.insert(sent.key, (server, false));
                 // Some connections take long, or wait for a place at a server's door.
                 let connects = if self.chance.random_bool(0.1) { way * 150 } else { way };
                 self.after(connects, move |w| w.connected(manager, server, sent));
             }
-            Did::Drop(vw, n) => self.closes_set_up(key(Incarnation(birth), vw, n)),
-            Did::Release(server, of, vw, n) => {
-                let key = key(of, vw, n);
+            Did::Drop(viewing_id, n) => self.closes_set_up(key(Incarnation(incarnation), viewing_id, n)),
+            Did::Release(server, of, viewing_id, n) => {
+                let key = key(of, viewing_id, n);
                 self.after(way, move |w| w.at_server(server, move |w| w.releases(server, key)));
             }
-            Did::Rung(server, of, vw, n, rung) => {
-                let key = key(of, vw, n);
+            Did::Rung(server, of, viewing_id, n, rung) => {
+                let key = key(of, viewing_id, n);
                 self.after(way, move |w| {
                     w.at_server(server, move |w| {
                         w.record(What::Rung { server, key, rung });
@@ -371,20 +383,22 @@
                 let load = (w.fleet.up(server) && !w.fleet.frozen(server)).then(|| w.load(server));
                 let after = if load.is_some() { way } else { Duration::from_millis(250) };
                 w.after(after, move |w| {
-                    w.turn(manager, birth, |f, h, now| f.on_probe_result(h, now, id(server), load))
+                    w.turn(manager, incarnation, |f, h, now| f.on_probe_result(h, now, id(server), load))
                 });
             }),
-            Did::Fetched(server, of, vw, n) => {
-                let key = key(of, vw, n);
+            Did::Fetched(server, of, viewing_id, n) => {
+                let key = key(of, viewing_id, n);
                 self.after(way, move |w| {
                     let quiet = w.fleet.quiet(w.now, server, key).filter(|_| !w.fleet.frozen(server));
-                    w.turn(manager, birth, |f, h, now| {
-                        f.on_last_fetch(h, now, id(server), (of, vw, n), quiet)
+                    w.turn(manager, incarnation, |f, h, now| {
+                        f.on_last_fetch(h, now, id(server), (of, viewing_id, n), quiet)
                     });
                 });
             }
             Did::Wake(span, timer) => {
-                self.after(span, move |w| w.turn(manager, birth, |f, h, now| f.on_timer(h, now, timer)));
+                self.after(span, move |w| {
+                    w.turn(manager, incarnation, |f, h, now| f.on_timer(h, now, timer))
+                });
             }
         }
     }
@@ -405,7 +419,7 @@
 
     /// The connection of a set-up stands, or nobody listens.
     fn connected(&mut self, manager: usize, server: ServerNo, sent: Sent) {
-        let (key, birth) = (sent.key, sent.key.birth);
+        let (key, incarnation) = (sent.key, sent.key.incarnation);
         if !self.out.contains_key(&key) {
             return;
         }
@@ -419,8 +433,10 @@
             let until = self.now + Duration::from_secs(600);
             self.managers[manager].paid.insert(sent.session, (id(server), until));
         }
-        let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
-        self.turn(manager, birth, |core, effects, now| allowed = core.may_send_set_up(effects, now, vw, n));
+        let (viewing_id, n) = (ViewingId(key.viewing_id), TuneIn(key.n));
+        self.turn(manager, incarnation, |core, effects, now| {
+            allowed = core.may_send_set_up(effects, now, viewing_id, n)
+        });
         if !allowed {
             self.out.remove(&key);
             if once {
@@ -496,12 +512,12 @@
         let Some((server, _)) = self.out.remove(&key) else { return };
         let load = self.load(server);
         let never_ran = matches!(what, AttemptResult::Refused | AttemptResult::NotWritten);
-        let (vw, n) = (ViewingId(key.vw), TuneIn(key.n));
+        let (viewing_id, n) = (ViewingId(key.viewing_id), TuneIn(key.n));
         if let Some(about) = self.abouts.get(&(server, key)).filter(|_| never_ran).copied() {
             self.managers[manager].paid.remove(&about.0);
         }
-        self.turn(manager, key.birth, |core, effects, now| {
-            core.on_attempt_result(effects, now, vw, n, what, load)
+        self.turn(manager, key.incarnation, |core, effects, now| {
+            core.on_attempt_result(effects, now, viewing_id, n, what, load)
         });
     }
 
@@ -543,8 +559,10 @@
         let about = (PackageId(package), TitleId(title), title_of.cells, 3);
         let origin = given.map_or(TokenOrigin::App { issued: at }, |given| given.0);
         let (request, valid) = (RequestId(number as u64), at + Duration::from_secs(60));
-        let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.on_request(h, now, request, session, about, origin, valid));
+        let incarnation = self.managers[manager].incarnation;
+        self.turn(manager, incarnation, |f, h, now| {
+            f.on_request(h, now, request, session, about, origin, valid)
+        });
         number
     }
 
@@ -555,8 +573,10 @@
         }
         (ask.came, ask.came_at) = (Came::Closed, self.now);
         let (manager, session) = (ask.manager, SessionId(ask.session));
-        let birth = self.managers[manager].birth;
-        self.turn(manager, birth, |f, h, now| f.on_request_closed(h, now, session, RequestId(number as u64)));
+        let incarnation = self.managers[manager].incarnation;
+        self.turn(manager, incarnation, |f, h, now| {
+            f.on_request_closed(h, now, session, RequestId(number as u64))
+        });
     }
 
     fn answered(&mut self, manager: usize, RequestId(number): RequestId, answer: Answer) {
@@ -586,10 +606,14 @@
         (ask.came, ask.came_at) = (Came::Answer(status), self.now);
         let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
         match answer {
-            Answer::Plays { server, birth, vw, tune_in, sequence, .. } => {
-                let key =
-                    TuneInKey { manager: ManagerNo(manager as u32), birth: birth.0, vw: vw.0, n: tune_in.0 };
-                let origin = TokenOrigin::Manager { birth: birth.0, server, sequence };
+            Answer::Plays { server, incarnation, viewing_id, tune_in, sequence, .. } => {
+                let key = TuneInKey {
+                    manager: ManagerNo(manager as u32),
+                    incarnation: incarnation.0,
+                    viewing_id: viewing_id.0,
+                    n: tune_in.0,
+                };
+                let origin = TokenOrigin::Manager { incarnation: incarnation.0, server, sequence };
                 // What plays no more is taken as another viewing when its player asks again.
                 self.history.asked[number].new = before != Some((no(server), key));
                 let next = (manager, session, package, title);
@@ -659,15 +683,21 @@
             _ => Box::new(setup::policy(&settings)),
         };
         let spans = (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
-        let birth = self.managers[manager].birth + 1;
+        let incarnation = self.managers[manager].incarnation + 1;
         let (rule_guard, terms) = (setup::rule_guard(&settings), setup::terms(&settings));
-        let core =
-            SessionCore::new(policy, rule_guard, terms, spans, setup::ration(&settings), Incarnation(birth));
+        let core = SessionCore::new(
+            policy,
+            rule_guard,
+            terms,
+            spans,
+            setup::ration(&settings),
+            Incarnation(incarnation),
+        );
         let paid = self.managers[manager].paid.clone();
         let m = &mut self.managers[manager];
-        (m.core, m.birth) = (Some(core), birth);
+        (m.core, m.incarnation) = (Some(core), incarnation);
         m.follows.clear();
-        self.turn(manager, birth, move |core, effects, now| {
+        self.turn(manager, incarnation, move |core, effects, now| {
             core.start(effects, now);
             for (session, (server, until)) in paid {
                 core.restore_paid_session(session, server, until);
@@ -688,13 +718,13 @@
         }
     }
 
-    fn told(&mut self, manager: usize, at: ServerNo, standing: ServerState, birth: u64) {
+    fn told(&mut self, manager: usize, at: ServerNo, standing: ServerState, incarnation: u64) {
         let standing = match standing {
             ServerState::Ready => ivyward_rules::Standing::Ready,
             ServerState::Draining => ivyward_rules::Standing::Draining,
             ServerState::Gone => ivyward_rules::Standing::Gone,
         };
-        self.record(What::Told { manager: ManagerNo(manager as u32), server: at, standing, birth });
+        self.record(What::Told { manager: ManagerNo(manager as u32), server: at, standing, incarnation });
     }
 
     /// The whole list, as it stands.
@@ -712,23 +742,23 @@
         let mut list = vec![];
         for (at, row) in rows {
             if named(at) {
-                self.told(manager, at, row.standing, row.birth);
+                self.told(manager, at, row.standing, row.incarnation);
                 list.push(self.listed(at, row));
             } else {
-                self.told(manager, at, ServerState::Gone, row.birth);
+                self.told(manager, at, ServerState::Gone, row.incarnation);
             }
         }
         self.hears(manager, &list, ListScope::Full);
     }
 
     fn hears(&mut self, manager: usize, list: &[ServerEntry], scope: ListScope) {
-        let birth = self.managers[manager].birth;
+        let incarnation = self.managers[manager].incarnation;
         let withheld = self.spoilt == Some(Spoilt::EndsWithheld);
         let list: Vec<_> =
             list.iter().filter(|row| !withheld || row.state == ServerState::Ready).copied().collect();
         let follow: Vec<_> =
             list.iter().filter(|row| row.state != ServerState::Gone).map(|row| no(row.server)).collect();
-        self.turn(manager, birth, move |core, _, now| core.on_server_list(now, &list, scope));
+        self.turn(manager, incarnation, move |core, _, now| core.on_server_list(now, &list, scope));
         follow.into_iter().for_each(|at| self.follows(manager, at));
     }
 
@@ -739,15 +769,15 @@
     }
 
     fn list_after(&mut self, at: ServerNo, standing: ServerState, late: Duration) {
-        let (birth, born) = self.fleet.birth(at);
+        let (incarnation, born) = self.fleet.incarnation(at);
         self.after(late, move |w| {
             let old = w.rows[at.0];
-            if old.is_some_and(|row| birth < row.birth) {
+            if old.is_some_and(|row| incarnation < row.incarnation) {
                 return;
             }
             let cell = old
                 .map_or(at.0 as u32 % w.settings.section("network").count("places") as u32, |row| row.cell);
-            let row = Row { standing, birth, born, cell, weight: old.map_or(1.0, |row| row.weight) };
+            let row = Row { standing, incarnation, born, cell, weight: old.map_or(1.0, |row| row.weight) };
             w.rows[at.0] = Some(row);
             if !w.list_lost {
                 w.tells(at);
@@ -760,7 +790,7 @@
         let Some(row) = self.rows[at.0] else { return };
         for manager in 0..MANAGERS {
             if self.managers[manager].core.is_some() {
-                self.told(manager, at, row.standing, row.birth);
+                self.told(manager, at, row.standing, row.incarnation);
                 let listed = self.listed(at, row);
                 self.hears(manager, &[listed], ListScope::Changes);
             }
@@ -769,7 +799,7 @@
 
     /// A manager follows a server's notes: first it hears what plays there, or that nobody listens.
     fn follows(&mut self, manager: usize, at: ServerNo) {
-        let birth = self.managers[manager].birth;
+        let incarnation = self.managers[manager].incarnation;
         if !self.managers[manager].follows.insert(at) {
             return;
         }
@@ -777,24 +807,27 @@
         self.after(way, move |w| {
             if !w.fleet.up(at) {
                 w.managers[manager].follows.remove(&at);
-                return w.turn(manager, birth, |core, effects, now| {
+                return w.turn(manager, incarnation, |core, effects, now| {
                     core.on_inventory(effects, now, id(at), &[]);
                     core.on_inventory_complete(effects, now, id(at));
                 });
             }
             w.at_server(at, move |w| {
-                if w.managers[manager].birth != birth || !w.fleet.begins(at, ManagerNo(manager as u32), birth)
+                if w.managers[manager].incarnation != incarnation
+                    || !w.fleet.begins(at, ManagerNo(manager as u32), incarnation)
                 {
                     return;
                 }
-                let keys = w.fleet.playing(at, ManagerNo(manager as u32), birth);
+                let keys = w.fleet.playing(at, ManagerNo(manager as u32), incarnation);
                 let rungs = |key: &TuneInKey| w.fleet.rung_of(at, *key).unwrap_or_default();
                 let rows: Vec<_> = keys
                     .iter()
                     .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
                     .collect();
-                w.turn(manager, birth, move |core, effects, now| {
-                    let of = |key: &TuneInKey| (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n));
+                w.turn(manager, incarnation, move |core, effects, now| {
+                    let of = |key: &TuneInKey| {
+                        (Incarnation(key.incarnation), ViewingId(key.viewing_id), TuneIn(key.n))
+                    };
                     let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
                     core.on_inventory(effects, now, id(at), &ids);
                     for (key, (session, package, title, top), rung) in rows {
@@ -818,7 +851,7 @@
                     h,
                     now,
                     id(at),
-                    (Incarnation(key.birth), ViewingId(key.vw), TuneIn(key.n)),
+                    (Incarnation(key.incarnation), ViewingId(key.viewing_id), TuneIn(key.n)),
                     over,
                 );
             });
@@ -829,7 +862,9 @@
                 LoadNote::Link(x) => ServerUpdate::Link(x),
                 LoadNote::Uplink(x) => ServerUpdate::Uplink(x),
             };
-            self.notes(at, key, move |f, _, now| f.on_server_update(now, id(at), ViewingId(key.vw), news));
+            self.notes(at, key, move |f, _, now| {
+                f.on_server_update(now, id(at), ViewingId(key.viewing_id), news)
+            });
         }
         self.after(TICK, Harness::tick);
     }
@@ -841,8 +876,8 @@
         let (manager, way) = (key.manager.0 as usize, self.way());
         let m = &self.managers[manager];
         if m.follows.contains(&at) {
-            let birth = m.birth;
-            self.after(way, move |w| w.turn(manager, birth, tell));
+            let incarnation = m.incarnation;
+            self.after(way, move |w| w.turn(manager, incarnation, tell));
         }
     }
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -226,8 +226,8 @@
         tenant: "lab".into(),
         granted: Some(GrantedTuneIn {
             manager: "m1".into(),
-            birth: 1,
-            vw: 1,
+            incarnation: 1,
+            viewing_id: 1,
             n: 0,
             server: ([127, 0, 0, 1], 80).into(),
             sequence: 1,
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -244,8 +244,8 @@
         hollow.knows.clear();
         let stored =
             Stored { whole: hollow.disk.whole, starts: hollow.disk.starts.clone(), ..Stored::default() };
-        let (birth, me) = (Incarnation(hollow.births), Member(member as u16));
-        let mut cores = Cores::new(self.group.clone(), me, birth, WORD, SPAN, self.now, stored);
+        let (incarnation, me) = (Incarnation(hollow.births), Member(member as u16));
+        let mut cores = Cores::new(self.group.clone(), me, incarnation, WORD, SPAN, self.now, stored);
         cores.start(self.now);
         hollow.cores = Some(cores);
         let life = hollow.life;
@@ -417,8 +417,8 @@
                 for (note, _) in notes {
                     match note {
                         Note::Whole => disk.whole = true,
-                        Note::Start(name, birth) => {
-                            disk.starts.extend(self.group.member(&name).map(|member| (member, birth)));
+                        Note::Start(name, incarnation) => {
+                            disk.starts.extend(self.group.member(&name).map(|member| (member, incarnation)));
                         }
                         // Nobody claims anything here.
                         Note::Held(..) | Note::Forgotten(..) => {}
@@ -556,7 +556,7 @@
         self.members[to].sent.segments(HANDSHAKE[1]);
         self.flushes += 1;
         let Some(cores) = &self.members[from].cores else { return };
-        let greeting = hello(&self.group, Member(from as u16), cores.birth);
+        let greeting = hello(&self.group, Member(from as u16), cores.incarnation);
         self.costs(from, to, &greeting);
         queue.into_iter().for_each(|frame| self.writes(from, to, frame));
         self.due(now + WORD * QUIET, Event::Quiet(from, to, no));
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -119,7 +119,7 @@
     let mut copy = ReplicatedSet::new(me, Incarnation(1), SPAN);
     let mut out = Out::default();
     for at in 0..logs {
-        let log = Log { of: Member(at as u16), birth: Incarnation(1) };
+        let log = Log { of: Member(at as u16), incarnation: Incarnation(1) };
         if log.of == me {
             copy.add(&mut out, NOW, SessionId(at as u128), &[]);
         } else {
@@ -261,7 +261,7 @@
             }));
             let near = Overlay::new(&group, Member(0), TURN).neighbours();
             let (mut held, mut out, mut no) = (copy(Member(0), *count), Out::default(), 1);
-            let log = Log { of: Member(1), birth: Incarnation(1) };
+            let log = Log { of: Member(1), incarnation: Incarnation(1) };
             rows[2].push(time(|| {
                 held.on_records(
                     &mut out,
@@ -296,7 +296,7 @@
             let mut next = 0_u64;
             let mut claims = |acceptor: &mut Acceptor| {
                 next += 1;
-                let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
+                let claim = Claim { by: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
                 acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
                 acceptor.on_stored(&mut out, 1);
             };
@@ -327,7 +327,7 @@
     let (mut out, stored) = (Out::default(), Default::default());
     let mut acceptor = Acceptor::new(group(3), Member(0), Incarnation(1), SPAN, NOW, true, stored);
     for next in 1..=count as u64 {
-        let claim = Claim { by: Member(1), birth: Incarnation(1), no: ClaimNo(next) };
+        let claim = Claim { by: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
         acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
         acceptor.on_stored(&mut out, 1);
     }
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -26,11 +26,12 @@
         let ended = breaches.map(|breaches| Ended { breaches, ..Default::default() });
         assert_eq!(judge(&terms, &History::default(), &[], &[ended], &[]).kept(), kept, "{breaches:?}");
     }
-    let (server, key) = (ServerNo(0), |vw| TuneInKey { manager: ManagerNo(0), birth: 1, vw, n: 0 });
-    let set_up = |vw| What::SetUp {
+    let (server, key) =
+        (ServerNo(0), |viewing_id| TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id, n: 0 });
+    let set_up = |viewing_id| What::SetUp {
         server,
-        key: key(vw),
-        session: u128::from(vw),
+        key: key(viewing_id),
+        session: u128::from(viewing_id),
         package: 0,
         title: "t".into(),
         rung: 1,
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -67,14 +67,15 @@
     connect: Duration,
     /// Connections at most.
     most: usize,
-    birth: Incarnation,
+    incarnation: Incarnation,
     chance: Pcg64Mcg,
     last: u64,
 }
 
 impl Servers {
     pub fn new(
-        upstreams: UpstreamPolicy, (connect, most): (Duration, usize), birth: Incarnation, chance: Pcg64Mcg,
+        upstreams: UpstreamPolicy, (connect, most): (Duration, usize), incarnation: Incarnation,
+        chance: Pcg64Mcg,
     ) -> Servers {
         Servers {
             links: BTreeMap::new(),
@@ -84,7 +85,7 @@
             upstreams,
             connect,
             most,
-            birth,
+            incarnation,
             chance,
             last: 0,
         }
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -170,7 +170,7 @@
         let line = line::write(Kind::Answer, of, &[], None, Some(text))?;
         link.open.remove(&of);
         self.servers.attempts.remove(&key);
-        let key_there = (self.servers.birth, key.0, key.1);
+        let key_there = (self.servers.incarnation, key.0, key.1);
         let stand = Stand { server, key: key_there, client: None, since: now, link: Some(id) };
         self.stands.insert(of, stand);
         self.line = Some(line);
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -68,8 +68,8 @@
         self.by_ref.get_mut(&of)
     }
 
-    pub fn of(&self, vw: ViewingId) -> Option<SessionRef> {
-        self.refs.get(&vw).copied()
+    pub fn of(&self, viewing_id: ViewingId) -> Option<SessionRef> {
+        self.refs.get(&viewing_id).copied()
     }
 
     pub fn at(&self, server: ServerId) -> impl ExactSizeIterator<Item = SessionRef> {
@@ -154,28 +154,30 @@
     }
 
     fn set_up(
-        &mut self, who: (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId, rung: usize,
-        _: (PackageId, TitleId), limit: Duration,
+        &mut self, who: (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn, server: ServerId,
+        rung: usize, _: (PackageId, TitleId), limit: Duration,
     ) {
         let of = SessionRef(who.0.0 as u64);
-        self.servers.attempt((vw, tune_in), of, server, rung, self.events.now() + limit);
-        self.events.send(move |core, host, now| host.dispatch(core, now, (vw, tune_in)));
+        self.servers.attempt((viewing_id, tune_in), of, server, rung, self.events.now() + limit);
+        self.events.send(move |core, host, now| host.dispatch(core, now, (viewing_id, tune_in)));
     }
 
-    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn) {
-        self.servers.drop_attempt((vw, tune_in));
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
+        self.servers.drop_attempt((viewing_id, tune_in));
     }
 
-    fn release(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, tune_in: TuneIn) {
-        if let Some(of) = self.stands.of(vw) {
+    fn release(&mut self, server: ServerId, _: Incarnation, viewing_id: ViewingId, tune_in: TuneIn) {
+        if let Some(of) = self.stands.of(viewing_id) {
             self.stands.remove(of);
             return self.end_there(server, of);
         }
-        self.give_up((vw, tune_in));
+        self.give_up((viewing_id, tune_in));
     }
 
-    fn change_rung(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, _: TuneIn, rung: usize) {
-        if let Some(of) = self.stands.of(vw) {
+    fn change_rung(
+        &mut self, server: ServerId, _: Incarnation, viewing_id: ViewingId, _: TuneIn, rung: usize,
+    ) {
+        if let Some(of) = self.stands.of(viewing_id) {
             self.new_rung(server, of, rung);
         }
     }
@@ -190,9 +192,9 @@
         self.timers.set(self.events.now() + after, timer);
     }
 
-    fn report_violation(&mut self, violation: Violation, vw: ViewingId) {
+    fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
         if let Some(left_out) = self.log_limiter.check(self.events.now(), "a rule") {
-            tracing::error!(breach = ?violation, viewing = vw.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule is broken");
         }
     }
 }
--- a/crates/peers/src/cores.rs
+++ b/crates/peers/src/cores.rs
@@ -75,12 +75,12 @@
     }
 
     fn accepted(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        &mut self, to: Member, session: SessionId, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
     ) {
         let starts = starts.iter().map(|of| start(&self.group, *of)).collect();
         let about = self.about(frame::ACCEPTED, session, claim);
-        self.say(to, Frame { birth: birth.0, starts, ..about });
+        self.say(to, Frame { incarnation: incarnation.0, starts, ..about });
     }
 
     fn rejected(&mut self, to: Member, session: SessionId, claim: Claim, taken: bool) {
@@ -96,17 +96,27 @@
         self.say(to, self.about(frame::WITHDRAWN, session, claim));
     }
 
-    fn request_recovery(&mut self, to: Member, birth: Incarnation) {
-        self.say(to, Frame { kind: frame::REQUEST_RECOVERY, birth: birth.0, ..Frame::default() });
+    fn request_recovery(&mut self, to: Member, incarnation: Incarnation) {
+        self.say(to, Frame { kind: frame::REQUEST_RECOVERY, incarnation: incarnation.0, ..Frame::default() });
     }
 
-    fn recovery_entry(&mut self, _: Member, birth: Incarnation, session: SessionId, claim_set: &ClaimSet) {
-        self.telling.push(Frame { birth: birth.0, ..frame::recovery_entry(&self.group, session, claim_set) });
+    fn recovery_entry(
+        &mut self, _: Member, incarnation: Incarnation, session: SessionId, claim_set: &ClaimSet,
+    ) {
+        self.telling.push(Frame {
+            incarnation: incarnation.0,
+            ..frame::recovery_entry(&self.group, session, claim_set)
+        });
     }
 
-    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64) {
+    fn recovery_done(&mut self, to: Member, incarnation: Incarnation, count: u64) {
         let mut entries = std::mem::take(&mut self.telling);
-        entries.push(Frame { kind: frame::RECOVERY_DONE, birth: birth.0, count, ..Frame::default() });
+        entries.push(Frame {
+            kind: frame::RECOVERY_DONE,
+            incarnation: incarnation.0,
+            count,
+            ..Frame::default()
+        });
         self.rows.push((to, entries));
     }
 
@@ -114,8 +124,8 @@
         self.notes.push_back((Note::held(&self.group, session, claim_set), true));
     }
 
-    fn store_start(&mut self, member: Member, birth: Incarnation) {
-        self.notes.push_back((Note::Start(self.group.name(member).into(), birth), true));
+    fn store_start(&mut self, member: Member, incarnation: Incarnation) {
+        self.notes.push_back((Note::Start(self.group.name(member).into(), incarnation), true));
     }
 
     fn store_recovered(&mut self) {
@@ -169,7 +179,7 @@
 pub struct Cores {
     group: Group,
     me: Member,
-    pub birth: Incarnation,
+    pub incarnation: Incarnation,
     pub acceptor: Acceptor,
     pub proposer: Proposer,
     pub revoked: ReplicatedSet<SessionId>,
@@ -184,10 +194,10 @@
 }
 
 impl Cores {
-    /// `birth`: this start, above all before. `word`: how often [`Cores::turn`] is called. `span`: how long what is told
+    /// `incarnation`: this start, above all before. `word`: how often [`Cores::turn`] is called. `span`: how long what is told
     /// is held. `stored`: what was on disk.
     pub fn new(
-        group: Group, me: Member, birth: Incarnation, word: Duration, span: Duration, now: Duration,
+        group: Group, me: Member, incarnation: Incarnation, word: Duration, span: Duration, now: Duration,
         stored: Stored,
     ) -> Cores {
         let kept = (stored.sessions, stored.starts);
@@ -204,13 +214,13 @@
             counts: BTreeMap::new(),
         };
         Cores {
-            acceptor: Acceptor::new(group.clone(), me, birth, span, now, stored.whole, kept),
-            proposer: Proposer::new(group.clone(), me, birth),
-            revoked: ReplicatedSet::new(me, birth, span),
+            acceptor: Acceptor::new(group.clone(), me, incarnation, span, now, stored.whole, kept),
+            proposer: Proposer::new(group.clone(), me, incarnation),
+            revoked: ReplicatedSet::new(me, incarnation, span),
             overlay: Overlay::new(&group, me, word),
             group,
             me,
-            birth,
+            incarnation,
             turns: 0,
             span,
             early: Some(vec![]),
@@ -330,7 +340,7 @@
     /// Each field goes straight into a call.
     fn takes(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
         let (group, out) = (&self.group, &mut self.out);
-        let (session, birth) = (|| frame::session(&frame.session), Incarnation(frame.birth));
+        let (session, incarnation) = (|| frame::session(&frame.session), Incarnation(frame.incarnation));
         let claim = || frame::claim(group, frame.claim.as_ref()?);
         match frame.kind {
             // Guards against a disk that takes nothing, or less than is claimed.
@@ -338,17 +348,17 @@
             frame::CLAIM => self.acceptor.on_claim(out, now, from, session()?, claim()?),
             frame::ACCEPTED => {
                 let starts = frame::starts(group, &frame.starts)?;
-                self.proposer.on_accepted(out, from, claim()?, birth, &starts);
+                self.proposer.on_accepted(out, from, claim()?, incarnation, &starts);
             }
             frame::REJECTED => self.proposer.on_rejected(out, from, claim()?, frame.taken),
             frame::WITHDRAW => self.acceptor.on_withdraw(out, now, from, session()?, claim()?),
             frame::WITHDRAWN => self.proposer.on_withdrawn(from, claim()?),
-            frame::REQUEST_RECOVERY => self.acceptor.on_recovery_request(out, from, birth),
+            frame::REQUEST_RECOVERY => self.acceptor.on_recovery_request(out, from, incarnation),
             frame::RECOVERY_ENTRY => {
                 let (session, claim_set) = frame::claim_set(group, frame)?;
-                self.acceptor.on_recovery_entry(out, now, from, birth, session, &claim_set);
+                self.acceptor.on_recovery_entry(out, now, from, incarnation, session, &claim_set);
             }
-            frame::RECOVERY_DONE => self.acceptor.on_recovery_done(out, from, birth, frame.count),
+            frame::RECOVERY_DONE => self.acceptor.on_recovery_done(out, from, incarnation, frame.count),
             frame::IN_SYNC => self.tells_early(now),
             frame::DIGEST => self.revoked.on_digest(out, now, from, frame.count),
             frame::HEADS => {
@@ -357,7 +367,7 @@
             }
             frame::RECORDS => {
                 let of = claim()?;
-                let (log, between) = (Log { of: of.by, birth: of.birth }, of.no.0..frame.count);
+                let (log, between) = (Log { of: of.by, incarnation: of.incarnation }, of.no.0..frame.count);
                 let (records, neighbours) = (frame::records(&frame.records)?, self.overlay.neighbours());
                 self.revoked.on_records(out, now, from, log, between, records, &neighbours);
             }
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -144,7 +144,7 @@
         let (open, owed) = cores.proposer.open_counts();
         let sent = &paths.terms().sent;
         json!({
-            "members": members, "birth": cores.birth.0, "catching_up": cores.acceptor.is_recovering(),
+            "members": members, "birth": cores.incarnation.0, "catching_up": cores.acceptor.is_recovering(),
             "neighbours": neighbours, "passed_over": cores.overlay.unreachable_count(), "paths": paths.open(),
             "paths_opened": sent.paths.get(), "frames_sent": sent.frames.get(), "bytes_sent": sent.bytes.get(),
             "sessions_kept": cores.acceptor.len(), "asking": open, "to_take_back": owed,
@@ -167,11 +167,11 @@
 }
 
 impl Peers {
-    /// `birth`: this start, above all before.
+    /// `incarnation`: this start, above all before.
     ///
     /// # Errors
     /// The store can't be opened, or the address is in use; the line names which.
-    pub async fn start(config: Config, birth: Incarnation) -> Result<Peers, String> {
+    pub async fn start(config: Config, incarnation: Incarnation) -> Result<Peers, String> {
         let Config { group, name, listen, others, word, span, connect, state_dir } = config;
         let me = group.member(&name).ok_or(format!("{name}: is no member of the group"))?;
         let (store, stored) = Store::open(&state_dir, &group)?;
@@ -183,12 +183,12 @@
         let peers = Peers { jobs, begun, word, span, revoked: revoked.clone(), refused };
         let addresses =
             others.into_iter().filter_map(|(name, address)| Some((group.member(&name)?, address)));
-        let hello = link::hello(&group, me, birth);
+        let hello = link::hello(&group, me, incarnation);
         let quiet = word * QUIET;
         let terms = Terms { hello, group: group.clone(), connect, quiet, sent: Sent::default() };
         let paths = Paths::new(Rc::new(terms), peers.clone(), addresses.collect());
         spawn_local(link::accept(listener, peers.clone(), group.clone(), me));
-        let mut cores = Cores::new(group, me, birth, word, span, Duration::ZERO, stored);
+        let mut cores = Cores::new(group, me, incarnation, word, span, Duration::ZERO, stored);
         cores.start(Duration::ZERO);
         let (waiting, telling) = (BTreeMap::new(), Rc::default());
         let desk = Desk { cores, paths, waiting, telling, revoked, learns: None, writing: false };
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -41,7 +41,7 @@
     #[prost(message, optional, tag = "3")]
     pub claim: Option<Who>,
     #[prost(uint64, tag = "4")]
-    pub birth: u64,
+    pub incarnation: u64,
     #[prost(bool, tag = "5")]
     pub taken: bool,
     #[prost(uint64, tag = "6")]
@@ -89,22 +89,26 @@
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
-    pub birth: u64,
+    pub incarnation: u64,
     #[prost(uint64, tag = "3")]
     pub no: u64,
 }
 
 pub fn who(group: &Group, claim: Claim) -> Who {
-    Who { name: group.name(claim.by).into(), birth: claim.birth.0, no: claim.no.0 }
+    Who { name: group.name(claim.by).into(), incarnation: claim.incarnation.0, no: claim.no.0 }
 }
 
-pub fn start(group: &Group, (member, birth): (Member, Incarnation)) -> Who {
-    Who { name: group.name(member).into(), birth: birth.0, no: 0 }
+pub fn start(group: &Group, (member, incarnation): (Member, Incarnation)) -> Who {
+    Who { name: group.name(member).into(), incarnation: incarnation.0, no: 0 }
 }
 
 /// None for a member that is none of the group.
 pub fn claim(group: &Group, who: &Who) -> Option<Claim> {
-    Some(Claim { by: group.member(&who.name)?, birth: Incarnation(who.birth), no: ClaimNo(who.no) })
+    Some(Claim {
+        by: group.member(&who.name)?,
+        incarnation: Incarnation(who.incarnation),
+        no: ClaimNo(who.no),
+    })
 }
 
 pub fn claims(group: &Group, all: &[Who]) -> Option<std::collections::BTreeSet<Claim>> {
@@ -112,16 +116,17 @@
 }
 
 pub fn starts(group: &Group, all: &[Who]) -> Option<Vec<(Member, Incarnation)>> {
-    all.iter().map(|who| Some((group.member(&who.name)?, Incarnation(who.birth)))).collect()
+    all.iter().map(|who| Some((group.member(&who.name)?, Incarnation(who.incarnation)))).collect()
 }
 
 pub fn head(group: &Group, (log, head): (&Log, &u64)) -> Who {
-    Who { name: group.name(log.of).into(), birth: log.birth.0, no: *head }
+    Who { name: group.name(log.of).into(), incarnation: log.incarnation.0, no: *head }
 }
 
 pub fn heads(group: &Group, all: &[Who]) -> Option<BTreeMap<Log, u64>> {
-    let head =
-        |who: &Who| Some((Log { of: group.member(&who.name)?, birth: Incarnation(who.birth) }, who.no));
+    let head = |who: &Who| {
+        Some((Log { of: group.member(&who.name)?, incarnation: Incarnation(who.incarnation) }, who.no))
+    };
     all.iter().map(head).collect()
 }
 
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -39,13 +39,13 @@
 }
 
 /// What a member says first on each path.
-pub fn hello(group: &Group, me: Member, birth: Incarnation) -> Frame {
+pub fn hello(group: &Group, me: Member, incarnation: Incarnation) -> Frame {
     Frame {
         kind: frame::HELLO,
         name: group.name(me).into(),
         digest: group.digest().to_be_bytes().into(),
         revision: frame::REVISION,
-        birth: birth.0,
+        incarnation: incarnation.0,
         ..Frame::default()
     }
 }
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -87,10 +87,10 @@
             }
             let starts = change.open_table(STARTS).map_err(told(&file))?;
             for row in starts.iter().map_err(told(&file))? {
-                let (name, birth) = row.map_err(told(&file))?;
-                stored
-                    .starts
-                    .extend(group.member(name.value()).map(|member| (member, Incarnation(birth.value()))));
+                let (name, incarnation) = row.map_err(told(&file))?;
+                stored.starts.extend(
+                    group.member(name.value()).map(|member| (member, Incarnation(incarnation.value()))),
+                );
             }
             stored
         };
@@ -125,7 +125,7 @@
                 match note {
                     Note::Held(session, row) => drop(sessions.insert(session.0, row.as_slice())?),
                     Note::Forgotten(session) => drop(sessions.remove(session.0)?),
-                    Note::Start(name, birth) => drop(starts.insert(name.as_str(), birth.0)?),
+                    Note::Start(name, incarnation) => drop(starts.insert(name.as_str(), incarnation.0)?),
                     Note::Whole => drop(about.insert(WHOLE, "yes")?),
                 }
             }
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -20,7 +20,7 @@
 }
 
 fn held(no: u64) -> ClaimSet {
-    let claim = |no| Claim { by: Member(1), birth: Incarnation(5), no: ClaimNo(no) };
+    let claim = |no| Claim { by: Member(1), incarnation: Incarnation(5), no: ClaimNo(no) };
     ClaimSet { claims: BTreeSet::from([claim(no)]), withdrawn: BTreeSet::from([claim(no + 1)]) }
 }
 
@@ -210,7 +210,7 @@
 /// Digests of nothing, and rows that nobody asked for.
 fn lies(i: u64) -> Frame {
     let kind = if i.is_multiple_of(2) { frame::DIGEST } else { frame::RECOVERY_DONE };
-    Frame { kind, count: i, birth: u64::MAX, ..Frame::default() }
+    Frame { kind, count: i, incarnation: u64::MAX, ..Frame::default() }
 }
 
 /// A member's cores on their own, and what another tells it.
@@ -239,7 +239,7 @@
         // Nothing is told before it is known what others know.
         assert_eq!(tells(&mut cores, now), 0, "{heard:?}");
         if let Some(left) = heard {
-            let claim = Some(Who { name: "b".into(), birth: 1, no: 0 });
+            let claim = Some(Who { name: "b".into(), incarnation: 1, no: 0 });
             let left_ms = left.as_millis() as u64;
             let told = Told { no: 0, left_ms, kind: frame::REVOKED, session: 7_u128.to_be_bytes().into() };
             let records =
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -60,7 +60,7 @@
 pub struct Acceptor {
     group: Group,
     me: Member,
-    birth: Incarnation,
+    incarnation: Incarnation,
     span: Duration,
     sessions: BTreeMap<SessionId, (ClaimSet, Duration)>,
     expiries: BTreeSet<(Duration, SessionId)>,
@@ -72,10 +72,10 @@
 }
 
 impl Acceptor {
-    /// `birth`: this start, above all before; `span`: how long a claim is kept. `stored`: what was on disk, none where
+    /// `incarnation`: this start, above all before; `span`: how long a claim is kept. `stored`: what was on disk, none where
     /// there was no memory, or where it was never whole.
     pub fn new(
-        group: Group, me: Member, birth: Incarnation, span: Duration, now: Duration, whole: bool,
+        group: Group, me: Member, incarnation: Incarnation, span: Duration, now: Duration, whole: bool,
         (sessions, starts): (BTreeMap<SessionId, ClaimSet>, BTreeMap<Member, Incarnation>),
     ) -> Acceptor {
         // Each for its whole span anew: no clock of before the start is believed.
@@ -86,7 +86,7 @@
         Acceptor {
             group,
             me,
-            birth,
+            incarnation,
             span,
             sessions,
             expiries,
@@ -193,7 +193,7 @@
         let acceptors = self.group.acceptors(session);
         let of = |member: &Member| Some((*member, *self.starts.get(member)?));
         let starts: Vec<_> = acceptors.iter().filter_map(of).collect();
-        out.accepted(claim.by, session, claim, self.birth, &starts);
+        out.accepted(claim.by, session, claim, self.incarnation, &starts);
     }
 
     /// The set-up of a claim provably never ran.
@@ -212,29 +212,31 @@
     }
 
     /// A member came back without memory and asks for what it may have kept.
-    pub fn on_recovery_request(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation) {
+    pub fn on_recovery_request(&mut self, out: &mut impl Effects, from: Member, incarnation: Incarnation) {
         // Guards against two that have forgotten and confirm each other that there was nothing.
-        if self.recovery.is_some() || self.starts.get(&from).is_some_and(|known| *known > birth) {
+        if self.recovery.is_some() || self.starts.get(&from).is_some_and(|known| *known > incarnation) {
             return;
         }
-        let then = AfterStore::RecoveryEntries(from, birth);
+        let then = AfterStore::RecoveryEntries(from, incarnation);
         if self.is_pending(&then) {
             return;
         }
-        if self.starts.insert(from, birth) == Some(birth) && self.pending_actions.is_empty() {
-            return self.send_recovery_entries(out, from, birth);
+        if self.starts.insert(from, incarnation) == Some(incarnation) && self.pending_actions.is_empty() {
+            return self.send_recovery_entries(out, from, incarnation);
         }
         // Guards against what this keeper keeps later being counted together with what that one kept before.
-        out.store_start(from, birth);
+        out.store_start(from, incarnation);
         self.push_after_store(Some(then));
     }
 
     /// One session of what another keeps, told since this start recalls.
     pub fn on_recovery_entry(
-        &mut self, out: &mut impl Effects, now: Duration, from: Member, birth: Incarnation,
+        &mut self, out: &mut impl Effects, now: Duration, from: Member, incarnation: Incarnation,
         session: SessionId, claim_set: &ClaimSet,
     ) {
-        let Some(recovery) = self.recovery.as_mut().filter(|_| birth == self.birth) else { return };
+        let Some(recovery) = self.recovery.as_mut().filter(|_| incarnation == self.incarnation) else {
+            return;
+        };
         if !recovery.completed_by.contains(&from) {
             recovery.entries.entry(from).or_default().insert(session);
         }
@@ -246,8 +248,12 @@
     }
 
     /// That was all, so many sessions.
-    pub fn on_recovery_done(&mut self, out: &mut impl Effects, from: Member, birth: Incarnation, count: u64) {
-        let Some(recovery) = self.recovery.as_mut().filter(|_| birth == self.birth) else { return };
+    pub fn on_recovery_done(
+        &mut self, out: &mut impl Effects, from: Member, incarnation: Incarnation, count: u64,
+    ) {
+        let Some(recovery) = self.recovery.as_mut().filter(|_| incarnation == self.incarnation) else {
+            return;
+        };
         let received_count = recovery.entries.get(&from).map_or(0, BTreeSet::len) as u64;
         // Guards against rows that were lost on the way.
         if received_count < count
@@ -256,7 +262,7 @@
         {
             return;
         }
-        out.store_start(self.me, self.birth);
+        out.store_start(self.me, self.incarnation);
         self.push_after_store(Some(AfterStore::RecoveryDone(from)));
     }
 
@@ -273,7 +279,7 @@
             due.filter(|member| *member != self.me && !recovery.completed_by.contains(member)).take(most);
         let due: Vec<_> = due.collect();
         recovery.last_requested = due.last().copied().or(recovery.last_requested);
-        due.into_iter().for_each(|member| out.request_recovery(member, self.birth));
+        due.into_iter().for_each(|member| out.request_recovery(member, self.incarnation));
     }
 
     /// So many more notes are on disk.
@@ -289,17 +295,20 @@
                     }
                 }
                 AfterStore::Withdrawn(session, claim) => out.withdrawn(claim.by, session, claim),
-                AfterStore::RecoveryEntries(to, birth) => self.send_recovery_entries(out, to, birth),
+                AfterStore::RecoveryEntries(to, incarnation) => {
+                    self.send_recovery_entries(out, to, incarnation)
+                }
                 AfterStore::RecoveryDone(from) => self.complete_recovery_from(out, from),
             }
         }
     }
 
-    fn send_recovery_entries(&self, out: &mut impl Effects, to: Member, birth: Incarnation) {
+    fn send_recovery_entries(&self, out: &mut impl Effects, to: Member, incarnation: Incarnation) {
         let ours = self.sessions.iter().filter(|(session, _)| self.group.acceptors(**session).contains(&to));
-        let count =
-            ours.map(|(session, (claim_set, _))| out.recovery_entry(to, birth, *session, claim_set)).count();
-        out.recovery_done(to, birth, count as u64);
+        let count = ours
+            .map(|(session, (claim_set, _))| out.recovery_entry(to, incarnation, *session, claim_set))
+            .count();
+        out.recovery_done(to, incarnation, count as u64);
     }
 
     fn complete_recovery_from(&mut self, out: &mut impl Effects, from: Member) {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
     pub by: Member,
-    pub birth: Incarnation,
+    pub incarnation: Incarnation,
     pub no: ClaimNo,
 }
 
@@ -47,10 +47,10 @@
 pub trait Effects {
     /// To a keeper: it is to keep this claim.
     fn claim(&mut self, to: Member, session: SessionId, claim: Claim);
-    /// To the claim's manager: `birth`, this start of the keeper, keeps it. `starts`: of others that came back without
+    /// To the claim's manager: `incarnation`, this start of the keeper, keeps it. `starts`: of others that came back without
     /// memory, as far as it knows.
     fn accepted(
-        &mut self, to: Member, session: SessionId, claim: Claim, birth: Incarnation,
+        &mut self, to: Member, session: SessionId, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
     );
     /// To the claim's manager: not kept, since another is (`taken`), or since the keeper abstains.
@@ -60,14 +60,16 @@
     /// To the claim's manager: it is taken back here.
     fn withdrawn(&mut self, to: Member, session: SessionId, claim: Claim);
     /// To a member: this start came back without memory; what does that one hold that is also kept here?
-    fn request_recovery(&mut self, to: Member, birth: Incarnation);
+    fn request_recovery(&mut self, to: Member, incarnation: Incarnation);
     /// To one that recalls: one session; then how many there were.
-    fn recovery_entry(&mut self, to: Member, birth: Incarnation, session: SessionId, claim_set: &ClaimSet);
-    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64);
+    fn recovery_entry(
+        &mut self, to: Member, incarnation: Incarnation, session: SessionId, claim_set: &ClaimSet,
+    );
+    fn recovery_done(&mut self, to: Member, incarnation: Incarnation, count: u64);
     /// To disk, in order, each one note of which [`Acceptor::on_stored`] is told: what is held of a session; a member's start
     /// without memory; that this memory is whole.
     fn store(&mut self, session: SessionId, claim_set: &ClaimSet);
-    fn store_start(&mut self, member: Member, birth: Incarnation);
+    fn store_start(&mut self, member: Member, incarnation: Incarnation);
     fn store_recovered(&mut self);
     /// From disk, whenever that may be; no note.
     fn forget(&mut self, session: SessionId);
--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -38,7 +38,7 @@
 pub struct Proposer {
     group: Group,
     me: Member,
-    birth: Incarnation,
+    incarnation: Incarnation,
     proposals: BTreeMap<ClaimNo, Proposal>,
     /// Starts without memory, as keepers tell of each other.
     starts: BTreeMap<Member, Incarnation>,
@@ -49,10 +49,19 @@
 }
 
 impl Proposer {
-    /// `birth`: this start, above all before.
-    pub fn new(group: Group, me: Member, birth: Incarnation) -> Proposer {
+    /// `incarnation`: this start, above all before.
+    pub fn new(group: Group, me: Member, incarnation: Incarnation) -> Proposer {
         let (proposals, starts, unconfirmed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Proposer { group, me, birth, proposals, starts, unconfirmed, last_retried: None, last_claim_no: 0 }
+        Proposer {
+            group,
+            me,
+            incarnation,
+            proposals,
+            starts,
+            unconfirmed,
+            last_retried: None,
+            last_claim_no: 0,
+        }
     }
 
     /// Claims that wait for their word, and those that members have still to take back.
@@ -61,7 +70,7 @@
     }
 
     fn claim(&self, no: ClaimNo) -> Claim {
-        Claim { by: self.me, birth: self.birth, no }
+        Claim { by: self.me, incarnation: self.incarnation, no }
     }
 
     /// A paid session is to be set up, if its keepers' majority says so until then.
@@ -75,27 +84,27 @@
     }
 
     pub fn on_accepted(
-        &mut self, out: &mut impl Effects, from: Member, claim: Claim, birth: Incarnation,
+        &mut self, out: &mut impl Effects, from: Member, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
     ) {
-        for (member, birth) in starts {
-            let known = self.starts.entry(*member).or_insert(*birth);
-            *known = (*known).max(*birth);
+        for (member, incarnation) in starts {
+            let known = self.starts.entry(*member).or_insert(*incarnation);
+            *known = (*known).max(*incarnation);
         }
-        if (claim.by, claim.birth) != (self.me, self.birth) {
+        if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
             return;
         }
         if let Some(proposal) =
             self.proposals.get_mut(&claim.no).filter(|proposal| proposal.acceptors.contains(&from))
         {
-            let before = proposal.accepted.entry(from).or_insert(birth);
-            *before = (*before).max(birth);
+            let before = proposal.accepted.entry(from).or_insert(incarnation);
+            *before = (*before).max(incarnation);
         }
         self.decide(out, claim.no);
     }
 
     pub fn on_rejected(&mut self, out: &mut impl Effects, from: Member, claim: Claim, taken: bool) {
-        if (claim.by, claim.birth) != (self.me, self.birth) {
+        if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
             return;
         }
         if let Some(proposal) =
@@ -109,7 +118,10 @@
     /// Whether that one keeps it. Guards against the word of a keeper that has forgotten it since, and may keep another.
     fn counts_as_accepted(&self, proposal: &Proposal, acceptor: &Member) -> bool {
         let start = self.starts.get(acceptor);
-        proposal.accepted.get(acceptor).is_some_and(|birth| start.is_none_or(|start| birth >= start))
+        proposal
+            .accepted
+            .get(acceptor)
+            .is_some_and(|incarnation| start.is_none_or(|start| incarnation >= start))
     }
 
     fn decide(&mut self, out: &mut impl Effects, no: ClaimNo) {
@@ -150,7 +162,7 @@
     }
 
     pub fn on_withdrawn(&mut self, from: Member, claim: Claim) {
-        if (claim.by, claim.birth) == (self.me, self.birth) {
+        if (claim.by, claim.incarnation) == (self.me, self.incarnation) {
             self.unconfirmed.remove(&(from, claim.no));
         }
     }
--- a/crates/replica/src/replicated_set.rs
+++ b/crates/replica/src/replicated_set.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
     pub of: Member,
-    pub birth: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// A record with its number, and how long it is still to be held.
@@ -85,9 +85,9 @@
         until.map(|until| until - now)
     }
 
-    /// `birth`: this start, above all before; `span`: how long a record is held at most.
-    pub fn new(me: Member, birth: Incarnation, span: Duration) -> ReplicatedSet<R> {
-        ReplicatedSet { own: Log { of: me, birth }, span, logs: BTreeMap::new() }
+    /// `incarnation`: this start, above all before; `span`: how long a record is held at most.
+    pub fn new(me: Member, incarnation: Incarnation, span: Duration) -> ReplicatedSet<R> {
+        ReplicatedSet { own: Log { of: me, incarnation }, span, logs: BTreeMap::new() }
     }
 
     /// Records held.
@@ -229,8 +229,8 @@
         }
         // Of starts before a member's last nothing new comes: what is empty is left out for good, a span later. Guards
         // against a record that is over here, not yet at others, and is learned again from them, and again from here.
-        let last: BTreeMap<_, _> = self.logs.keys().map(|log| (log.of, log.birth)).collect();
-        let (span, is_last) = (self.span, |log: &Log| last[&log.of] == log.birth);
+        let last: BTreeMap<_, _> = self.logs.keys().map(|log| (log.of, log.incarnation)).collect();
+        let (span, is_last) = (self.span, |log: &Log| last[&log.of] == log.incarnation);
         self.logs
             .retain(|log, held| !held.entries.is_empty() || is_last(log) || now < held.empty_since + span);
     }
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -50,7 +50,7 @@
 struct Node {
     acceptor: Acceptor,
     proposer: Proposer,
-    birth: Incarnation,
+    incarnation: Incarnation,
     disk: Disk,
     unsynced: Vec<Note>,
 }
@@ -97,7 +97,7 @@
 
 struct RecordedEffects<'a> {
     me: Member,
-    birth: Incarnation,
+    incarnation: Incarnation,
     wire: &'a mut BTreeSet<(Member, Member, Message)>,
     notes: &'a mut Vec<Note>,
     granted: &'a mut BTreeSet<Claim>,
@@ -115,11 +115,11 @@
         self.say(to, Message::Claim(claim));
     }
     fn accepted(
-        &mut self, to: Member, _: SessionId, claim: Claim, birth: Incarnation,
+        &mut self, to: Member, _: SessionId, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
     ) {
         let reported = if self.defect == Defect::StartsNotTold { &[] } else { starts };
-        self.say(to, Message::Accepted(claim, birth, reported.to_vec()));
+        self.say(to, Message::Accepted(claim, incarnation, reported.to_vec()));
     }
     fn rejected(&mut self, to: Member, _: SessionId, claim: Claim, taken: bool) {
         self.say(to, Message::Rejected(claim, taken));
@@ -130,20 +130,20 @@
     fn withdrawn(&mut self, to: Member, _: SessionId, claim: Claim) {
         self.say(to, Message::Withdrawn(claim));
     }
-    fn request_recovery(&mut self, to: Member, birth: Incarnation) {
-        self.say(to, Message::RequestRecovery(birth));
+    fn request_recovery(&mut self, to: Member, incarnation: Incarnation) {
+        self.say(to, Message::RequestRecovery(incarnation));
     }
-    fn recovery_entry(&mut self, to: Member, birth: Incarnation, _: SessionId, claim_set: &ClaimSet) {
-        self.say(to, Message::RecoveryEntry(birth, claim_set.clone()));
+    fn recovery_entry(&mut self, to: Member, incarnation: Incarnation, _: SessionId, claim_set: &ClaimSet) {
+        self.say(to, Message::RecoveryEntry(incarnation, claim_set.clone()));
     }
-    fn recovery_done(&mut self, to: Member, birth: Incarnation, count: u64) {
-        self.say(to, Message::RecoveryDone(birth, count));
+    fn recovery_done(&mut self, to: Member, incarnation: Incarnation, count: u64) {
+        self.say(to, Message::RecoveryDone(incarnation, count));
     }
     fn store(&mut self, _: SessionId, held: &ClaimSet) {
         self.notes.push(Note::Held(held.clone()));
     }
-    fn store_start(&mut self, member: Member, birth: Incarnation) {
-        self.notes.push(Note::Start(member, birth));
+    fn store_start(&mut self, member: Member, incarnation: Incarnation) {
+        self.notes.push(Note::Start(member, incarnation));
     }
     fn store_recovered(&mut self) {
         self.notes.push(Note::Whole);
@@ -151,7 +151,7 @@
     fn forget(&mut self, _: SessionId) {}
     fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
         if outcome == ClaimOutcome::Granted {
-            self.granted.insert(Claim { by: self.me, birth: self.birth, no });
+            self.granted.insert(Claim { by: self.me, incarnation: self.incarnation, no });
         }
     }
 }
@@ -160,11 +160,17 @@
     Group::new((0..members).map(|i| (format!("m{i}"), 0)).collect(), usize::from(members))
 }
 
-fn node(me: Member, members: u16, birth: Incarnation, disk: Disk) -> Node {
+fn node(me: Member, members: u16, incarnation: Incarnation, disk: Disk) -> Node {
     let sessions = disk.held.clone().map(|held| (SESSION, held)).into_iter().collect();
     let stored = (sessions, disk.starts.clone());
-    let acceptor = Acceptor::new(group(members), me, birth, SPAN, NOW, disk.whole, stored);
-    Node { acceptor, proposer: Proposer::new(group(members), me, birth), birth, disk, unsynced: vec![] }
+    let acceptor = Acceptor::new(group(members), me, incarnation, SPAN, NOW, disk.whole, stored);
+    Node {
+        acceptor,
+        proposer: Proposer::new(group(members), me, incarnation),
+        incarnation,
+        disk,
+        unsynced: vec![],
+    }
 }
 
 impl Harness {
@@ -189,8 +195,14 @@
         let node = &mut self.nodes[usize::from(at.0)];
         let mut notes = std::mem::take(&mut node.unsynced);
         let (wire, granted) = (&mut self.wire, &mut self.granted);
-        let effects =
-            &mut RecordedEffects { me: at, birth: node.birth, wire, notes: &mut notes, granted, defect };
+        let effects = &mut RecordedEffects {
+            me: at,
+            incarnation: node.incarnation,
+            wire,
+            notes: &mut notes,
+            granted,
+            defect,
+        };
         let came = does(node, effects);
         node.unsynced = notes;
         came
@@ -199,17 +211,21 @@
     fn comes(&mut self, from: Member, to: Member, message: &Message, defect: Defect) {
         self.at(to, defect, |node, out| match message {
             Message::Claim(claim) => node.acceptor.on_claim(out, NOW, from, SESSION, *claim),
-            Message::Accepted(claim, birth, starts) => {
-                node.proposer.on_accepted(out, from, *claim, *birth, starts)
+            Message::Accepted(claim, incarnation, starts) => {
+                node.proposer.on_accepted(out, from, *claim, *incarnation, starts)
             }
             Message::Rejected(claim, taken) => node.proposer.on_rejected(out, from, *claim, *taken),
             Message::Withdraw(claim) => node.acceptor.on_withdraw(out, NOW, from, SESSION, *claim),
             Message::Withdrawn(claim) => node.proposer.on_withdrawn(from, *claim),
-            Message::RequestRecovery(birth) => node.acceptor.on_recovery_request(out, from, *birth),
-            Message::RecoveryEntry(birth, held) => {
-                node.acceptor.on_recovery_entry(out, NOW, from, *birth, SESSION, held)
+            Message::RequestRecovery(incarnation) => {
+                node.acceptor.on_recovery_request(out, from, *incarnation)
+            }
+            Message::RecoveryEntry(incarnation, held) => {
+                node.acceptor.on_recovery_entry(out, NOW, from, *incarnation, SESSION, held)
+            }
+            Message::RecoveryDone(incarnation, count) => {
+                node.acceptor.on_recovery_done(out, from, *incarnation, *count)
             }
-            Message::RecoveryDone(birth, count) => node.acceptor.on_recovery_done(out, from, *birth, *count),
         });
         if defect == Defect::SaidBeforeSync {
             self.at(to, defect, |node, out| node.acceptor.on_stored(out, usize::MAX));
@@ -223,7 +239,7 @@
             match note {
                 Note::Held(held) => node.disk.held = Some(held.clone()),
                 Note::Start(..) if defect == Defect::StartsNotStored => {}
-                Note::Start(member, birth) => drop(node.disk.starts.insert(*member, *birth)),
+                Note::Start(member, incarnation) => drop(node.disk.starts.insert(*member, *incarnation)),
                 Note::Whole => node.disk.whole = true,
             }
         }
@@ -238,8 +254,8 @@
             (true, Defect::ForgetfulCounts) => Disk { whole: true, ..Disk::default() },
             (true, _) => Disk::default(),
         };
-        let birth = Incarnation(old.birth.0 + 1);
-        self.nodes[usize::from(at.0)] = node(at, members, birth, disk);
+        let incarnation = Incarnation(old.incarnation.0 + 1);
+        self.nodes[usize::from(at.0)] = node(at, members, incarnation, disk);
         // What it was granted and had not sent goes with it.
         self.granted.retain(|claim| claim.by != at);
         self.at(at, defect, |node, out| node.acceptor.retry(out, NOW, usize::MAX));
@@ -532,8 +548,8 @@
     }
 
     /// Forgets all, and starts anew.
-    fn restart(&mut self, at: usize, birth: u64) {
-        let fresh = ReplicatedSet::new(Member(at as u16), Incarnation(birth), SPAN);
+    fn restart(&mut self, at: usize, incarnation: u64) {
+        let fresh = ReplicatedSet::new(Member(at as u16), Incarnation(incarnation), SPAN);
         self.copies[at] = (fresh, Said::default());
         let mut asked = self.others(at);
         asked.truncate(3);
@@ -701,7 +717,7 @@
             all.passes_on = true;
             all.add(0, 7);
             all.carry(0, |_, to| to == 4 && !heard);
-            let log = Log { of: Member(0), birth: Incarnation(1) };
+            let log = Log { of: Member(0), incarnation: Incarnation(1) };
             all.restart(0, 2);
             all.add(0, 8);
             all.carry(0, |_, to| to == 4 && !heard);
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -192,7 +192,9 @@
             // What was given up on its way may be read just after the next: closed at once, it was not out any more.
             let given_up = matches!(end, Some((at, SetUpEnd::Closed)) if at <= record.at + terms.grain)
                 && !terms.packages[*package].once;
-            let older = given_up && (key.birth, key.vw) == (earlier.birth, earlier.vw) && key.n < earlier.n;
+            let older = given_up
+                && (key.incarnation, key.viewing_id) == (earlier.incarnation, earlier.viewing_id)
+                && key.n < earlier.n;
             if older {
                 continue;
             }
@@ -298,12 +300,12 @@
                 knows.extend(managers.iter().map(|manager| (*manager, *server)));
             }
             What::Born { server } => {
-                let birth = births.get(server).map_or(2, |(_, birth)| birth + 1);
-                births.insert(*server, (record.at, birth));
+                let incarnation = births.get(server).map_or(2, |(_, incarnation)| incarnation + 1);
+                births.insert(*server, (record.at, incarnation));
                 sent.remove(server);
             }
-            What::Told { manager, server, birth, .. }
-                if births.get(server).is_some_and(|(_, last)| birth >= last) =>
+            What::Told { manager, server, incarnation, .. }
+                if births.get(server).is_some_and(|(_, last)| incarnation >= last) =>
             {
                 knows.insert((*manager, *server));
             }
@@ -344,7 +346,7 @@
     // What each tune-in is of, and who holds a seat since when.
     let mut about: BTreeMap<TuneInKey, (usize, String)> = BTreeMap::new();
     let mut held: BTreeMap<Seat, BTreeMap<TuneInKey, Option<Duration>>> = BTreeMap::new();
-    let seat = |key: &TuneInKey, of: &(usize, String)| (key.manager, key.birth, of.0, of.1.clone());
+    let seat = |key: &TuneInKey, of: &(usize, String)| (key.manager, key.incarnation, of.0, of.1.clone());
     for record in records {
         match &record.what {
             What::SetUp { server, key, package, title, rung, .. } => {
@@ -360,7 +362,9 @@
                 let given_up = matches!(ends.get(&(*server, *key)),
                     Some((at, SetUpEnd::Closed)) if *at <= record.at + terms.grain);
                 let next = |of: &TuneInKey| {
-                    (of.manager, of.birth, of.vw) == (key.manager, key.birth, key.vw) && of.n > key.n
+                    (of.manager, of.incarnation, of.viewing_id)
+                        == (key.manager, key.incarnation, key.viewing_id)
+                        && of.n > key.n
                 };
                 if given_up && !terms_of.once && there.keys().any(next) {
                     continue;
@@ -426,10 +430,11 @@
         let What::SetUp { server, key, session, .. } = &record.what else { continue };
         let times = sessions.get(session).map_or(&[][..], |(times, _)| times);
         let asked = times.iter().rfind(|at| **at <= record.at).copied().unwrap_or(record.at);
-        let (n, before) =
-            last.insert((key.manager, key.birth, key.vw), (key.n, record.at)).unwrap_or((0, asked));
+        let (n, before) = last
+            .insert((key.manager, key.incarnation, key.viewing_id), (key.n, record.at))
+            .unwrap_or((0, asked));
         let more = key.n.saturating_sub(n);
-        let times = further.entry((key.manager, key.birth)).or_default();
+        let times = further.entry((key.manager, key.incarnation)).or_default();
         times.extend((1..more).map(|_| before));
         times.extend((more > 0).then_some(record.at));
         looked += u64::from(more);
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -85,12 +85,12 @@
         key: TuneInKey,
         why: StreamEnd,
     },
-    /// The list told a manager of a server; `birth`: the start that it tells of.
+    /// The list told a manager of a server; `incarnation`: the start that it tells of.
     Told {
         manager: ManagerNo,
         server: ServerNo,
         standing: Standing,
-        birth: u64,
+        incarnation: u64,
     },
     Born {
         server: ServerNo,
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -31,15 +31,15 @@
     }
 }
 
-fn key(vw: u32, n: u16) -> TuneInKey {
-    TuneInKey { manager: ManagerNo(0), birth: 1, vw, n }
+fn key(viewing_id: u32, n: u16) -> TuneInKey {
+    TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id, n }
 }
 
-fn set_up(at: u64, server: usize, vw: u32, n: u16, package: usize) -> Record {
+fn set_up(at: u64, server: usize, viewing_id: u32, n: u16, package: usize) -> Record {
     let what = What::SetUp {
         server: ServerNo(server),
-        key: key(vw, n),
-        session: u128::from(vw),
+        key: key(viewing_id, n),
+        session: u128::from(viewing_id),
         package,
         title: "t".into(),
         rung: 1,
@@ -47,12 +47,15 @@
     Record { at: ms(at), what }
 }
 
-fn over(at: u64, server: usize, vw: u32, n: u16, how: SetUpEnd) -> Record {
-    Record { at: ms(at), what: What::SetUpOver { server: ServerNo(server), key: key(vw, n), how } }
+fn over(at: u64, server: usize, viewing_id: u32, n: u16, how: SetUpEnd) -> Record {
+    Record { at: ms(at), what: What::SetUpOver { server: ServerNo(server), key: key(viewing_id, n), how } }
 }
 
-fn told(at: u64, standing: Standing, birth: u64) -> Record {
-    Record { at: ms(at), what: What::Told { manager: ManagerNo(0), server: ServerNo(0), standing, birth } }
+fn told(at: u64, standing: Standing, incarnation: u64) -> Record {
+    Record {
+        at: ms(at),
+        what: What::Told { manager: ManagerNo(0), server: ServerNo(0), standing, incarnation },
+    }
 }
 
 fn asked(session: u128, package: usize, at: u64, came_at: u64, came: Came) -> Asked {
@@ -231,7 +234,7 @@
         };
         (0..count).flat_map(of).collect()
     };
-    let knows = |birth| told(1500, Standing::Ready, birth);
+    let knows = |incarnation| told(1500, Standing::Ready, incarnation);
     let cases = [
         ("as many as it may be sent", vec![born(), knows(2)], sent(&[0], 1, 21), vec![], false),
         ("one more", vec![born(), knows(2)], sent(&[0], 1, 22), vec![], true),
@@ -266,12 +269,19 @@
 
 #[test]
 fn rungs_under_the_floor_and_too_many_seats_are_found() {
-    let plays = |from: u64, vw: u32| {
-        [set_up(from, vw as usize, vw, 0, TICKET), over(from + 20, vw as usize, vw, 0, SetUpEnd::Plays)]
+    let plays = |from: u64, viewing_id: u32| {
+        [
+            set_up(from, viewing_id as usize, viewing_id, 0, TICKET),
+            over(from + 20, viewing_id as usize, viewing_id, 0, SetUpEnd::Plays),
+        ]
     };
-    let ends = |at: u64, vw: u32| Record {
+    let ends = |at: u64, viewing_id: u32| Record {
         at: ms(at),
-        what: What::StreamOver { server: ServerNo(vw as usize), key: key(vw, 0), why: StreamEnd::Ended },
+        what: What::StreamOver {
+            server: ServerNo(viewing_id as usize),
+            key: key(viewing_id, 0),
+            why: StreamEnd::Ended,
+        },
     };
     let rung = |rung| Record { at: ms(400), what: What::Rung { server: ServerNo(1), key: key(1, 0), rung } };
     let two = || [plays(100, 1), plays(200, 2)].concat();
@@ -302,14 +312,14 @@
         ("of another viewing", Some((301, Closed)), 3, REPLAY, true),
         ("paid", Some((301, Closed)), 2, TICKET, true),
     ];
-    for (name, end, vw, package, counts) in cases {
+    for (name, end, viewing_id, package, counts) in cases {
         let mut records = vec![
             set_up(100, 1, 1, 0, package),
             over(120, 1, 1, 0, Plays),
             set_up(300, 5, 2, 1, package),
-            set_up(301, 6, vw, 0, package),
+            set_up(301, 6, viewing_id, 0, package),
         ];
-        records.extend(end.map(|(at, how)| over(at, 6, vw, 0, how)));
+        records.extend(end.map(|(at, how)| over(at, 6, viewing_id, 0, how)));
         let mut terms = terms();
         terms.packages.push(Package { once: false, ..terms.packages[TICKET].clone() });
         let history = History { records, asked: vec![], managers: vec![process(&[])] };
@@ -321,8 +331,9 @@
 #[test]
 fn more_further_tune_ins_than_the_ration_are_found() {
     // One is free and each two viewings taken allow one more.
-    let again =
-        |at: u64, vw: u32, n: u16| [set_up(at, 0, vw, n, CLIP), over(at + 10, 0, vw, n, SetUpEnd::Refused)];
+    let again = |at: u64, viewing_id: u32, n: u16| {
+        [set_up(at, 0, viewing_id, n, CLIP), over(at + 10, 0, viewing_id, n, SetUpEnd::Refused)]
+    };
     let taken =
         |count: u128| (0..count).map(|i| asked(i, CLIP, 50, 90, Came::Answer(200))).collect::<Vec<_>>();
     let cases = [
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -35,8 +35,8 @@
     names.iter().find(|(_, value)| value == of).map_or("", |(name, _)| name)
 }
 
-fn key(TuneInKey { manager, birth, vw, n }: &TuneInKey) -> String {
-    format!("key {{ manager: {} birth: {birth} vw: {vw} n: {n} }}", manager.0)
+fn key(TuneInKey { manager, incarnation, viewing_id, n }: &TuneInKey) -> String {
+    format!("key {{ manager: {} birth: {incarnation} vw: {viewing_id} n: {n} }}", manager.0)
 }
 
 /// A history as text.
@@ -109,10 +109,10 @@
         What::StreamOver { server, key: of, why } => {
             format!("stream_over {{ server: {} {} why: {:?} }}", server.0, key(of), name(why, &OVERS))
         }
-        What::Told { manager, server, standing, birth } => {
+        What::Told { manager, server, standing, incarnation } => {
             let standing = name(standing, &STANDINGS);
             format!(
-                "told {{ manager: {} server: {} standing: {standing:?} birth: {birth} }}",
+                "told {{ manager: {} server: {} standing: {standing:?} birth: {incarnation} }}",
                 manager.0, server.0
             )
         }
@@ -257,7 +257,7 @@
                 manager,
                 server,
                 standing,
-                birth: of.integer("birth"),
+                incarnation: of.integer("birth"),
             }));
         }
         "born" => history.records.push(record(What::Born { server })),
@@ -281,8 +281,8 @@
 
 fn key_of(of: &Section) -> TuneInKey {
     let key = of.section("key");
-    let (manager, vw) = (ManagerNo(key.count("manager") as u32), key.count("vw") as u32);
-    TuneInKey { manager, birth: key.integer("birth"), vw, n: key.count("n") as u16 }
+    let (manager, viewing_id) = (ManagerNo(key.count("manager") as u32), key.count("vw") as u32);
+    TuneInKey { manager, incarnation: key.integer("birth"), viewing_id, n: key.count("n") as u16 }
 }
 
 fn terms_of(of: &Section) -> Terms {
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -76,11 +76,11 @@
 /// The one answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It plays there, up to that rung; `birth`: of the start that set it up, `turn`: of the token that goes with it.
+    /// It plays there, up to that rung; `incarnation`: of the start that set it up, `turn`: of the token that goes with it.
     Plays {
         server: ServerId,
-        birth: Incarnation,
-        vw: ViewingId,
+        incarnation: Incarnation,
+        viewing_id: ViewingId,
         tune_in: TuneIn,
         rung: usize,
         sequence: u32,
@@ -122,22 +122,25 @@
     /// Connects to the server and, if `SessionCore::may_send_set_up` then allows it, sends the set-up. `who`: the session, and the
     /// highest rung that its player can use; `limit`: after which nobody waits for it.
     fn set_up(
-        &mut self, who: (SessionId, usize), vw: ViewingId, tune_in: TuneIn, server: ServerId, rung: usize,
-        about: (PackageId, TitleId), limit: Duration,
+        &mut self, who: (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn, server: ServerId,
+        rung: usize, about: (PackageId, TitleId), limit: Duration,
     );
     /// Nobody waits for this set-up any more: its connection is closed.
-    fn cancel_set_up(&mut self, vw: ViewingId, tune_in: TuneIn);
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn);
     /// Whatever the server has of this tune-in ends, now or when it comes to it.
-    fn release(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn);
+    fn release(&mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn);
     fn change_rung(
-        &mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn, rung: usize,
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+        rung: usize,
     );
     fn probe(&mut self, server: ServerId);
     /// Asks a server when the player last fetched of that; `SessionCore::on_last_fetch` is told.
-    fn query_last_fetch(&mut self, server: ServerId, birth: Incarnation, vw: ViewingId, tune_in: TuneIn);
+    fn query_last_fetch(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+    );
     fn set_timer(&mut self, after: Duration, timer: Timer);
     /// An assertion failed; it has changed nothing.
-    fn report_violation(&mut self, violation: Violation, vw: ViewingId);
+    fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId);
 }
 
 #[cfg(test)]
--- a/crates/session/src/policy.rs
+++ b/crates/session/src/policy.rs
@@ -10,20 +10,22 @@
     fn start(&mut self, act: &mut dyn Actions, now: Duration);
     fn on_server_list(&mut self, now: Duration, list: &[ServerEntry], scope: ListScope);
     fn on_request(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
-        cells: Cells, top: usize, ends: Duration,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
+        title: TitleId, cells: Cells, top: usize, ends: Duration,
     );
-    fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId);
+    fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, server: ServerId);
     fn restore_viewing(
-        &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
-        rungs: (usize, usize),
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, package: PackageId,
+        title: TitleId, rungs: (usize, usize),
     );
     fn on_tune_in_ended(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, n: u16, server: ServerId,
         outcome: TuneInOutcome, terminal: bool, load: LoadReport,
     );
-    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId);
-    fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: ServerUpdate);
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId);
+    fn on_server_update(
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, news: ServerUpdate,
+    );
     fn on_load_report(&mut self, now: Duration, server: ServerId, load: LoadReport);
     fn on_probe_result(
         &mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<LoadReport>,
@@ -44,31 +46,33 @@
         self.on_server_list(now, list, scope);
     }
     fn on_request(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
-        cells: Cells, top: usize, ends: Duration,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
+        title: TitleId, cells: Cells, top: usize, ends: Duration,
     ) {
-        self.on_request(act, now, vw, package, title, cells, top, ends);
+        self.on_request(act, now, viewing_id, package, title, cells, top, ends);
     }
-    fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
-        self.on_playing(now, vw, server);
+    fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, server: ServerId) {
+        self.on_playing(now, viewing_id, server);
     }
     fn restore_viewing(
-        &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
-        rungs: (usize, usize),
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, package: PackageId,
+        title: TitleId, rungs: (usize, usize),
     ) {
-        self.restore_viewing(now, vw, server, package, title, rungs);
+        self.restore_viewing(now, viewing_id, server, package, title, rungs);
     }
     fn on_tune_in_ended(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, n: u16, server: ServerId,
         outcome: TuneInOutcome, terminal: bool, load: LoadReport,
     ) {
-        self.on_tune_in_ended(act, now, vw, n, server, outcome, terminal, load);
+        self.on_tune_in_ended(act, now, viewing_id, n, server, outcome, terminal, load);
     }
-    fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
-        self.on_viewer_left(act, vw);
+    fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
+        self.on_viewer_left(act, viewing_id);
     }
-    fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: ServerUpdate) {
-        self.on_server_update(now, vw, server, news);
+    fn on_server_update(
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, news: ServerUpdate,
+    ) {
+        self.on_server_update(now, viewing_id, server, news);
     }
     fn on_load_report(&mut self, now: Duration, server: ServerId, load: LoadReport) {
         self.on_load_report(now, server, load);
--- a/crates/session/src/rule_guard.rs
+++ b/crates/session/src/rule_guard.rs
@@ -105,11 +105,11 @@
     /// A set-up is about to be written: what it would break. `again`: a further tune-in, `ran`: an earlier one of a
     /// paid viewing may have run.
     pub(crate) fn sending(
-        &mut self, now: Duration, session: SessionId, vw: ViewingId, server: ServerId,
+        &mut self, now: Duration, session: SessionId, viewing_id: ViewingId, server: ServerId,
         about: (usize, TitleId), (again, ran): (bool, bool),
     ) -> Vec<Violation> {
         let mut violations = vec![];
-        if self.out.insert(session, vw).is_some() {
+        if self.out.insert(session, viewing_id).is_some() {
             violations.push(Violation::TwoTuneIns);
         }
         if ran {
@@ -134,8 +134,8 @@
         violations
     }
 
-    pub(crate) fn ended(&mut self, session: SessionId, vw: ViewingId) {
-        if self.out.get(&session) == Some(&vw) {
+    pub(crate) fn ended(&mut self, session: SessionId, viewing_id: ViewingId) {
+        if self.out.get(&session) == Some(&viewing_id) {
             self.out.remove(&session);
         }
     }
--- a/crates/session/src/session_core.rs
+++ b/crates/session/src/session_core.rs
@@ -56,13 +56,13 @@
     /// `terms`: by package, the viewer's patience and whether it is paid at set-up; `slack`: how long after the patience
     /// an answer is still in time; `idle`: a player that neither asks nor fetches for so long has left, none where that is
     /// told; `paid`: how long a paid session that may have run is remembered at least, none where none comes again; `ration`: span, free and share of further
-    /// tune-ins; `birth`: this start, above all before.
+    /// tune-ins; `incarnation`: this start, above all before.
     pub fn new(
         policy: Box<dyn Policy>, rule_guard: RuleGuard, terms: Vec<(Duration, bool)>,
         (slack, idle, paid): (Duration, Option<Duration>, Option<Duration>),
-        ration: Option<(Duration, f64, f64)>, birth: Incarnation,
+        ration: Option<(Duration, f64, f64)>, incarnation: Incarnation,
     ) -> Self {
-        let table = SessionTable::new(ration, rule_guard, birth, paid.is_some());
+        let table = SessionTable::new(ration, rule_guard, incarnation, paid.is_some());
         let (heard, words) = (BTreeSet::new(), vec![]);
         SessionCore {
             policy,
@@ -104,7 +104,9 @@
             return out.answer(request, Answer::Conflict);
         };
         let left_at = match origin {
-            TokenOrigin::Manager { birth, server, .. } => Some(server).filter(|_| birth < self.table.birth.0),
+            TokenOrigin::Manager { incarnation, server, .. } => {
+                Some(server).filter(|_| incarnation < self.table.incarnation.0)
+            }
             TokenOrigin::App { .. } => self.table.spent(now, session).flatten(),
         };
         if let Some(server) = left_at.filter(|server| !self.inventoried_servers.contains(server))
@@ -142,8 +144,8 @@
         let Some(&(_, once)) = self.terms.get(package.0) else {
             return out.answer(request, Answer::Conflict);
         };
-        if let Some(&vw) = self.table.sessions.get(&session) {
-            return self.on_repeated_request(out, now, request, vw, title, origin, valid);
+        if let Some(&viewing_id) = self.table.sessions.get(&session) {
+            return self.on_repeated_request(out, now, request, viewing_id, title, origin, valid);
         }
         let begun = matches!(origin, TokenOrigin::Manager { .. });
         // Guards against a paid viewing set up again by a resend after its end, or after this manager's restart.
@@ -153,7 +155,7 @@
         if self.stopping {
             return out.answer(request, Answer::Blocked { come_back: None, why: FailureCause::ShuttingDown });
         }
-        let vw = self.table.fresh();
+        let viewing_id = self.table.fresh();
         let viewing = Viewing {
             session,
             package: package.0,
@@ -170,22 +172,22 @@
             token_chain: TokenChain::new(origin),
             valid: valid.max(now + self.paid.unwrap_or_default()),
         };
-        self.table.viewings.insert(vw, viewing);
-        self.table.sessions.insert(session, vw);
+        self.table.viewings.insert(viewing_id, viewing);
+        self.table.sessions.insert(session, viewing_id);
         self.table.rule_guard.taken(now);
         self.table.ration.iter_mut().for_each(|ration| ration.taken(now));
-        out.set_timer((ends + self.slack).saturating_sub(now), Timer::AnswerDeadline(vw));
+        out.set_timer((ends + self.slack).saturating_sub(now), Timer::AnswerDeadline(viewing_id));
         let actions = &mut PolicyActions { table: &mut self.table, out };
-        self.policy.on_request(actions, now, vw, package, title, cells, top, ends);
+        self.policy.on_request(actions, now, viewing_id, package, title, cells, top, ends);
         self.settle(out, now);
     }
 
     /// A refresh, a resend, or two requests that cross: one viewing, never a second set-up.
     fn on_repeated_request(
-        &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, vw: ViewingId, title: TitleId,
-        origin: TokenOrigin, valid: Duration,
+        &mut self, out: &mut dyn Effects, now: Duration, request: RequestId, viewing_id: ViewingId,
+        title: TitleId, origin: TokenOrigin, valid: Duration,
     ) {
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
         if viewing.title != title {
             return out.answer(request, Answer::Conflict);
         }
@@ -197,8 +199,8 @@
         viewing.valid = viewing.valid.max(valid).max(now + self.paid.unwrap_or_default());
         let (rung, answered) = (viewing.rung, viewing.answered);
         match viewing.state {
-            SessionState::Plays { server, birth, tune_in } => {
-                let answer = Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 };
+            SessionState::Plays { server, incarnation, tune_in } => {
+                let answer = Answer::Plays { server, incarnation, viewing_id, tune_in, rung, sequence: 0 };
                 out.answer(request, with_sequence(answer, &mut viewing.token_chain));
             }
             // Guards against a second tune-in beside one that was given up but can't be called off.
@@ -232,28 +234,30 @@
     /// more is released, so that it holds no place. `rungs`: the one in force, and the highest of its player.
     pub fn on_running_tune_in(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), session: SessionId,
+        (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn), session: SessionId,
         (package, title, (rung, top)): (PackageId, TitleId, (usize, usize)),
     ) {
-        let ours = self.table.viewings.get(&vw);
+        let ours = self.table.viewings.get(&viewing_id);
         if ours.is_some_and(|viewing| match viewing.state {
             // Its answer may still be on the way.
             SessionState::Out { server: at, tune_in: n, .. } => {
-                (birth, server, tune_in) == (self.table.birth, at, n)
+                (incarnation, server, tune_in) == (self.table.incarnation, at, n)
             }
-            SessionState::Plays { server: at, birth: of, tune_in: n } => {
-                (birth, server, tune_in) == (of, at, n)
+            SessionState::Plays { server: at, incarnation: of, tune_in: n } => {
+                (incarnation, server, tune_in) == (of, at, n)
             }
             SessionState::Deciding => false,
         }) {
             return;
         }
         let known = ours.is_some() || self.table.sessions.contains_key(&session);
-        let terms =
-            self.terms.get(package.0).filter(|_| !known && !self.stopping && birth < self.table.birth);
+        let terms = self
+            .terms
+            .get(package.0)
+            .filter(|_| !known && !self.stopping && incarnation < self.table.incarnation);
         let Some(&(_, once)) = terms else {
             self.inventory_counts.0 += 1;
-            return out.release(server, birth, vw, tune_in);
+            return out.release(server, incarnation, viewing_id, tune_in);
         };
         self.inventory_counts.1 += 1;
         let viewing = Viewing {
@@ -264,7 +268,7 @@
             once,
             requests: vec![],
             answered: true,
-            state: SessionState::Plays { server, birth, tune_in },
+            state: SessionState::Plays { server, incarnation, tune_in },
             rung,
             tune_ins: 0,
             seen: now,
@@ -272,11 +276,11 @@
             token_chain: TokenChain::unknown(),
             valid: now + self.paid.unwrap_or_default(),
         };
-        self.table.viewings.insert(vw, viewing);
-        self.table.sessions.insert(session, vw);
+        self.table.viewings.insert(viewing_id, viewing);
+        self.table.sessions.insert(session, viewing_id);
         self.table.rule_guard.holds(package.0, title, true);
-        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(vw)));
-        self.policy.restore_viewing(now, vw, server, package, title, (rung, top));
+        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(viewing_id)));
+        self.policy.restore_viewing(now, viewing_id, server, package, title, (rung, top));
     }
 
     /// A session's tokens are taken no more: what it has ends now.
@@ -285,28 +289,42 @@
             std::mem::take(&mut self.words).into_iter().partition(|word| word.session == session);
         self.words = stay;
         gone.into_iter().for_each(|word| out.answer(word.request, Answer::Revoked));
-        let Some(&vw) = self.table.sessions.get(&session) else { return };
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
-        if let SessionState::Plays { server, birth, tune_in } = viewing.state {
-            out.release(server, birth, vw, tune_in);
-            return self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
+        let Some(&viewing_id) = self.table.sessions.get(&session) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
+        if let SessionState::Plays { server, incarnation, tune_in } = viewing.state {
+            out.release(server, incarnation, viewing_id, tune_in);
+            return self.on_viewing_ended(
+                out,
+                now,
+                server,
+                (incarnation, viewing_id, tune_in),
+                EndReason::ViewerLeft,
+            );
         }
         viewing.answered = true;
         std::mem::take(&mut viewing.requests).into_iter().for_each(|r| out.answer(r, Answer::Revoked));
-        self.leaves(out, now, vw);
+        self.leaves(out, now, viewing_id);
     }
 
     /// A server's clock has gone astray: players' tokens are not taken there, so what plays there is over.
     pub fn on_clock_skew(&mut self, out: &mut dyn Effects, now: Duration, server: ServerId) {
-        for (birth, vw, tune_in) in self.playing_at(server) {
-            out.release(server, birth, vw, tune_in);
-            self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ServerLost);
+        for (incarnation, viewing_id, tune_in) in self.playing_at(server) {
+            out.release(server, incarnation, viewing_id, tune_in);
+            self.on_viewing_ended(
+                out,
+                now,
+                server,
+                (incarnation, viewing_id, tune_in),
+                EndReason::ServerLost,
+            );
         }
     }
 
     fn playing_at(&self, server: ServerId) -> Vec<(Incarnation, ViewingId, TuneIn)> {
-        let there = |(vw, viewing): (&ViewingId, &Viewing)| match viewing.state {
-            SessionState::Plays { server: at, birth, tune_in } if at == server => Some((birth, *vw, tune_in)),
+        let there = |(viewing_id, viewing): (&ViewingId, &Viewing)| match viewing.state {
+            SessionState::Plays { server: at, incarnation, tune_in } if at == server => {
+                Some((incarnation, *viewing_id, tune_in))
+            }
             _ => None,
         };
         self.table.viewings.iter().filter_map(there).collect()
@@ -317,33 +335,36 @@
         &mut self, out: &mut dyn Effects, now: Duration, session: SessionId, request: RequestId,
     ) {
         self.words.retain(|word| word.request != request);
-        let Some(&vw) = self.table.sessions.get(&session) else { return };
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+        let Some(&viewing_id) = self.table.sessions.get(&session) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
         let before = viewing.requests.len();
         viewing.requests.retain(|waiting| *waiting != request);
         if before == viewing.requests.len() || !viewing.requests.is_empty() || viewing.answered {
             return;
         }
         viewing.answered = true;
-        self.leaves(out, now, vw);
+        self.leaves(out, now, viewing_id);
     }
 
     /// Nobody waits for a viewing's answer any more.
-    fn leaves(&mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId) {
-        let deciding =
-            self.table.viewings.get(&vw).is_some_and(|viewing| viewing.state == SessionState::Deciding);
-        self.policy.on_viewer_left(&mut PolicyActions { table: &mut self.table, out }, vw);
+    fn leaves(&mut self, out: &mut dyn Effects, now: Duration, viewing_id: ViewingId) {
+        let deciding = self
+            .table
+            .viewings
+            .get(&viewing_id)
+            .is_some_and(|viewing| viewing.state == SessionState::Deciding);
+        self.policy.on_viewer_left(&mut PolicyActions { table: &mut self.table, out }, viewing_id);
         if deciding {
-            self.table.forget(vw);
+            self.table.forget(viewing_id);
         }
         self.settle(out, now);
     }
 
     /// The connection stands: may the set-up be written now? Told `NotWritten` at once where not.
     pub fn may_send_set_up(
-        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn,
+        &mut self, out: &mut dyn Effects, now: Duration, viewing_id: ViewingId, tune_in: TuneIn,
     ) -> bool {
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return false };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return false };
         let SessionState::Out { server, tune_in: current, .. } = viewing.state else { return false };
         if current != tune_in {
             return false;
@@ -351,26 +372,34 @@
         let further = self.table.ration.as_mut().filter(|_| tune_in.0 > 0);
         // Guards against a drain or an end heard since the decision, and against tune-ins that slow connections bunch.
         if self.table.rule_guard.ending(server) || further.is_some_and(|ration| !ration.allows(now)) {
-            self.on_attempt_result(out, now, vw, tune_in, AttemptResult::NotWritten, LoadReport::default());
+            self.on_attempt_result(
+                out,
+                now,
+                viewing_id,
+                tune_in,
+                AttemptResult::NotWritten,
+                LoadReport::default(),
+            );
             return false;
         }
         viewing.state = SessionState::Out { server, tune_in, written: true };
         let (session, about) = (viewing.session, (viewing.package, viewing.title));
         let ran = viewing.once && viewing.ran;
         viewing.ran = true;
-        let violations = self.table.rule_guard.sending(now, session, vw, server, about, (tune_in.0 > 0, ran));
-        violations.into_iter().for_each(|violation| out.report_violation(violation, vw));
+        let violations =
+            self.table.rule_guard.sending(now, session, viewing_id, server, about, (tune_in.0 > 0, ran));
+        violations.into_iter().for_each(|violation| out.report_violation(violation, viewing_id));
         true
     }
 
     /// The connection stands, but the keepers of a paid session gave no leave: it was set up elsewhere (`taken`), or no
     /// majority of them was reached. Nothing of it went out, and nothing will.
     pub fn on_claim_denied(
-        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, taken: bool,
+        &mut self, out: &mut dyn Effects, now: Duration, viewing_id: ViewingId, tune_in: TuneIn, taken: bool,
         come_back: Option<Duration>,
     ) {
-        let Some((server, _)) = self.table.take_out(vw, tune_in) else { return };
-        let about = self.table.viewings.get(&vw).map(|viewing| (viewing.session, viewing.valid));
+        let Some((server, _)) = self.table.take_out(viewing_id, tune_in) else { return };
+        let about = self.table.viewings.get(&viewing_id).map(|viewing| (viewing.session, viewing.valid));
         if let Some((session, valid)) = about.filter(|_| taken) {
             self.table.spend(session, valid, None);
         }
@@ -378,11 +407,11 @@
             true => Answer::Aborted { why: FailureCause::AlreadyUsed },
             false => Answer::Blocked { come_back, why: FailureCause::NoMajority },
         };
-        self.table.answer(out, vw, answer);
+        self.table.answer(out, viewing_id, answer);
         self.ended(
             out,
             now,
-            Ended { vw, tune_in, server, outcome: TuneInOutcome::NotSent },
+            Ended { viewing_id, tune_in, server, outcome: TuneInOutcome::NotSent },
             LoadReport::default(),
         );
         self.settle(out, now);
@@ -390,19 +419,19 @@
 
     /// What became of a set-up.
     pub fn on_attempt_result(
-        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, what: AttemptResult,
-        load: LoadReport,
+        &mut self, out: &mut dyn Effects, now: Duration, viewing_id: ViewingId, tune_in: TuneIn,
+        what: AttemptResult, load: LoadReport,
     ) {
         let outcome = match what {
-            AttemptResult::Playing => return self.plays(out, now, vw, tune_in, load),
+            AttemptResult::Playing => return self.plays(out, now, viewing_id, tune_in, load),
             AttemptResult::NotConnected => TuneInOutcome::Unreachable,
             AttemptResult::NotWritten => TuneInOutcome::NotSent,
             AttemptResult::Refused => TuneInOutcome::Refused,
             AttemptResult::ServerError => TuneInOutcome::Failed,
             AttemptResult::ConnectionBroken => TuneInOutcome::ConnectionBroken,
         };
-        let Some((server, _)) = self.table.take_out(vw, tune_in) else { return };
-        if let Some(viewing) = self.table.viewings.get_mut(&vw).filter(|_| outcome.never_ran()) {
+        let Some((server, _)) = self.table.take_out(viewing_id, tune_in) else { return };
+        if let Some(viewing) = self.table.viewings.get_mut(&viewing_id).filter(|_| outcome.never_ran()) {
             viewing.ran = false;
         }
         if outcome == TuneInOutcome::Unreachable {
@@ -410,9 +439,9 @@
         }
         // What may have run there is not left to its lease.
         if !outcome.never_ran() {
-            out.release(server, self.table.birth, vw, tune_in);
+            out.release(server, self.table.incarnation, viewing_id, tune_in);
         }
-        self.ended(out, now, Ended { vw, tune_in, server, outcome }, load);
+        self.ended(out, now, Ended { viewing_id, tune_in, server, outcome }, load);
         self.settle(out, now);
     }
 
@@ -421,38 +450,49 @@
     }
 
     fn plays(
-        &mut self, out: &mut dyn Effects, now: Duration, vw: ViewingId, tune_in: TuneIn, load: LoadReport,
+        &mut self, out: &mut dyn Effects, now: Duration, viewing_id: ViewingId, tune_in: TuneIn,
+        load: LoadReport,
     ) {
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
         let SessionState::Out { server, tune_in: current, .. } = viewing.state else { return };
         if current != tune_in {
             return;
         }
-        let birth = self.table.birth;
-        viewing.state = SessionState::Plays { server, birth, tune_in };
+        let incarnation = self.table.incarnation;
+        viewing.state = SessionState::Plays { server, incarnation, tune_in };
         let (rung, answered) = (viewing.rung, viewing.answered);
-        self.table.rule_guard.ended(viewing.session, vw);
+        self.table.rule_guard.ended(viewing.session, viewing_id);
         self.policy.on_load_report(now, server, load);
-        self.policy.on_playing(now, vw, server);
+        self.policy.on_playing(now, viewing_id, server);
         if answered {
             // The viewer left while it was set up.
-            out.release(server, birth, vw, tune_in);
-            return self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
+            out.release(server, incarnation, viewing_id, tune_in);
+            return self.on_viewing_ended(
+                out,
+                now,
+                server,
+                (incarnation, viewing_id, tune_in),
+                EndReason::ViewerLeft,
+            );
         }
-        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(vw)));
-        self.table.answer(out, vw, Answer::Plays { server, birth, vw, tune_in, rung, sequence: 0 });
+        self.idle.into_iter().for_each(|idle| out.set_timer(idle, Timer::IdleCheck(viewing_id)));
+        self.table.answer(
+            out,
+            viewing_id,
+            Answer::Plays { server, incarnation, viewing_id, tune_in, rung, sequence: 0 },
+        );
     }
 
     /// A viewing that played is over.
     pub fn on_viewing_ended(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), why: EndReason,
+        (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn), why: EndReason,
     ) {
-        let plays = SessionState::Plays { server, birth, tune_in };
-        if self.table.viewings.get(&vw).is_none_or(|viewing| viewing.state != plays) {
+        let plays = SessionState::Plays { server, incarnation, tune_in };
+        if self.table.viewings.get(&viewing_id).is_none_or(|viewing| viewing.state != plays) {
             return;
         }
-        self.table.forget(vw);
+        self.table.forget(viewing_id);
         let outcome = match why {
             EndReason::Completed => TuneInOutcome::Completed,
             EndReason::ViewerLeft => TuneInOutcome::Cancelled,
@@ -460,8 +500,17 @@
         };
         let actions = &mut PolicyActions { table: &mut self.table, out };
         // The module counts the tune-ins of its own start only; what it found playing is its first.
-        let n = if birth == actions.table.birth { tune_in.0 } else { 0 };
-        self.policy.on_tune_in_ended(actions, now, vw, n, server, outcome, true, LoadReport::default());
+        let n = if incarnation == actions.table.incarnation { tune_in.0 } else { 0 };
+        self.policy.on_tune_in_ended(
+            actions,
+            now,
+            viewing_id,
+            n,
+            server,
+            outcome,
+            true,
+            LoadReport::default(),
+        );
         self.settle(out, now);
     }
 
@@ -479,20 +528,21 @@
     /// where that says nothing, or plays it no more.
     pub fn on_last_fetch(
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId,
-        (birth, vw, tune_in): (Incarnation, ViewingId, TuneIn), quiet: Option<Duration>,
+        (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn), quiet: Option<Duration>,
     ) {
-        let plays = SessionState::Plays { server, birth, tune_in };
-        let Some(viewing) = self.table.viewings.get_mut(&vw).filter(|viewing| viewing.state == plays) else {
+        let plays = SessionState::Plays { server, incarnation, tune_in };
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id).filter(|viewing| viewing.state == plays)
+        else {
             return;
         };
         viewing.seen = viewing.seen.max(now.saturating_sub(quiet.unwrap_or(now)));
         let (quiet, idle) = (now.saturating_sub(viewing.seen), self.idle.unwrap_or(Duration::MAX));
         if quiet < idle {
-            return out.set_timer(idle - quiet, Timer::IdleCheck(vw));
+            return out.set_timer(idle - quiet, Timer::IdleCheck(viewing_id));
         }
         // Guards against a place held for nobody where the server itself stands still and says nothing.
-        out.release(server, birth, vw, tune_in);
-        self.on_viewing_ended(out, now, server, (birth, vw, tune_in), EndReason::ViewerLeft);
+        out.release(server, incarnation, viewing_id, tune_in);
+        self.on_viewing_ended(out, now, server, (incarnation, viewing_id, tune_in), EndReason::ViewerLeft);
     }
 
     /// A viewing that another start, or nobody of ours, set up plays there and is handed to us. None where its session
@@ -501,7 +551,7 @@
         &mut self, out: &mut dyn Effects, now: Duration, server: ServerId, session: SessionId,
         (package, title, rungs): (PackageId, TitleId, (usize, usize)),
     ) -> Option<(Incarnation, ViewingId, TuneIn)> {
-        let key = (Incarnation(self.table.birth.0.checked_sub(1)?), self.table.fresh(), TuneIn(0));
+        let key = (Incarnation(self.table.incarnation.0.checked_sub(1)?), self.table.fresh(), TuneIn(0));
         let unknown = !self.table.sessions.contains_key(&session) && self.terms.get(package.0).is_some();
         unknown.then(|| self.on_running_tune_in(out, now, server, key, session, (package, title, rungs)))?;
         Some(key)
@@ -517,8 +567,10 @@
         self.policy.on_load_report(now, server, load);
     }
 
-    pub fn on_server_update(&mut self, now: Duration, server: ServerId, vw: ViewingId, news: ServerUpdate) {
-        self.policy.on_server_update(now, vw, server, news);
+    pub fn on_server_update(
+        &mut self, now: Duration, server: ServerId, viewing_id: ViewingId, news: ServerUpdate,
+    ) {
+        self.policy.on_server_update(now, viewing_id, server, news);
     }
 
     /// What a probe brought; none for no answer.
@@ -535,27 +587,27 @@
                 self.policy.on_timer(&mut PolicyActions { table: &mut self.table, out }, now, token);
                 self.settle(out, now);
             }
-            Timer::TuneInTimeout(vw, tune_in) => {
-                let Some((server, written)) = self.table.take_out(vw, tune_in) else { return };
-                out.cancel_set_up(vw, tune_in);
+            Timer::TuneInTimeout(viewing_id, tune_in) => {
+                let Some((server, written)) = self.table.take_out(viewing_id, tune_in) else { return };
+                out.cancel_set_up(viewing_id, tune_in);
                 // Without a byte written it can't have run.
                 let outcome = if written { TuneInOutcome::TimedOut } else { TuneInOutcome::Unreachable };
                 if written {
-                    out.release(server, self.table.birth, vw, tune_in);
+                    out.release(server, self.table.incarnation, viewing_id, tune_in);
                 } else {
                     self.reached_nobody(now, tune_in);
                 }
-                self.ended(out, now, Ended { vw, tune_in, server, outcome }, LoadReport::default());
+                self.ended(out, now, Ended { viewing_id, tune_in, server, outcome }, LoadReport::default());
                 self.settle(out, now);
             }
-            Timer::IdleCheck(vw) => {
-                let Some(viewing) = self.table.viewings.get(&vw) else { return };
-                let SessionState::Plays { server, birth, tune_in } = viewing.state else { return };
+            Timer::IdleCheck(viewing_id) => {
+                let Some(viewing) = self.table.viewings.get(&viewing_id) else { return };
+                let SessionState::Plays { server, incarnation, tune_in } = viewing.state else { return };
                 let (quiet, idle) = (now.saturating_sub(viewing.seen), self.idle.unwrap_or(Duration::MAX));
                 if quiet < idle {
-                    return out.set_timer(idle - quiet, Timer::IdleCheck(vw));
+                    return out.set_timer(idle - quiet, Timer::IdleCheck(viewing_id));
                 }
-                out.query_last_fetch(server, birth, vw, tune_in);
+                out.query_last_fetch(server, incarnation, viewing_id, tune_in);
             }
             Timer::InventoryTimeout(request) => {
                 let (go, stay) =
@@ -563,12 +615,12 @@
                 self.words = stay;
                 self.go_on(out, now, go);
             }
-            Timer::AnswerDeadline(vw) => {
+            Timer::AnswerDeadline(viewing_id) => {
                 // Guards against any answer forgotten: the viewer's patience is over.
-                if self.table.viewings.get(&vw).is_some_and(|viewing| !viewing.answered) {
+                if self.table.viewings.get(&viewing_id).is_some_and(|viewing| !viewing.answered) {
                     self.table.rule_guard.late();
-                    out.report_violation(Violation::LateAnswer, vw);
-                    self.table.answer(out, vw, Answer::Aborted { why: FailureCause::AnswerOverdue });
+                    out.report_violation(Violation::LateAnswer, viewing_id);
+                    self.table.answer(out, viewing_id, Answer::Aborted { why: FailureCause::AnswerOverdue });
                 }
             }
         }
@@ -579,36 +631,50 @@
         self.stopping = true;
         let words = std::mem::take(&mut self.words);
         self.go_on(out, now, words);
-        let waiting: Vec<_> =
-            self.table.viewings.iter().filter(|(_, v)| !v.answered).map(|(vw, _)| *vw).collect();
-        for vw in waiting {
-            let viewing = &self.table.viewings[&vw];
+        let waiting: Vec<_> = self
+            .table
+            .viewings
+            .iter()
+            .filter(|(_, v)| !v.answered)
+            .map(|(viewing_id, _)| *viewing_id)
+            .collect();
+        for viewing_id in waiting {
+            let viewing = &self.table.viewings[&viewing_id];
             let ran = viewing.once && viewing.ran;
             if let SessionState::Out { server, tune_in, written } = viewing.state {
-                self.table.take_out(vw, tune_in);
-                out.cancel_set_up(vw, tune_in);
+                self.table.take_out(viewing_id, tune_in);
+                out.cancel_set_up(viewing_id, tune_in);
                 if written {
-                    out.release(server, self.table.birth, vw, tune_in);
+                    out.release(server, self.table.incarnation, viewing_id, tune_in);
                 }
-                self.table.ended.push_back(Ended { vw, tune_in, server, outcome: TuneInOutcome::Cancelled });
+                self.table.ended.push_back(Ended {
+                    viewing_id,
+                    tune_in,
+                    server,
+                    outcome: TuneInOutcome::Cancelled,
+                });
             }
             let why = FailureCause::ShuttingDown;
             let answer = if ran { Answer::Aborted { why } } else { Answer::Blocked { come_back: None, why } };
-            self.table.answer(out, vw, answer);
+            self.table.answer(out, viewing_id, answer);
         }
         self.settle(out, now);
     }
 
     /// Tells the module of an ending, and forgets the viewing where nothing follows.
     fn ended(&mut self, out: &mut dyn Effects, now: Duration, ended: Ended, load: LoadReport) {
-        let Ended { vw, tune_in, server, outcome } = ended;
-        let answered = self.table.viewings.get(&vw).is_none_or(|viewing| viewing.answered);
+        let Ended { viewing_id, tune_in, server, outcome } = ended;
+        let answered = self.table.viewings.get(&viewing_id).is_none_or(|viewing| viewing.answered);
         let actions = &mut PolicyActions { table: &mut self.table, out };
-        self.policy.on_tune_in_ended(actions, now, vw, tune_in.0, server, outcome, answered, load);
+        self.policy.on_tune_in_ended(actions, now, viewing_id, tune_in.0, server, outcome, answered, load);
         if answered
-            && self.table.viewings.get(&vw).is_some_and(|viewing| viewing.state == SessionState::Deciding)
+            && self
+                .table
+                .viewings
+                .get(&viewing_id)
+                .is_some_and(|viewing| viewing.state == SessionState::Deciding)
         {
-            self.table.forget(vw);
+            self.table.forget(viewing_id);
         }
     }
 
--- a/crates/session/src/session_table.rs
+++ b/crates/session/src/session_table.rs
@@ -13,8 +13,8 @@
     Deciding,
     /// A tune-in is out. `written`: its first byte has gone or may have.
     Out { server: ServerId, tune_in: TuneIn, written: bool },
-    /// `birth`: of the manager's start that set it up.
-    Plays { server: ServerId, birth: Incarnation, tune_in: TuneIn },
+    /// `incarnation`: of the manager's start that set it up.
+    Plays { server: ServerId, incarnation: Incarnation, tune_in: TuneIn },
 }
 
 pub(crate) struct Viewing {
@@ -76,7 +76,7 @@
 
 /// An ending that the module is still to be told of.
 pub(crate) struct Ended {
-    pub vw: ViewingId,
+    pub viewing_id: ViewingId,
     pub tune_in: TuneIn,
     pub server: ServerId,
     pub outcome: TuneInOutcome,
@@ -93,7 +93,7 @@
     pub ration: Option<Ration>,
     pub rule_guard: RuleGuard,
     pub last: u32,
-    pub birth: Incarnation,
+    pub incarnation: Incarnation,
     /// Whether paid sessions that may have run are remembered.
     remembers: bool,
 }
@@ -108,7 +108,8 @@
 
 impl SessionTable {
     pub fn new(
-        ration: Option<(Duration, f64, f64)>, rule_guard: RuleGuard, birth: Incarnation, remembers: bool,
+        ration: Option<(Duration, f64, f64)>, rule_guard: RuleGuard, incarnation: Incarnation,
+        remembers: bool,
     ) -> Self {
         SessionTable {
             viewings: BTreeMap::new(),
@@ -119,8 +120,8 @@
             ration: ration.map(Ration::new),
             rule_guard,
             // Ids of different starts lie apart, so that what an earlier one left keeps its own.
-            last: (birth.0 as u32).wrapping_mul(0x9E37_79B9),
-            birth,
+            last: (incarnation.0 as u32).wrapping_mul(0x9E37_79B9),
+            incarnation,
             remembers,
         }
     }
@@ -136,25 +137,27 @@
     }
 
     /// The answer, to all that wait for it; none after the first.
-    pub fn answer(&mut self, out: &mut dyn Effects, vw: ViewingId, answer: Answer) {
-        let Some(viewing) = self.viewings.get_mut(&vw).filter(|viewing| !viewing.answered) else { return };
+    pub fn answer(&mut self, out: &mut dyn Effects, viewing_id: ViewingId, answer: Answer) {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id).filter(|viewing| !viewing.answered) else {
+            return;
+        };
         viewing.answered = true;
         for request in std::mem::take(&mut viewing.requests) {
             out.answer(request, with_sequence(answer, &mut viewing.token_chain));
         }
         if !matches!(answer, Answer::Plays { .. }) && viewing.state == SessionState::Deciding {
-            self.forget(vw);
+            self.forget(viewing_id);
         }
     }
 
     /// The viewing is over and nothing of it is out.
-    pub fn forget(&mut self, vw: ViewingId) {
-        let Some(viewing) = self.viewings.remove(&vw) else { return };
+    pub fn forget(&mut self, viewing_id: ViewingId) {
+        let Some(viewing) = self.viewings.remove(&viewing_id) else { return };
         if viewing.state != SessionState::Deciding {
             self.rule_guard.holds(viewing.package, viewing.title, false);
         }
-        self.rule_guard.ended(viewing.session, vw);
-        if self.sessions.get(&viewing.session) == Some(&vw) {
+        self.rule_guard.ended(viewing.session, viewing_id);
+        if self.sessions.get(&viewing.session) == Some(&viewing_id) {
             self.sessions.remove(&viewing.session);
         }
         if viewing.once && viewing.ran && self.remembers {
@@ -185,15 +188,15 @@
     }
 
     /// Takes the tune-in off a viewing if it is that one.
-    pub fn take_out(&mut self, vw: ViewingId, tune_in: TuneIn) -> Option<(ServerId, bool)> {
-        let viewing = self.viewings.get_mut(&vw)?;
+    pub fn take_out(&mut self, viewing_id: ViewingId, tune_in: TuneIn) -> Option<(ServerId, bool)> {
+        let viewing = self.viewings.get_mut(&viewing_id)?;
         let SessionState::Out { server, tune_in: out, written } = viewing.state else { return None };
         if out != tune_in {
             return None;
         }
         viewing.state = SessionState::Deciding;
         self.rule_guard.holds(viewing.package, viewing.title, false);
-        self.rule_guard.ended(viewing.session, vw);
+        self.rule_guard.ended(viewing.session, viewing_id);
         Some((server, written))
     }
 }
@@ -205,41 +208,53 @@
 }
 
 impl Actions for PolicyActions<'_> {
-    fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration) {
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
         let tune_in = TuneIn(viewing.tune_ins);
         viewing.tune_ins += 1;
         viewing.state = SessionState::Out { server, tune_in, written: false };
         self.table.rule_guard.holds(viewing.package, viewing.title, true);
         let about = (PackageId(viewing.package), viewing.title);
-        self.out.set_up((viewing.session, viewing.top), vw, tune_in, server, viewing.rung, about, limit);
-        self.out.set_timer(limit, Timer::TuneInTimeout(vw, tune_in));
+        self.out.set_up(
+            (viewing.session, viewing.top),
+            viewing_id,
+            tune_in,
+            server,
+            viewing.rung,
+            about,
+            limit,
+        );
+        self.out.set_timer(limit, Timer::TuneInTimeout(viewing_id, tune_in));
     }
 
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, why: RefusalReason) {
-        self.table.answer(self.out, vw, Answer::Blocked { come_back, why: FailureCause::ByPolicy(why) });
+    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, why: RefusalReason) {
+        self.table.answer(
+            self.out,
+            viewing_id,
+            Answer::Blocked { come_back, why: FailureCause::ByPolicy(why) },
+        );
     }
 
-    fn abort(&mut self, vw: ViewingId, why: RefusalReason) {
-        self.table.answer(self.out, vw, Answer::Aborted { why: FailureCause::ByPolicy(why) });
+    fn abort(&mut self, viewing_id: ViewingId, why: RefusalReason) {
+        self.table.answer(self.out, viewing_id, Answer::Aborted { why: FailureCause::ByPolicy(why) });
     }
 
-    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
+    fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16) {
         let tune_in = TuneIn(tune_in);
         // One that plays by now is not called off.
-        let Some((server, written)) = self.table.take_out(vw, tune_in) else { return };
-        self.out.cancel_set_up(vw, tune_in);
+        let Some((server, written)) = self.table.take_out(viewing_id, tune_in) else { return };
+        self.out.cancel_set_up(viewing_id, tune_in);
         if written {
-            self.out.release(server, self.table.birth, vw, tune_in);
+            self.out.release(server, self.table.incarnation, viewing_id, tune_in);
         }
-        self.table.ended.push_back(Ended { vw, tune_in, server, outcome: TuneInOutcome::Cancelled });
+        self.table.ended.push_back(Ended { viewing_id, tune_in, server, outcome: TuneInOutcome::Cancelled });
     }
 
-    fn set_rung(&mut self, vw: ViewingId, rung: usize) {
-        let Some(viewing) = self.table.viewings.get_mut(&vw) else { return };
+    fn set_rung(&mut self, viewing_id: ViewingId, rung: usize) {
+        let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
         viewing.rung = rung;
-        if let SessionState::Plays { server, birth, tune_in } = viewing.state {
-            self.out.change_rung(server, birth, vw, tune_in, rung);
+        if let SessionState::Plays { server, incarnation, tune_in } = viewing.state {
+            self.out.change_rung(server, incarnation, viewing_id, tune_in, rung);
         }
     }
 
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -41,12 +41,12 @@
         for (package, again) in [(PLAIN, plain), (PAID, paid)] {
             let mut harness = Harness::new();
             harness.asks(1, session(1), package);
-            let (vw, n) = out(&harness);
-            assert!(harness.sending(vw, n));
-            harness.happens(vw, n, what);
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.sending(viewing_id, n));
+            harness.happens(viewing_id, n, what);
             let after = harness.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
             assert_eq!(after == 2, again, "{what:?} of package {package}: {:?}", harness.did);
-            assert_eq!(harness.released(vw, n), released, "{what:?}");
+            assert_eq!(harness.released(viewing_id, n), released, "{what:?}");
             if !again {
                 assert_eq!(
                     answers(&harness),
@@ -63,11 +63,11 @@
 fn each_way_of_asking_again_is_one_viewing_with_one_answer_each() {
     let mut harness = Harness::new();
     harness.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&harness);
+    let (viewing_id, n) = out(&harness);
     // Two requests cross, a refresh while it plays, another title under the same session.
     harness.asks(2, session(1), PLAIN);
-    assert!(harness.sending(vw, n));
-    harness.happens(vw, n, AttemptResult::Playing);
+    assert!(harness.sending(viewing_id, n));
+    harness.happens(viewing_id, n, AttemptResult::Playing);
     harness.asks(3, session(1), PLAIN);
     harness.asks_for(4, session(1), PLAIN, 1);
     let set_ups = harness.did.iter().filter(|did| matches!(did, Did::SetUp(..))).count();
@@ -75,7 +75,7 @@
     assert_eq!((set_ups, all.len()), (1, 4), "{:?}", harness.did);
     assert!(all[..3].iter().all(|answer| matches!(answer, Answer::Plays { tune_in, .. } if *tune_in == n)));
     assert_eq!(all[3], &Answer::Conflict);
-    harness.over(vw, n, EndReason::Completed);
+    harness.over(viewing_id, n, EndReason::Completed);
     assert!(harness.core.is_empty());
 }
 
@@ -86,19 +86,19 @@
         for package in [PLAIN, PAID] {
             let mut harness = Harness::new();
             harness.asks(1, session(1), package);
-            let (vw, n) = out(&harness);
-            assert!(harness.sending(vw, n));
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.sending(viewing_id, n));
             if limit_first {
-                harness.fires(Timer::TuneInTimeout(vw, n));
-                harness.happens(vw, n, AttemptResult::Playing);
+                harness.fires(Timer::TuneInTimeout(viewing_id, n));
+                harness.happens(viewing_id, n, AttemptResult::Playing);
             } else {
-                harness.happens(vw, n, AttemptResult::Playing);
-                harness.fires(Timer::TuneInTimeout(vw, n));
+                harness.happens(viewing_id, n, AttemptResult::Playing);
+                harness.fires(Timer::TuneInTimeout(viewing_id, n));
             }
             let plays =
                 answers(&harness).iter().filter(|answer| matches!(answer, Answer::Plays { .. })).count();
             assert_eq!(plays, usize::from(!limit_first), "package {package}, limit first: {limit_first}");
-            assert_eq!(harness.released(vw, n), limit_first, "what may have run there is released");
+            assert_eq!(harness.released(viewing_id, n), limit_first, "what may have run there is released");
             harness.runs(ms(20_000));
             assert_eq!(answers(&harness).len(), 1, "{:?}", harness.did);
             assert_eq!(harness.core.violations().len(), 0);
@@ -112,19 +112,19 @@
         for patience_first in [false, true] {
             let mut harness = Harness::new();
             harness.asks(1, session(1), package);
-            let (vw, n) = out(&harness);
-            assert!(harness.sending(vw, n));
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.sending(viewing_id, n));
             // The module's timer for a viewer's patience, then the core's own last moment.
             let patience =
-                |harness: &mut Harness| harness.fires(Timer::PolicyTimer(1 << 32 | u64::from(vw.0)));
+                |harness: &mut Harness| harness.fires(Timer::PolicyTimer(1 << 32 | u64::from(viewing_id.0)));
             if patience_first {
                 patience(&mut harness);
-                harness.happens(vw, n, AttemptResult::Playing);
+                harness.happens(viewing_id, n, AttemptResult::Playing);
             } else {
-                harness.happens(vw, n, AttemptResult::Playing);
+                harness.happens(viewing_id, n, AttemptResult::Playing);
                 patience(&mut harness);
             }
-            harness.fires(Timer::AnswerDeadline(vw));
+            harness.fires(Timer::AnswerDeadline(viewing_id));
             let wanted = match (patience_first, package) {
                 (false, _) => matches!(answers(&harness)[..], [Answer::Plays { .. }]),
                 (true, PAID) => {
@@ -133,7 +133,7 @@
                 (true, _) => matches!(answers(&harness)[..], [Answer::Blocked { .. }]),
             };
             assert!(wanted, "package {package}, patience first: {patience_first}: {:?}", harness.did);
-            assert_eq!(harness.released(vw, n), patience_first);
+            assert_eq!(harness.released(viewing_id, n), patience_first);
             assert!(harness.core.violations().is_empty());
         }
     }
@@ -144,13 +144,13 @@
     for written in [false, true] {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PAID);
-        let (vw, n) = out(&harness);
+        let (viewing_id, n) = out(&harness);
         if written {
-            assert!(harness.sending(vw, n));
+            assert!(harness.sending(viewing_id, n));
         }
-        harness.fires(Timer::TuneInTimeout(vw, n));
-        assert_eq!(harness.released(vw, n), written);
-        assert!(!harness.sending(vw, n), "a set-up given up on is not written any more");
+        harness.fires(Timer::TuneInTimeout(viewing_id, n));
+        assert_eq!(harness.released(viewing_id, n), written);
+        assert!(!harness.sending(viewing_id, n), "a set-up given up on is not written any more");
         let aborted = answers(&harness)
             .contains(&&Answer::Aborted { why: FailureCause::ByPolicy(RefusalReason::MayHaveRun) });
         assert_eq!(aborted, written, "{:?}", harness.did);
@@ -162,13 +162,17 @@
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PAID);
-        let (vw, n) = out(&harness);
-        let at = harness.server_of(vw, n);
+        let (viewing_id, n) = out(&harness);
+        let at = harness.server_of(viewing_id, n);
         harness.lists(&[(at, state)]);
-        assert!(!harness.sending(vw, n));
+        assert!(!harness.sending(viewing_id, n));
         let (again, next) = out(&harness);
-        assert_eq!((again, next), (vw, TuneIn(1)), "nothing was written, so even a paid one goes elsewhere");
-        assert_ne!(harness.server_of(vw, next), at);
+        assert_eq!(
+            (again, next),
+            (viewing_id, TuneIn(1)),
+            "nothing was written, so even a paid one goes elsewhere"
+        );
+        assert_ne!(harness.server_of(viewing_id, next), at);
     }
 }
 
@@ -178,17 +182,17 @@
         let mut harness = Harness::new();
         harness.asks(1, session(1), PLAIN);
         harness.asks(2, session(1), PLAIN);
-        let (vw, n) = out(&harness);
+        let (viewing_id, n) = out(&harness);
         if written {
-            assert!(harness.sending(vw, n));
+            assert!(harness.sending(viewing_id, n));
         }
         harness.closes(1, session(1));
         assert_eq!(harness.core.viewing_count(), 1, "another request still waits");
         harness.closes(2, session(1));
         if plays_late {
-            harness.happens(vw, n, AttemptResult::Playing);
+            harness.happens(viewing_id, n, AttemptResult::Playing);
         }
-        assert_eq!(harness.released(vw, n), written);
+        assert_eq!(harness.released(viewing_id, n), written);
         harness.runs(ms(20_000));
         assert!(harness.core.is_empty() && answers(&harness).is_empty(), "{:?}", harness.did);
     }
@@ -198,18 +202,18 @@
 fn a_paid_session_that_may_have_run_is_never_set_up_again() {
     type Ends = fn(&mut Harness, ViewingId, TuneIn);
     let cases: [(&str, Ends, bool); 5] = [
-        ("played to its end", |w, vw, n| w.played(vw, n, EndReason::Completed), true),
-        ("its server was lost", |w, vw, n| w.played(vw, n, EndReason::ServerLost), true),
-        ("it broke", |w, vw, n| w.happens(vw, n, AttemptResult::ConnectionBroken), true),
-        ("no answer came", |w, vw, n| w.fires(Timer::TuneInTimeout(vw, n)), true),
+        ("played to its end", |w, viewing_id, n| w.played(viewing_id, n, EndReason::Completed), true),
+        ("its server was lost", |w, viewing_id, n| w.played(viewing_id, n, EndReason::ServerLost), true),
+        ("it broke", |w, viewing_id, n| w.happens(viewing_id, n, AttemptResult::ConnectionBroken), true),
+        ("no answer came", |w, viewing_id, n| w.fires(Timer::TuneInTimeout(viewing_id, n)), true),
         ("turned away everywhere", |w, _, _| w.refuses_all(), false),
     ];
     for (name, ends, spent) in cases {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PAID);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
-        ends(&mut harness, vw, n);
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
+        ends(&mut harness, viewing_id, n);
         assert!(harness.core.is_empty(), "{name}");
         harness.did.clear();
         harness.asks(2, session(1), PAID);
@@ -227,14 +231,14 @@
     let mut harness = Harness::new();
     for i in 1..=6 {
         harness.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
-        harness.happens(vw, n, AttemptResult::Playing);
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
+        harness.happens(viewing_id, n, AttemptResult::Playing);
     }
-    let (vw, n) = out(&harness);
-    let at = harness.server_of(vw, n);
+    let (viewing_id, n) = out(&harness);
+    let at = harness.server_of(viewing_id, n);
     let there = harness.at(at);
-    harness.still(at, &[(vw, n)]);
+    harness.still(at, &[(viewing_id, n)]);
     assert_eq!(harness.core.viewing_count(), 6 - there + 1);
     harness.still(at, &[]);
     assert_eq!(harness.core.viewing_count(), 6 - there);
@@ -244,18 +248,18 @@
 fn a_player_that_falls_silent_gives_its_place_back() {
     let mut harness = Harness::new();
     harness.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&harness);
-    assert!(harness.sending(vw, n));
-    harness.happens(vw, n, AttemptResult::Playing);
+    let (viewing_id, n) = out(&harness);
+    assert!(harness.sending(viewing_id, n));
+    harness.happens(viewing_id, n, AttemptResult::Playing);
     for _ in 0..4 {
         harness.runs(ms(6000));
         harness.asks(2, session(1), PLAIN);
     }
     assert_eq!(harness.core.viewing_count(), 1, "it asks for manifests");
     harness.runs(ms(9500));
-    assert!(harness.did.contains(&Did::Fetched(vw)), "it asks no more, so its server is asked of it");
-    harness.fetched(vw, n, None);
-    assert!(harness.core.is_empty() && harness.released(vw, n));
+    assert!(harness.did.contains(&Did::Fetched(viewing_id)), "it asks no more, so its server is asked of it");
+    harness.fetched(viewing_id, n, None);
+    assert!(harness.core.is_empty() && harness.released(viewing_id, n));
 }
 
 #[test]
@@ -263,12 +267,12 @@
     let mut harness = Harness::new();
     for i in 1..=4 {
         harness.asks(i, session(u128::from(i)), if i == 4 { PAID } else { PLAIN });
-        let (vw, n) = out(&harness);
+        let (viewing_id, n) = out(&harness);
         if i != 2 {
-            assert!(harness.sending(vw, n));
+            assert!(harness.sending(viewing_id, n));
         }
         if i == 3 {
-            harness.happens(vw, n, AttemptResult::Playing);
+            harness.happens(viewing_id, n, AttemptResult::Playing);
         }
     }
     harness.stop();
@@ -291,8 +295,8 @@
     }
     // No server ever answers anything.
     let waiting: Vec<_> = harness.set_ups();
-    for (vw, n) in waiting {
-        harness.sending(vw, n);
+    for (viewing_id, n) in waiting {
+        harness.sending(viewing_id, n);
     }
     harness.runs(ms(60_000));
     assert_eq!(answers(&harness).len(), 400);
@@ -309,9 +313,9 @@
     for i in 1..=3 {
         harness.asks(i, session(u128::from(i)), SEATED);
         if i < 3 {
-            let (vw, n) = out(&harness);
-            assert!(harness.sending(vw, n));
-            harness.happens(vw, n, AttemptResult::Playing);
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.sending(viewing_id, n));
+            harness.happens(viewing_id, n, AttemptResult::Playing);
         }
     }
     let seats = Answer::Blocked { come_back: None, why: FailureCause::ByPolicy(RefusalReason::SeatsTaken) };
@@ -319,8 +323,8 @@
     // The fence alone, handed what must not be.
     let mut rule_guard = harness::rule_guard();
     let (one, two, about) = (ViewingId(1), ViewingId(2), (SEATED, ivyward::interface::TitleId(0)));
-    let send = |rule_guard: &mut crate::RuleGuard, at, vw, again, ran| {
-        rule_guard.sending(ms(at), session(1), vw, server(1), about, (again, ran))
+    let send = |rule_guard: &mut crate::RuleGuard, at, viewing_id, again, ran| {
+        rule_guard.sending(ms(at), session(1), viewing_id, server(1), about, (again, ran))
     };
     assert_eq!(send(&mut rule_guard, 0, one, false, false), []);
     assert_eq!(send(&mut rule_guard, 1, two, false, false), [Violation::TwoTuneIns]);
@@ -350,12 +354,12 @@
     let mut waiting = vec![];
     for i in 1..=3 {
         harness.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&harness);
-        harness.happens(vw, n, AttemptResult::NotConnected);
+        let (viewing_id, n) = out(&harness);
+        harness.happens(viewing_id, n, AttemptResult::NotConnected);
         waiting.push(out(&harness));
         harness.runs(ms(10));
     }
-    let sent: Vec<_> = waiting.into_iter().map(|(vw, n)| harness.sending(vw, n)).collect();
+    let sent: Vec<_> = waiting.into_iter().map(|(viewing_id, n)| harness.sending(viewing_id, n)).collect();
     assert_eq!(sent, [true, true, false], "two are free");
     assert!(harness.core.violations().is_empty());
     harness.runs(ms(20_000));
@@ -370,15 +374,15 @@
         let mut sent = vec![];
         for i in 1..=3 {
             harness.asks(i, session(u128::from(i)), PLAIN);
-            let (vw, n) = out(&harness);
-            harness.happens(vw, n, AttemptResult::NotConnected);
-            let (vw, n) = out(&harness);
+            let (viewing_id, n) = out(&harness);
+            harness.happens(viewing_id, n, AttemptResult::NotConnected);
+            let (viewing_id, n) = out(&harness);
             if i == 1 && limit {
-                harness.fires(Timer::TuneInTimeout(vw, n));
+                harness.fires(Timer::TuneInTimeout(viewing_id, n));
             } else if i == 1 {
-                harness.happens(vw, n, AttemptResult::NotConnected);
+                harness.happens(viewing_id, n, AttemptResult::NotConnected);
             } else {
-                sent.push(harness.sending(vw, n));
+                sent.push(harness.sending(viewing_id, n));
             }
         }
         assert_eq!(sent, [true, false], "limit: {limit}");
@@ -390,10 +394,10 @@
     for full in [0.0, 0.5, f64::NAN, f64::INFINITY, -1.0] {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PLAIN);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
         harness.happens_with(
-            vw,
+            viewing_id,
             n,
             AttemptResult::Refused,
             LoadReport { link: Some(full), uplink: Some(full) },
@@ -409,27 +413,27 @@
     for (quiet, over) in [(Some(ms(500)), false), (Some(ms(9000)), true), (None, true)] {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PLAIN);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
-        harness.happens(vw, n, AttemptResult::Playing);
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
+        harness.happens(viewing_id, n, AttemptResult::Playing);
         harness.runs(ms(9500));
-        assert_eq!(harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count(), 1);
-        harness.fetched(vw, n, quiet);
-        assert_eq!((harness.core.is_empty(), harness.released(vw, n)), (over, over), "{quiet:?}");
+        assert_eq!(harness.did.iter().filter(|did| **did == Did::Fetched(viewing_id)).count(), 1);
+        harness.fetched(viewing_id, n, quiet);
+        assert_eq!((harness.core.is_empty(), harness.released(viewing_id, n)), (over, over), "{quiet:?}");
         harness.runs(ms(9500));
-        let asked = harness.did.iter().filter(|did| **did == Did::Fetched(vw)).count();
+        let asked = harness.did.iter().filter(|did| **did == Did::Fetched(viewing_id)).count();
         assert_eq!(asked, if over { 1 } else { 2 }, "{quiet:?}");
     }
 }
 
 #[test]
 fn tokens_spent_by_a_player_that_went_on_are_not_taken() {
-    let origin = |sequence| TokenOrigin::Manager { birth: BIRTH.0, server: server(0), sequence };
+    let origin = |sequence| TokenOrigin::Manager { incarnation: BIRTH.0, server: server(0), sequence };
     let mut harness = Harness::new();
     harness.asks(1, session(1), PLAIN);
-    let (vw, n) = out(&harness);
-    assert!(harness.sending(vw, n));
-    harness.happens(vw, n, AttemptResult::Playing);
+    let (viewing_id, n) = out(&harness);
+    assert!(harness.sending(viewing_id, n));
+    harness.happens(viewing_id, n, AttemptResult::Playing);
     // The turn shown, and that of the token given with the answer; none where it is not taken.
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
     for (request, (sequence, next)) in (2..).zip(cases) {
@@ -455,11 +459,11 @@
     harness.finds(server(2), EARLIER, 70, session(1), PAID);
     assert_eq!((harness.core.viewing_count(), harness.core.inventory_counts()), (1, (0, 1)));
     // Its player goes on at the same server, paid or not, without a set-up.
-    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+    let origin = TokenOrigin::Manager { incarnation: EARLIER.0, server: server(2), sequence: 9 };
     harness.asks_with(1, session(1), PAID, 0, origin);
     let plays = matches!(
         answers(&harness)[..],
-        [Answer::Plays { server: at, birth: EARLIER, vw: ViewingId(70), tune_in: TuneIn(2), rung: 1, sequence: 10 }]
+        [Answer::Plays { server: at, incarnation: EARLIER, viewing_id: ViewingId(70), tune_in: TuneIn(2), rung: 1, sequence: 10 }]
             if *at == server(2)
     );
     assert!(plays && harness.set_ups().is_empty(), "{:?}", harness.did);
@@ -467,14 +471,14 @@
     harness.finds(server(3), EARLIER, 71, session(1), PAID);
     harness.finds(server(3), BIRTH, 72, session(2), PLAIN);
     assert_eq!((harness.core.viewing_count(), harness.core.inventory_counts()), (1, (2, 1)));
-    assert!([71, 72].into_iter().all(|vw| harness.released(ViewingId(vw), TuneIn(2))));
+    assert!([71, 72].into_iter().all(|viewing_id| harness.released(ViewingId(viewing_id), TuneIn(2))));
     harness.still(server(2), &[]);
     assert!(harness.core.is_empty(), "it went with its server");
 }
 
 #[test]
 fn a_refresh_waits_for_what_its_server_says_of_an_earlier_start() {
-    let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+    let origin = TokenOrigin::Manager { incarnation: EARLIER.0, server: server(2), sequence: 9 };
     // The server says that it plays it, or that it has nothing, or stays silent; and whether the package is paid.
     for (word, package) in [(0, PLAIN), (0, PAID), (1, PLAIN), (1, PAID), (2, PLAIN), (2, PAID)] {
         let mut harness = Harness::new();
@@ -516,9 +520,9 @@
         harness.lists(&ready.chain(gone).collect::<Vec<_>>());
         (0..4).for_each(|i| harness.hears(at(turn, i)));
         harness.asks(u64::from(turn), session(u128::from(turn)), PAID);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
-        harness.played(vw, n, EndReason::Completed);
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
+        harness.played(viewing_id, n, EndReason::Completed);
         harness.runs(ms(60_000));
         held.push(harness.core.entry_count());
     }
@@ -588,7 +592,7 @@
             let mut harness = Harness::with(stage == Stage::Probing);
             let mut at = server(2);
             if stage == Stage::Word {
-                let origin = TokenOrigin::Manager { birth: EARLIER.0, server: at, sequence: 9 };
+                let origin = TokenOrigin::Manager { incarnation: EARLIER.0, server: at, sequence: 9 };
                 harness.asks_with(1, session(1), package, 0, origin);
             } else {
                 harness.asks(1, session(1), package);
@@ -601,16 +605,16 @@
             if stage == Stage::Probing {
                 at = *probes.first().expect("a probe is out");
             } else if stage != Stage::Word {
-                let (vw, n) = out(&harness);
-                at = harness.server_of(vw, n);
+                let (viewing_id, n) = out(&harness);
+                at = harness.server_of(viewing_id, n);
                 if stage != Stage::Chosen {
-                    assert!(harness.sending(vw, n));
+                    assert!(harness.sending(viewing_id, n));
                 }
                 if matches!(stage, Stage::Playing | Stage::Releasing) {
-                    harness.happens(vw, n, AttemptResult::Playing);
+                    harness.happens(viewing_id, n, AttemptResult::Playing);
                 }
                 if stage == Stage::Releasing {
-                    harness.fetched(vw, n, None);
+                    harness.fetched(viewing_id, n, None);
                 }
             }
             let (name, lines) = changes(at, harness.now()).swap_remove(i);
@@ -629,16 +633,16 @@
                 harness.hears(at);
             }
             for _ in 0..8 {
-                let Some((vw, n)) = harness.set_ups().last().copied() else { break };
-                let to = harness.server_of(vw, n);
+                let Some((viewing_id, n)) = harness.set_ups().last().copied() else { break };
+                let to = harness.server_of(viewing_id, n);
                 let written = stage == Stage::Written && n == TuneIn(0);
-                if !written && harness.sending(vw, n) {
+                if !written && harness.sending(viewing_id, n) {
                     assert!(!(ends && to == at), "{told}: sent where the list says that it ends");
                 }
-                harness.happens(vw, n, AttemptResult::Playing);
+                harness.happens(viewing_id, n, AttemptResult::Playing);
             }
-            if let Some((vw, n)) = harness.set_ups().last().copied() {
-                harness.over(vw, n, EndReason::Completed);
+            if let Some((viewing_id, n)) = harness.set_ups().last().copied() {
+                harness.over(viewing_id, n, EndReason::Completed);
             }
             harness.runs(ms(20_000));
             let answered = answers(&harness).len();
@@ -655,21 +659,21 @@
     for (back, at) in [(true, 2900), (false, 2900), (true, 2999), (true, 3000), (true, 3040)] {
         let mut harness = Harness::new();
         harness.asks(1, session(1), PAID);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
         let rows: Vec<_> = (0..6).map(|i| (server(i), ServerState::Gone)).collect();
         harness.lists(&rows);
         harness.runs(ms(at));
         if back {
             harness.lists(&[(server(3), ServerState::Ready)]);
         }
-        harness.happens(vw, n, AttemptResult::Refused);
+        harness.happens(viewing_id, n, AttemptResult::Refused);
         let again = harness.set_ups().len() == 2;
         assert_eq!(again, back && at < 3000, "back: {back}, after {at} ms: {:?}", harness.did);
         if again {
-            let (vw, n) = out(&harness);
-            assert_eq!((harness.server_of(vw, n), harness.sending(vw, n)), (server(3), true));
-            harness.played(vw, n, EndReason::Completed);
+            let (viewing_id, n) = out(&harness);
+            assert_eq!((harness.server_of(viewing_id, n), harness.sending(viewing_id, n)), (server(3), true));
+            harness.played(viewing_id, n, EndReason::Completed);
         }
         harness.runs(ms(20_000));
         assert_eq!(
@@ -688,16 +692,16 @@
         let mut harness = Harness::new();
         if step == 0 {
             // It waits for word.
-            let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(2), sequence: 9 };
+            let origin = TokenOrigin::Manager { incarnation: EARLIER.0, server: server(2), sequence: 9 };
             harness.asks_with(1, session(1), PLAIN, 0, origin);
         } else {
             harness.asks(1, session(1), PLAIN);
-            let (vw, n) = out(&harness);
+            let (viewing_id, n) = out(&harness);
             if step > 1 {
-                assert!(harness.sending(vw, n));
+                assert!(harness.sending(viewing_id, n));
             }
             if step > 2 {
-                harness.happens(vw, n, AttemptResult::Playing);
+                harness.happens(viewing_id, n, AttemptResult::Playing);
             }
         }
         harness.revokes(session(1));
@@ -705,8 +709,8 @@
         let revoked = answers(&harness).iter().filter(|answer| ***answer == Answer::Revoked).count();
         assert_eq!((revoked, harness.core.is_empty()), (wanted, true), "step {step}: {:?}", harness.did);
         if step > 1 {
-            let (vw, n) = out(&harness);
-            assert!(harness.released(vw, n), "step {step}");
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.released(viewing_id, n), "step {step}");
         }
     }
 }
@@ -716,16 +720,16 @@
     let mut harness = Harness::new();
     for i in 1..=6 {
         harness.asks(i, session(u128::from(i)), PLAIN);
-        let (vw, n) = out(&harness);
-        assert!(harness.sending(vw, n));
-        harness.happens(vw, n, AttemptResult::Playing);
+        let (viewing_id, n) = out(&harness);
+        assert!(harness.sending(viewing_id, n));
+        harness.happens(viewing_id, n, AttemptResult::Playing);
     }
-    let (vw, n) = out(&harness);
-    let at = harness.server_of(vw, n);
+    let (viewing_id, n) = out(&harness);
+    let at = harness.server_of(viewing_id, n);
     let there = harness.at(at);
     harness.goes_astray(at);
     assert_eq!(harness.core.viewing_count(), 6 - there);
-    assert!(harness.released(vw, n));
+    assert!(harness.released(viewing_id, n));
 }
 
 #[test]
@@ -737,8 +741,8 @@
         let mut harness = Harness::of_requests();
         harness.asks_once(1, session(1), package, ms(patience));
         if written {
-            let (vw, n) = out(&harness);
-            assert!(harness.sending(vw, n));
+            let (viewing_id, n) = out(&harness);
+            assert!(harness.sending(viewing_id, n));
         }
         harness.runs(ms(patience - 1));
         assert!(answers(&harness).is_empty(), "{package} {patience}: not before");
