--- a/crates/session/src/tests/harness.rs
+++ b/crates/session/src/tests/harness.rs
@@ -54,23 +54,23 @@
         self.did.push(Did::Answer(request, answer));
     }
     fn set_up(
-        &mut self, _: (SessionId, usize), vw: ViewingId, n: TuneIn, server: ServerId, _: usize,
+        &mut self, _: (SessionId, usize), viewing_id: ViewingId, n: TuneIn, server: ServerId, _: usize,
         _: (PackageId, TitleId), _: Duration,
     ) {
-        self.did.push(Did::SetUp(vw, n, server));
+        self.did.push(Did::SetUp(viewing_id, n, server));
     }
-    fn cancel_set_up(&mut self, vw: ViewingId, n: TuneIn) {
-        self.did.push(Did::Drop(vw, n));
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, n: TuneIn) {
+        self.did.push(Did::Drop(viewing_id, n));
     }
-    fn release(&mut self, server: ServerId, _: Incarnation, vw: ViewingId, n: TuneIn) {
-        self.did.push(Did::Release(server, vw, n));
+    fn release(&mut self, server: ServerId, _: Incarnation, viewing_id: ViewingId, n: TuneIn) {
+        self.did.push(Did::Release(server, viewing_id, n));
     }
     fn change_rung(&mut self, _: ServerId, _: Incarnation, _: ViewingId, _: TuneIn, _: usize) {}
     fn probe(&mut self, server: ServerId) {
         self.did.push(Did::Probe(server));
     }
-    fn query_last_fetch(&mut self, _: ServerId, _: Incarnation, vw: ViewingId, _: TuneIn) {
-        self.did.push(Did::Fetched(vw));
+    fn query_last_fetch(&mut self, _: ServerId, _: Incarnation, viewing_id: ViewingId, _: TuneIn) {
+        self.did.push(Did::Fetched(viewing_id));
     }
     fn set_timer(&mut self, after: Duration, timer: Timer) {
         self.timers.push((after, timer));
@@ -185,7 +185,7 @@
     pub fn asks_begun(&mut self, request: u64, session: SessionId, package: usize) {
         // Its server has told that it has nothing of ours.
         self.turn(|core, effects, now| core.on_inventory_complete(effects, now, server(0)));
-        let origin = TokenOrigin::Manager { birth: EARLIER.0, server: server(0), sequence: 1 };
+        let origin = TokenOrigin::Manager { incarnation: EARLIER.0, server: server(0), sequence: 1 };
         self.asks_with(request, session, package, 0, origin);
     }
 
@@ -227,15 +227,19 @@
     }
 
     /// A server plays that for us.
-    pub fn finds(&mut self, at: ServerId, birth: Incarnation, vw: u32, session: SessionId, package: usize) {
-        let (tune_in, about) = ((birth, ViewingId(vw), TuneIn(2)), (PackageId(package), TitleId(0), (1, 1)));
+    pub fn finds(
+        &mut self, at: ServerId, incarnation: Incarnation, viewing_id: u32, session: SessionId,
+        package: usize,
+    ) {
+        let (tune_in, about) =
+            ((incarnation, ViewingId(viewing_id), TuneIn(2)), (PackageId(package), TitleId(0), (1, 1)));
         self.turn(|core, effects, now| core.on_running_tune_in(effects, now, at, tune_in, session, about));
     }
 
     /// The server of a viewing says when its player last fetched.
-    pub fn fetched(&mut self, vw: ViewingId, n: TuneIn, quiet: Option<Duration>) {
-        let at = self.server_of(vw, n);
-        self.turn(|core, effects, now| core.on_last_fetch(effects, now, at, (BIRTH, vw, n), quiet));
+    pub fn fetched(&mut self, viewing_id: ViewingId, n: TuneIn, quiet: Option<Duration>) {
+        let at = self.server_of(viewing_id, n);
+        self.turn(|core, effects, now| core.on_last_fetch(effects, now, at, (BIRTH, viewing_id, n), quiet));
     }
 
     pub fn revokes(&mut self, session: SessionId) {
@@ -250,30 +254,30 @@
         self.turn(|core, effects, now| core.on_request_closed(effects, now, session, RequestId(request)));
     }
 
-    pub fn sending(&mut self, vw: ViewingId, n: TuneIn) -> bool {
-        self.turn(|core, effects, now| core.may_send_set_up(effects, now, vw, n))
+    pub fn sending(&mut self, viewing_id: ViewingId, n: TuneIn) -> bool {
+        self.turn(|core, effects, now| core.may_send_set_up(effects, now, viewing_id, n))
     }
 
-    pub fn happens(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult) {
-        self.happens_with(vw, n, what, LoadReport::default());
+    pub fn happens(&mut self, viewing_id: ViewingId, n: TuneIn, what: AttemptResult) {
+        self.happens_with(viewing_id, n, what, LoadReport::default());
     }
 
-    pub fn happens_with(&mut self, vw: ViewingId, n: TuneIn, what: AttemptResult, load: LoadReport) {
-        self.turn(|core, effects, now| core.on_attempt_result(effects, now, vw, n, what, load));
+    pub fn happens_with(&mut self, viewing_id: ViewingId, n: TuneIn, what: AttemptResult, load: LoadReport) {
+        self.turn(|core, effects, now| core.on_attempt_result(effects, now, viewing_id, n, what, load));
     }
 
-    pub fn over(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
-        let at = self.server_of(vw, n);
-        self.turn(|core, effects, now| core.on_viewing_ended(effects, now, at, (BIRTH, vw, n), why));
+    pub fn over(&mut self, viewing_id: ViewingId, n: TuneIn, why: EndReason) {
+        let at = self.server_of(viewing_id, n);
+        self.turn(|core, effects, now| core.on_viewing_ended(effects, now, at, (BIRTH, viewing_id, n), why));
     }
 
-    pub fn played(&mut self, vw: ViewingId, n: TuneIn, why: EndReason) {
-        self.happens(vw, n, AttemptResult::Playing);
-        self.over(vw, n, why);
+    pub fn played(&mut self, viewing_id: ViewingId, n: TuneIn, why: EndReason) {
+        self.happens(viewing_id, n, AttemptResult::Playing);
+        self.over(viewing_id, n, why);
     }
 
     pub fn still(&mut self, at: ServerId, playing: &[(ViewingId, TuneIn)]) {
-        let playing: Vec<_> = playing.iter().map(|(vw, n)| (BIRTH, *vw, *n)).collect();
+        let playing: Vec<_> = playing.iter().map(|(viewing_id, n)| (BIRTH, *viewing_id, *n)).collect();
         self.turn(|core, effects, now| core.on_inventory(effects, now, at, &playing));
     }
 
@@ -307,20 +311,23 @@
 
     /// Turns the set-up that is out away until nothing is out any more.
     pub fn refuses_all(&mut self) {
-        while let Some((vw, n)) = self.set_ups().last().copied().filter(|_| self.core.pending_count() > 0) {
-            self.sending(vw, n);
-            self.happens(vw, n, AttemptResult::Refused);
+        while let Some((viewing_id, n)) =
+            self.set_ups().last().copied().filter(|_| self.core.pending_count() > 0)
+        {
+            self.sending(viewing_id, n);
+            self.happens(viewing_id, n, AttemptResult::Refused);
         }
     }
 
     pub fn set_ups(&self) -> Vec<(ViewingId, TuneIn)> {
-        let set_up = |did: &Did| if let Did::SetUp(vw, n, _) = did { Some((*vw, *n)) } else { None };
+        let set_up =
+            |did: &Did| if let Did::SetUp(viewing_id, n, _) = did { Some((*viewing_id, *n)) } else { None };
         self.did.iter().filter_map(set_up).collect()
     }
 
-    pub fn server_of(&self, vw: ViewingId, n: TuneIn) -> ServerId {
+    pub fn server_of(&self, viewing_id: ViewingId, n: TuneIn) -> ServerId {
         let set_up = self.did.iter().find_map(|did| match did {
-            Did::SetUp(v, m, server) if (*v, *m) == (vw, n) => Some(*server),
+            Did::SetUp(v, m, server) if (*v, *m) == (viewing_id, n) => Some(*server),
             _ => None,
         });
         set_up.expect("a set-up")
@@ -331,7 +338,7 @@
         self.did.iter().filter(|did| matches!(did, Did::SetUp(_, _, server) if *server == at)).count()
     }
 
-    pub fn released(&self, vw: ViewingId, n: TuneIn) -> bool {
-        self.did.iter().any(|did| matches!(did, Did::Release(_, v, m) if (*v, *m) == (vw, n)))
+    pub fn released(&self, viewing_id: ViewingId, n: TuneIn) -> bool {
+        self.did.iter().any(|did| matches!(did, Did::Release(_, v, m) if (*v, *m) == (viewing_id, n)))
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -246,7 +246,7 @@
                 self.tell(
                     at,
                     key,
-                    json!({"note": what, "x": x, "birth": key.birth, "vw": key.vw, "n": key.n}),
+                    json!({"note": what, "x": x, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}),
                 );
             }
         }
@@ -261,13 +261,15 @@
             StreamEnd::Lease => "left",
             StreamEnd::Released | StreamEnd::Died => return,
         };
-        self.tell(at, key, json!({"over": why, "birth": key.birth, "vw": key.vw, "n": key.n}));
+        self.tell(at, key, json!({"over": why, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}));
     }
 
     fn tell(&self, at: ServerNo, key: TuneInKey, value: Value) {
         let mut readers = self.0.doors[at.0].readers.borrow_mut();
-        readers.retain_mut(|(manager, birth, sender)| {
-            *manager != key.manager || *birth < key.birth || sender.try_send(event(value.clone())).is_ok()
+        readers.retain_mut(|(manager, incarnation, sender)| {
+            *manager != key.manager
+                || *incarnation < key.incarnation
+                || sender.try_send(event(value.clone())).is_ok()
         });
     }
 
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -25,13 +25,13 @@
     address: SocketAddr,
     cell: usize,
     standing: Standing,
-    birth: u64,
+    incarnation: u64,
     born: Option<Duration>,
 }
 
 impl Row {
     pub fn new(address: SocketAddr, cell: usize) -> Self {
-        Row { address, cell, standing: Standing::Ready, birth: 1, born: None }
+        Row { address, cell, standing: Standing::Ready, incarnation: 1, born: None }
     }
 }
 
@@ -55,22 +55,22 @@
     pub(crate) fn list_soon(&self, at: ServerNo, standing: Standing) {
         let (standins, list) = (self.clone(), &self.0.list);
         let late = list.late + list.stale.get();
-        let (birth, born) = self.model(|fleet| fleet.birth(at));
+        let (incarnation, born) = self.model(|fleet| fleet.incarnation(at));
         spawn_local(async move {
             sleep(late).await;
             let list = &standins.0.list;
             {
                 let row = &mut list.rows.borrow_mut()[at.0];
                 // Guards against news that overtook older news while the list was late.
-                if birth < row.birth {
+                if incarnation < row.incarnation {
                     return;
                 }
-                (row.standing, row.birth, row.born) = (standing, birth, born);
+                (row.standing, row.incarnation, row.born) = (standing, incarnation, born);
             }
             let row = standins.row(at);
             let mut readers = list.readers.borrow_mut();
             readers.retain_mut(|(manager, sender)| {
-                let told = What::Told { manager: *manager, server: at, standing, birth };
+                let told = What::Told { manager: *manager, server: at, standing, incarnation };
                 standins.record(told);
                 sender.try_send(event(json!({"changes": [row]}))).is_ok()
             });
@@ -86,7 +86,7 @@
         };
         let age = row.born.map(|born| self.now().saturating_sub(born).as_millis() as u64);
         json!({
-            "server": row.address.to_string(), "standing": standing, "birth": row.birth, "age_ms": age,
+            "server": row.address.to_string(), "standing": standing, "birth": row.incarnation, "age_ms": age,
             "cell": row.cell, "weight": 1.0, "zone": 0, "kind": 0,
         })
     }
@@ -103,7 +103,12 @@
         let boxes: Vec<_> = self.model(|fleet| fleet.boxes().collect());
         for at in &boxes {
             let row = self.0.list.rows.borrow()[at.0];
-            self.record(What::Told { manager, server: *at, standing: row.standing, birth: row.birth });
+            self.record(What::Told {
+                manager,
+                server: *at,
+                standing: row.standing,
+                incarnation: row.incarnation,
+            });
         }
         let rows: Vec<_> = boxes.into_iter().map(|at| self.row(at)).collect();
         if sender.try_send(event(json!({"whole": rows}))).is_ok() {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -69,12 +69,15 @@
         let parts: Vec<_> = path.split('/').skip(1).collect();
         match (request.method().clone(), parts.as_slice()) {
             (Method::POST, ["viewings"]) => self.set_up(at, request).await,
-            (Method::GET | Method::PATCH | Method::DELETE, ["viewings", manager, birth, vw, n]) => {
-                let key = (birth.parse().ok()).zip(vw.parse().ok()).zip(n.parse().ok());
-                let Some(((birth, vw), n)) = key else {
+            (
+                Method::GET | Method::PATCH | Method::DELETE,
+                ["viewings", manager, incarnation, viewing_id, n],
+            ) => {
+                let key = (incarnation.parse().ok()).zip(viewing_id.parse().ok()).zip(n.parse().ok());
+                let Some(((incarnation, viewing_id), n)) = key else {
                     return Ok(says(StatusCode::BAD_REQUEST, "no such tune-in\n"));
                 };
-                let key = TuneInKey { manager: self.manager(manager), birth, vw, n };
+                let key = TuneInKey { manager: self.manager(manager), incarnation, viewing_id, n };
                 self.change(at, key, request).await
             }
             (Method::GET, ["load"]) => {
@@ -145,7 +148,7 @@
         let Some(body) = Self::body(request).await else { return refused() };
         let whole = |name: &str| body[name].as_u64();
         let numbers = (whole("birth").zip(whole("vw"))).zip(whole("n").zip(whole("rung")));
-        let Some(((birth, vw), (n, rung))) = numbers else { return refused() };
+        let Some(((incarnation, viewing_id), (n, rung))) = numbers else { return refused() };
         let (Some(manager), Some(session), Some(title)) =
             (body["manager"].as_str(), body["session"].as_str(), body["title"].as_str())
         else {
@@ -156,7 +159,12 @@
             body["rates"].as_array().into_iter().flatten().filter_map(Value::as_f64).collect();
         let spans = (whole("lease_ms")).zip(whole("segment_ms")).zip(whole("segments"));
         let Some(((lease, span), segments)) = spans.filter(|_| !rates.is_empty()) else { return refused() };
-        let key = TuneInKey { manager: self.manager(manager), birth, vw: vw as u32, n: n as u16 };
+        let key = TuneInKey {
+            manager: self.manager(manager),
+            incarnation,
+            viewing_id: viewing_id as u32,
+            n: n as u16,
+        };
         let package = whole("package").unwrap_or_default() as usize;
         let top = whole("top").unwrap_or_default() as usize;
         let span = Duration::from_millis(span);
@@ -169,11 +177,11 @@
         let rates: Vec<_> = rates.iter().map(|kb| kb * off).collect();
         let (tell, told) = oneshot::channel();
         // A server that stands still runs what it took when it thaws, whether or not anybody still waits for it.
-        let (standins, start) = (self.clone(), self.model(|fleet| fleet.birth(at).0));
+        let (standins, start) = (self.clone(), self.model(|fleet| fleet.incarnation(at).0));
         spawn_local(async move {
             standins.thawed(at).await;
             let now = standins.now();
-            if standins.model(|fleet| fleet.birth(at).0 != start || !fleet.up(at)) {
+            if standins.model(|fleet| fleet.incarnation(at).0 != start || !fleet.up(at)) {
                 return;
             }
             let lease = Duration::from_millis(lease);
@@ -254,21 +262,21 @@
     /// First what plays here for the manager, then notes and endings as they come.
     fn notes(&self, at: ServerNo, query: &str) -> Response<Body> {
         let field = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        let birth = field("birth").and_then(|birth| birth.parse().ok());
-        let Some((name, birth)) = field("manager").zip(birth) else {
+        let incarnation = field("birth").and_then(|incarnation| incarnation.parse().ok());
+        let Some((name, incarnation)) = field("manager").zip(incarnation) else {
             return says(StatusCode::BAD_REQUEST, "which manager?\n");
         };
         let manager = self.manager(name);
-        if !self.model(|fleet| fleet.begins(at, manager, birth)) {
+        if !self.model(|fleet| fleet.begins(at, manager, incarnation)) {
             return says(StatusCode::CONFLICT, "a later start of this manager is known\n");
         }
-        let playing = self.model(|fleet| fleet.playing(at, manager, birth));
+        let playing = self.model(|fleet| fleet.playing(at, manager, incarnation));
         let abouts = self.0.abouts.borrow();
         let row = |key: &TuneInKey| {
             let about = abouts.get(&(at, *key))?;
             let rung = self.model(|fleet| fleet.rung_of(at, *key))?;
             Some(json!({
-                "birth": key.birth, "vw": key.vw, "n": key.n, "session": format!("{:032x}", about.session),
+                "birth": key.incarnation, "vw": key.viewing_id, "n": key.n, "session": format!("{:032x}", about.session),
                 "package": about.package, "title": about.title, "rung": rung, "top": about.top,
                 "began": about.began,
             }))
@@ -278,7 +286,7 @@
         let mut readers = self.0.doors[at.0].readers.borrow_mut();
         readers.retain(|(who, ..)| *who != manager);
         if sender.try_send(event(json!({"playing": playing}))).is_ok() {
-            readers.push((manager, birth, sender));
+            readers.push((manager, incarnation, sender));
         }
         let mut answer = Response::new(Either::Right(body));
         answer.headers_mut().insert("content-type", HeaderValue::from_static("text/event-stream"));
@@ -295,11 +303,11 @@
             Ok((token_claims, _)) => token_claims,
             Err(refusal) => return refused(refusal),
         };
-        let Some(GrantedTuneIn { manager, birth, vw, n, .. }) = token_claims.granted else {
+        let Some(GrantedTuneIn { manager, incarnation, viewing_id, n, .. }) = token_claims.granted else {
             return refused(Refusal::Malformed);
         };
         self.thawed(at).await;
-        let key = TuneInKey { manager: self.manager(&manager), birth, vw, n };
+        let key = TuneInKey { manager: self.manager(&manager), incarnation, viewing_id, n };
         let about = self.0.abouts.borrow().get(&(at, key)).map(|about| (about.segments, about.span));
         let (segments, span) = about.unwrap_or_default();
         let now = self.now();
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -33,20 +33,20 @@
 }
 
 impl Actions for Hand<'_> {
-    fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
-        self.reply.push(self.who, 1, &[&vw.0.to_le_bytes(), &micros(limit), &server.0]);
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration) {
+        self.reply.push(self.who, 1, &[&viewing_id.0.to_le_bytes(), &micros(limit), &server.0]);
     }
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, _: RefusalReason) {
-        self.reply.push(self.who, 2, &[&vw.0.to_le_bytes(), &micros(come_back.unwrap_or_default())]);
+    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, _: RefusalReason) {
+        self.reply.push(self.who, 2, &[&viewing_id.0.to_le_bytes(), &micros(come_back.unwrap_or_default())]);
     }
-    fn abort(&mut self, vw: ViewingId, _: RefusalReason) {
-        self.reply.push(self.who, 3, &[&vw.0.to_le_bytes()]);
+    fn abort(&mut self, viewing_id: ViewingId, _: RefusalReason) {
+        self.reply.push(self.who, 3, &[&viewing_id.0.to_le_bytes()]);
     }
-    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
-        self.reply.push(self.who, 4, &[&vw.0.to_le_bytes(), &tune_in.to_le_bytes()]);
+    fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16) {
+        self.reply.push(self.who, 4, &[&viewing_id.0.to_le_bytes(), &tune_in.to_le_bytes()]);
     }
-    fn set_rung(&mut self, vw: ViewingId, rung: usize) {
-        self.reply.push(self.who, 13, &[&vw.0.to_le_bytes(), &[rung as u8]]);
+    fn set_rung(&mut self, viewing_id: ViewingId, rung: usize) {
+        self.reply.push(self.who, 13, &[&viewing_id.0.to_le_bytes(), &[rung as u8]]);
     }
     fn probe(&mut self, server: ServerId) {
         self.reply.push(self.who, 6, &[&server.0]);
@@ -158,13 +158,13 @@
         }
         let named = format!("who: no instance {who}");
         let Instance { manager, report } = self.instances.get_mut(&who).ok_or(named)?;
-        let vw = |field| r.u32(2, field).map(ViewingId);
+        let viewing_id = |field| r.u32(2, field).map(ViewingId);
         let span = |at, field| r.u64(at, field).map(Duration::from_micros);
         let count = |at, field| r.f32(at, field).map(|x| x as u32);
         match code {
             1 => manager.restore_viewing(
                 now,
-                vw("req")?,
+                viewing_id("req")?,
                 ServerId(r.server(17, "server")?),
                 PackageId(usize::from(r.u8(16, "type")?)),
                 TitleId(r.u64(48, "title")?),
@@ -182,7 +182,7 @@
             5 => manager.on_request(
                 act,
                 now,
-                vw("req")?,
+                viewing_id("req")?,
                 PackageId(usize::from(r.u8(6, "type")?)),
                 TitleId(r.u64(17, "title")?),
                 Cells { first: count(37, "from-cell")?, spread: count(41, "spread")? },
@@ -204,15 +204,15 @@
             7 => manager.on_tune_in_ended(
                 act,
                 now,
-                vw("req")?,
+                viewing_id("req")?,
                 r.u16(6, "n")?,
                 ServerId(r.server(8, "server")?),
                 outcome(r.u16(14, "reason")?)?,
                 r.u8(20, "terminal")? != 0,
                 load(r, 21, report)?,
             ),
-            10 => manager.on_viewer_left(act, vw("req")?),
-            11 => manager.on_playing(now, vw("req")?, ServerId(r.server(6, "server")?)),
+            10 => manager.on_viewer_left(act, viewing_id("req")?),
+            11 => manager.on_playing(now, viewing_id("req")?, ServerId(r.server(6, "server")?)),
             12 => manager.on_timer(act, now, r.u64(2, "cookie")?),
             14 => {
                 let x = r.f32(15, "x")?;
@@ -223,7 +223,7 @@
                     4 => ServerUpdate::Uplink(x),
                     _ => return Ok(()),
                 };
-                manager.on_server_update(now, vw("req")?, ServerId(r.server(8, "server")?), news);
+                manager.on_server_update(now, viewing_id("req")?, ServerId(r.server(8, "server")?), news);
             }
             other => return Err(format!("code: unknown event {other}")),
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -132,13 +132,13 @@
 
 /// What the module may do. Each call takes effect at the time of the input being handled.
 pub trait Actions {
-    fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration);
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration);
     /// Final answer: the viewing is turned down; the viewer may come back after the span given.
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, reason: RefusalReason);
+    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, reason: RefusalReason);
     /// Final answer: the viewing failed, nothing is promised about what ran.
-    fn abort(&mut self, vw: ViewingId, reason: RefusalReason);
-    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16);
-    fn set_rung(&mut self, vw: ViewingId, rung: usize);
+    fn abort(&mut self, viewing_id: ViewingId, reason: RefusalReason);
+    fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16);
+    fn set_rung(&mut self, viewing_id: ViewingId, rung: usize);
     /// Asks a server for its load; `on_probe_result` tells what came of it.
     fn probe(&mut self, server: ServerId);
     fn set_timer(&mut self, after: Duration, token: u64);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -329,22 +329,22 @@
 
     /// A viewing that played before we started, up to that rung.
     pub fn restore_viewing(
-        &mut self, now: Duration, vw: ViewingId, server: ServerId, package: PackageId, title: TitleId,
-        (rung, top): (usize, usize),
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, package: PackageId,
+        title: TitleId, (rung, top): (usize, usize),
     ) {
         self.view.now = now;
-        if let Some(v) = self.take(vw, package, title, Cells { first: 0, spread: 0 }, top) {
+        if let Some(v) = self.take(viewing_id, package, title, Cells { first: 0, spread: 0 }, top) {
             (v.tune_ins, v.answered, v.playing) = (1, true, true);
             let rung = rung.clamp(v.rung, v.top);
-            self.turn(vw, rung);
-            self.place(vw, Some(server));
+            self.turn(viewing_id, rung);
+            self.place(viewing_id, Some(server));
             self.mark(server);
         }
     }
 
     pub fn on_request(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, package: PackageId, title: TitleId,
-        cells: Cells, top: usize, ends: Duration,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
+        title: TitleId, cells: Cells, top: usize, ends: Duration,
     ) {
         self.view.now = now;
         self.retry_budget.iter_mut().for_each(|r| r.took(now));
@@ -352,24 +352,24 @@
         for server in holders {
             self.servers.entry(server).and_modify(|s| s.warning.asked += 1.0);
         }
-        match self.take(vw, package, title, cells, top) {
+        match self.take(viewing_id, package, title, cells, top) {
             Some(viewing) => viewing.ends = ends,
-            None => return act.abort(vw, RefusalReason::UnknownPackage),
+            None => return act.abort(viewing_id, RefusalReason::UnknownPackage),
         }
-        act.set_timer(ends.saturating_sub(now), PATIENCE | u64::from(vw.0));
-        self.tune_in(act, vw, true);
+        act.set_timer(ends.saturating_sub(now), PATIENCE | u64::from(viewing_id.0));
+        self.tune_in(act, viewing_id, true);
     }
 
-    pub fn on_playing(&mut self, now: Duration, vw: ViewingId, server: ServerId) {
+    pub fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, server: ServerId) {
         self.view.now = now;
         self.tried(server, true, false);
-        if let Some(viewing) = self.viewings.get_mut(&vw) {
+        if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
             (viewing.playing, viewing.answered, viewing.next) = (true, true, None);
         }
     }
 
     pub fn on_tune_in_ended(
-        &mut self, act: &mut dyn Actions, now: Duration, vw: ViewingId, n: u16, server: ServerId,
+        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, n: u16, server: ServerId,
         outcome: TuneInOutcome, terminal: bool, load: LoadReport,
     ) {
         self.on_load_report(now, server, load);
@@ -379,12 +379,15 @@
         );
         // Guards against a late failure of what an earlier start was sent: it says nothing of this one.
         let started_at = self.servers.get(&server).and_then(|s| s.started_at);
-        let earlier =
-            self.viewings.get(&vw).is_some_and(|v| started_at.is_some_and(|started_at| v.sent < started_at));
+        let earlier = self
+            .viewings
+            .get(&viewing_id)
+            .is_some_and(|v| started_at.is_some_and(|started_at| v.sent < started_at));
         if (lost || outcome == TuneInOutcome::Failed) && !earlier {
             self.tried(server, false, lost);
         }
-        let Some(viewing) = self.viewings.get_mut(&vw).filter(|v| v.tune_ins == n.wrapping_add(1)) else {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id).filter(|v| v.tune_ins == n.wrapping_add(1))
+        else {
             return;
         };
         let unheard =
@@ -393,37 +396,39 @@
             keep(self.zones.entry(s.list_entry.zone).or_default(), KEPT, (now, server));
         }
         let next = viewing.next.take().filter(|_| !terminal && !viewing.answered);
-        self.place(vw, None);
+        self.place(viewing_id, None);
         self.mark(server);
         match next {
-            Some(next) => next(self, act, vw, outcome),
-            None => self.forget(vw),
+            Some(next) => next(self, act, viewing_id, outcome),
+            None => self.forget(viewing_id),
         }
     }
 
     /// The viewer left: no answer is owed any more.
-    pub fn on_viewer_left(&mut self, act: &mut dyn Actions, vw: ViewingId) {
-        let Some(viewing) = self.viewings.get_mut(&vw) else { return };
+    pub fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.answered = true;
         match viewing.server {
             Some(_) if !viewing.playing && self.limits.call_off => {
-                act.cancel_tune_in(vw, viewing.tune_ins - 1)
+                act.cancel_tune_in(viewing_id, viewing.tune_ins - 1)
             }
             Some(_) => {}
-            None => self.forget(vw),
+            None => self.forget(viewing_id),
         }
     }
 
-    pub fn on_server_update(&mut self, now: Duration, vw: ViewingId, server: ServerId, news: ServerUpdate) {
+    pub fn on_server_update(
+        &mut self, now: Duration, viewing_id: ViewingId, server: ServerId, news: ServerUpdate,
+    ) {
         self.view.now = now;
         // A note at set-up is fresh, later ones are late.
-        let fresh = self.viewings.get(&vw).is_some_and(|v| !v.playing);
+        let fresh = self.viewings.get(&viewing_id).is_some_and(|v| !v.playing);
         let then = if fresh { now } else { now.saturating_sub(self.network.report_delay) };
         let Some(s) = self.servers.get_mut(&server) else { return };
         match news {
             ServerUpdate::Rung(rung) => {
-                if let Some(top) = self.viewings.get(&vw).map(|v| v.top) {
-                    self.turn(vw, rung.min(top));
+                if let Some(top) = self.viewings.get(&viewing_id).map(|v| v.top) {
+                    self.turn(viewing_id, rung.min(top));
                     self.mark(server);
                 }
             }
@@ -469,14 +474,16 @@
             self.tried(server, false, true);
         }
         let mut ready = vec![];
-        for vw in &self.asking {
-            let Some(v) = self.viewings.get_mut(vw).filter(|v| v.probed.contains(&server)) else { continue };
+        for viewing_id in &self.asking {
+            let Some(v) = self.viewings.get_mut(viewing_id).filter(|v| v.probed.contains(&server)) else {
+                continue;
+            };
             v.probed.retain(|s| *s != server);
-            ready.extend(v.probed.is_empty().then_some(*vw));
+            ready.extend(v.probed.is_empty().then_some(*viewing_id));
         }
-        for vw in ready {
-            self.asking.remove(&vw);
-            self.tune_in(act, vw, true);
+        for viewing_id in ready {
+            self.asking.remove(&viewing_id);
+            self.tune_in(act, viewing_id, true);
         }
     }
 
@@ -484,9 +491,9 @@
         self.view.now = now;
         if token & PATIENCE != 0 {
             // Guards against any viewing left without an answer, whatever has not come back.
-            let vw = ViewingId(token as u32);
-            if self.viewings.get(&vw).is_some_and(|v| !v.answered) {
-                self.give_up(act, vw, RefusalReason::PatienceOver);
+            let viewing_id = ViewingId(token as u32);
+            if self.viewings.get(&viewing_id).is_some_and(|v| !v.answered) {
+                self.give_up(act, viewing_id, RefusalReason::PatienceOver);
             }
             return;
         }
@@ -510,13 +517,13 @@
 /// Decisions.
 impl Manager {
     fn take(
-        &mut self, vw: ViewingId, package: PackageId, title: TitleId, cells: Cells, top: usize,
+        &mut self, viewing_id: ViewingId, package: PackageId, title: TitleId, cells: Cells, top: usize,
     ) -> Option<&mut Viewing<Next>> {
         let (p, most) = (self.packages.get(package.0)?, self.ladder.rates.len() - 1);
         let viewing = Viewing::new(package.0, title, cells, (p.floor, top.min(p.top).min(most).max(p.floor)));
-        self.forget(vw);
+        self.forget(viewing_id);
         self.alike(viewing.alike(), 1);
-        Some(self.viewings.entry(vw).insert_entry(viewing).into_mut())
+        Some(self.viewings.entry(viewing_id).insert_entry(viewing).into_mut())
     }
 
     fn tried(&mut self, server: ServerId, good: bool, lost: bool) {
@@ -566,9 +573,9 @@
     /// The design's two choices among the holders that may take a set-up now; over its bucket, any with
     /// tokens. When none may: how long until one does, and why; nothing while probes are out.
     fn choose(
-        &mut self, act: &mut dyn Actions, vw: ViewingId,
+        &mut self, act: &mut dyn Actions, viewing_id: ViewingId,
     ) -> Result<ServerId, Option<(Duration, RefusalReason)>> {
-        let (viewing, now, recall) = (&self.viewings[&vw], self.view.now, self.slow_start.cold_for);
+        let (viewing, now, recall) = (&self.viewings[&viewing_id], self.view.now, self.slow_start.cold_for);
         let pause = self.packages.iter().map(|p| p.target).min().unwrap_or(INTERVAL) / 2;
         let (mut wait, mut reason, mut chance) =
             (Duration::MAX, RefusalReason::NoReadyHolder, Pcg(self.chance.0));
@@ -640,7 +647,8 @@
             fit.retain(|f| f.0 < 1.0);
         }
         self.chance = chance;
-        let drawn = self.viewings.get_mut(&vw).map(|v| std::mem::take(&mut v.drawn)).unwrap_or_default();
+        let drawn =
+            self.viewings.get_mut(&viewing_id).map(|v| std::mem::take(&mut v.drawn)).unwrap_or_default();
         fit.sort_by_key(|f| !drawn.contains(&f.1));
         for i in fit.iter().filter(|f| drawn.contains(&f.1)).count()..fit.len().min(2) {
             let j = i + self.chance.below(fit.len() - i);
@@ -648,7 +656,7 @@
         }
         let drawn_to = fit.len().min(2);
         let (two, others) = fit.split_at_mut(drawn_to);
-        let viewing = &self.viewings[&vw];
+        let viewing = &self.viewings[&viewing_id];
         let price = self.limits.probe.filter(|_| viewing.tune_ins == 0 && drawn.is_empty() && two.len() == 2);
         if let Some(price) = price {
             // With many managers few holders have viewings of ours: there is no news but a probe's.
@@ -660,8 +668,8 @@
             let (drawn, probed) = (two.iter().map(|f| f.1).collect(), stale.collect::<Vec<_>>());
             if !probed.is_empty() {
                 probed.iter().for_each(|server| act.probe(*server));
-                self.viewings.entry(vw).and_modify(|v| (v.drawn, v.probed) = (drawn, probed));
-                self.asking.insert(vw);
+                self.viewings.entry(viewing_id).and_modify(|v| (v.drawn, v.probed) = (drawn, probed));
+                self.asking.insert(viewing_id);
                 return Err(None);
             }
         }
@@ -681,8 +689,8 @@
     }
 
     /// Sets a viewing up, or ends it at once where nothing can be done for it.
-    fn tune_in(&mut self, act: &mut dyn Actions, vw: ViewingId, first: bool) {
-        let (now, viewing) = (self.view.now, &self.viewings[&vw]);
+    fn tune_in(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, first: bool) {
+        let (now, viewing) = (self.view.now, &self.viewings[&viewing_id]);
         let (package, title, tune_ins) = (viewing.package, viewing.title, viewing.tune_ins);
         let p = &self.packages[package];
         let alike = self.held.get(&(package, title)).copied().unwrap_or_default();
@@ -698,7 +706,7 @@
         if let Some((_, reason)) =
             stops.into_iter().chain([(rationed, RefusalReason::RetryBudgetExhausted)]).find(|stop| stop.0)
         {
-            return self.give_up(act, vw, reason);
+            return self.give_up(act, viewing_id, reason);
         }
         // A paid viewing can't be sent again after silence, and a last tune-in has nothing after it.
         let last = p.paid_once || tune_ins + 1 == self.limits.tune_ins;
@@ -706,59 +714,68 @@
         if viewing.drawn.is_empty() {
             keep(&mut self.sought, 32 * KEPT, now);
         }
-        let server = match self.choose(act, vw) {
+        let server = match self.choose(act, viewing_id) {
             Ok(server) => server,
             Err(None) => return,
-            Err(Some((wait, reason))) => return self.turn_down(act, vw, wait, reason),
+            Err(Some((wait, reason))) => return self.turn_down(act, viewing_id, wait, reason),
         };
         self.retry_budget.iter_mut().filter(|_| !first).for_each(|r| r.further.push_back(now));
         if let Some(s) = self.servers.get_mut(&server) {
             keep(&mut s.sent, self.slow_start.of(s.list_entry.kind).0.max(1), now);
             s.warning.admitted += 1.0;
         }
-        self.viewings.entry(vw).and_modify(|v| {
+        self.viewings.entry(viewing_id).and_modify(|v| {
             (v.tune_ins, v.sent) = (tune_ins + 1, now);
-            v.next = Some(Box::new(move |m, act, vw, outcome| m.after(act, vw, server, outcome)));
+            v.next =
+                Some(Box::new(move |m, act, viewing_id, outcome| m.after(act, viewing_id, server, outcome)));
         });
-        self.place(vw, Some(server));
+        self.place(viewing_id, Some(server));
         let (luck, rack) = (self.chance.part(), self.network.rack(self.servers[&server].list_entry.cell));
         let ideal = self.ideal(rack, AT_SET_UP, luck);
-        let rung = ideal.binary_search_by_key(&vw, |of| of.0).map_or(0, |i| ideal[i].1);
-        self.turn(vw, rung);
+        let rung = ideal.binary_search_by_key(&viewing_id, |of| of.0).map_or(0, |i| ideal[i].1);
+        self.turn(viewing_id, rung);
         self.mark(server);
-        act.set_rung(vw, rung);
-        act.tune_in(vw, server, limit);
+        act.set_rung(viewing_id, rung);
+        act.tune_in(viewing_id, server, limit);
     }
 
     /// What follows a tune-in that didn't play.
-    fn after(&mut self, act: &mut dyn Actions, vw: ViewingId, server: ServerId, outcome: TuneInOutcome) {
-        let Some(viewing) = self.viewings.get_mut(&vw) else { return };
+    fn after(
+        &mut self, act: &mut dyn Actions, viewing_id: ViewingId, server: ServerId, outcome: TuneInOutcome,
+    ) {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.shunned.push(server);
         if outcome.may_still_run() {
             viewing.may_run_at.push(server);
         }
         if self.packages[viewing.package].paid_once && !outcome.never_ran() {
             // Paid, and it may have run: neither sent again nor turned down.
-            self.forget(vw);
-            return act.abort(vw, RefusalReason::MayHaveRun);
+            self.forget(viewing_id);
+            return act.abort(viewing_id, RefusalReason::MayHaveRun);
         }
-        self.tune_in(act, vw, false);
+        self.tune_in(act, viewing_id, false);
     }
 
-    fn give_up(&mut self, act: &mut dyn Actions, vw: ViewingId, reason: RefusalReason) {
-        let Some(viewing) = self.viewings.get(&vw) else { return };
+    fn give_up(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, reason: RefusalReason) {
+        let Some(viewing) = self.viewings.get(&viewing_id) else { return };
         if viewing.server.is_none() {
-            return self.turn_down(act, vw, Duration::ZERO, reason);
+            return self.turn_down(act, viewing_id, Duration::ZERO, reason);
         }
         let once = self.packages[viewing.package].paid_once;
-        self.on_viewer_left(act, vw);
-        if once { act.abort(vw, reason) } else { act.block(vw, None, reason) }
+        self.on_viewer_left(act, viewing_id);
+        if once { act.abort(viewing_id, reason) } else { act.block(viewing_id, None, reason) }
     }
 
     /// Blocks a viewing of which nothing is out and nothing ran, or which may be set up again.
-    fn turn_down(&mut self, act: &mut dyn Actions, vw: ViewingId, wait: Duration, reason: RefusalReason) {
-        self.forget(vw);
-        act.block(vw, self.limits.come_back.map(|most| wait.min(most)).filter(|w| !w.is_zero()), reason);
+    fn turn_down(
+        &mut self, act: &mut dyn Actions, viewing_id: ViewingId, wait: Duration, reason: RefusalReason,
+    ) {
+        self.forget(viewing_id);
+        act.block(
+            viewing_id,
+            self.limits.come_back.map(|most| wait.min(most)).filter(|w| !w.is_zero()),
+            reason,
+        );
     }
 
     /// Mechanism 1: the rungs at which one price for each link and the uplink is met by our viewings. A step
@@ -789,7 +806,7 @@
                 rungs[slot] = rung;
             }
         }
-        rack.asks.iter().map(|ask| (ask.vw, rungs[ask.slot])).collect()
+        rack.asks.iter().map(|ask| (ask.viewing_id, rungs[ask.slot])).collect()
     }
 
     /// Mechanism 1: lowers rungs where too much is asked, raises them where there is room. Chance decides of
@@ -804,8 +821,8 @@
         let (mut links, mut downs, mut ups) = (BTreeMap::new(), vec![], vec![]);
         let alone = self.ours(rack).any(|id| self.servers[id].link.held < 2);
         let price = if alone { self.price() } else { 1.0 };
-        for (vw, ideal) in self.ideal(rack, [part; 2], 0.0) {
-            let v = &self.viewings[&vw];
+        for (viewing_id, ideal) in self.ideal(rack, [part; 2], 0.0) {
+            let v = &self.viewings[&viewing_id];
             let Some(server) = v.server else { continue };
             let link = &self.servers[&server].link;
             links.entry(server).or_insert_with(|| (link.over(&self.view), room(link)));
@@ -815,18 +832,18 @@
             if v.playing && down < v.rung {
                 let (kb, value) = self.between(v.package, down, v.rung);
                 let dear = if link.held > 1 { 1.0 } else { value / kb / price };
-                downs.push(((value + cost) / kb, kb, vw, server, down, dear));
+                downs.push(((value + cost) / kb, kb, viewing_id, server, down, dear));
             }
             let (kb, value) = self.between(v.package, v.rung, ideal.max(v.rung));
             let held =
                 now.saturating_sub(v.changed) <= self.network.report_interval() + self.network.report_delay;
             if v.playing && value > cost && !held {
-                ups.push(((value - cost) / kb, vw, server, ideal));
+                ups.push(((value - cost) / kb, viewing_id, server, ideal));
             }
         }
         downs.sort_by(|a, b| a.0.total_cmp(&b.0));
         ups.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, kb, vw, server, to, dear) in downs {
+        for (_, kb, viewing_id, server, to, dear) in downs {
             let Some((over, room)) = links.get_mut(&server) else { continue };
             let need = over.max(over_up);
             if need > 0.0 {
@@ -834,13 +851,13 @@
                 (*over, *room, over_up, room_up) = (*over - need, 0.0, over_up - need, 0.0);
                 self.meant(server, -need);
                 if self.chance.falls(need / kb / dear) {
-                    self.set_rung(act, vw, to);
+                    self.set_rung(act, viewing_id, to);
                 }
             }
         }
-        for (_, vw, server, ideal) in ups {
+        for (_, viewing_id, server, ideal) in ups {
             let Some((_, room)) = links.get_mut(&server) else { continue };
-            let v = &self.viewings[&vw];
+            let v = &self.viewings[&viewing_id];
             let alone = self.servers[&server].link.held < 2;
             let to = (v.rung + 1..=ideal).rev().map(|to| {
                 let (kb, value) = self.between(v.package, v.rung, to);
@@ -850,7 +867,7 @@
             if let Some((kb, _, to)) = { to }.find(fits) {
                 (*room, room_up) = (*room - kb, room_up - kb);
                 self.meant(server, kb);
-                self.set_rung(act, vw, to);
+                self.set_rung(act, viewing_id, to);
             }
         }
     }
@@ -875,12 +892,12 @@
         }
     }
 
-    fn set_rung(&mut self, act: &mut dyn Actions, vw: ViewingId, rung: usize) {
-        let Some(viewing) = self.viewings.get_mut(&vw) else { return };
+    fn set_rung(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, rung: usize) {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.changed = self.view.now;
         let server = viewing.server;
-        act.set_rung(vw, rung);
-        self.turn(vw, rung);
+        act.set_rung(viewing_id, rung);
+        self.turn(viewing_id, rung);
         server.into_iter().for_each(|server| self.mark(server));
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -312,7 +312,7 @@
 /// What a viewing asks in its rack: now, at its floor, and which of the rack's stands and slots are its.
 #[derive(Clone, Copy)]
 pub(crate) struct Ask {
-    pub vw: ViewingId,
+    pub viewing_id: ViewingId,
     pub kb: f64,
     pub floor: usize,
     pub floor_kb: f64,
@@ -325,7 +325,7 @@
 pub(crate) struct Step {
     pub dear: f64,
     pub kb: f64,
-    pub vw: ViewingId,
+    pub viewing_id: ViewingId,
     pub rung: usize,
     pub stand: usize,
     pub slot: usize,
@@ -348,8 +348,10 @@
 
 impl Rack {
     fn order(step: &Step) -> impl Fn(&Step) -> std::cmp::Ordering {
-        let Step { dear, vw, rung, .. } = *step;
-        move |other| dear.total_cmp(&other.dear).then(other.vw.cmp(&vw)).then(other.rung.cmp(&rung))
+        let Step { dear, viewing_id, rung, .. } = *step;
+        move |other| {
+            dear.total_cmp(&other.dear).then(other.viewing_id.cmp(&viewing_id)).then(other.rung.cmp(&rung))
+        }
     }
 
     /// Slots that are or were in use.
@@ -369,29 +371,29 @@
 
     /// `steps`: worth a kB and kB of each rung above the floor.
     fn add(
-        &mut self, at: usize, vw: ViewingId, server: ServerId, floor: (usize, f64), kb: f64,
+        &mut self, at: usize, viewing_id: ViewingId, server: ServerId, floor: (usize, f64), kb: f64,
         steps: &[(f64, f64)],
     ) {
         let stand = self.stand(server);
         let slot = self.free.pop().unwrap_or(self.slots);
         self.slots = self.slots.max(slot + 1);
-        self.asks.insert(at, Ask { vw, kb, floor: floor.0, floor_kb: floor.1, stand, slot });
+        self.asks.insert(at, Ask { viewing_id, kb, floor: floor.0, floor_kb: floor.1, stand, slot });
         for (i, (dear, kb)) in steps.iter().enumerate() {
-            let step = Step { dear: *dear, kb: *kb, vw, rung: floor.0 + i + 1, stand, slot };
+            let step = Step { dear: *dear, kb: *kb, viewing_id, rung: floor.0 + i + 1, stand, slot };
             let (Ok(at) | Err(at)) = self.steps.binary_search_by(Rack::order(&step));
             self.steps.insert(at, step);
         }
     }
 
-    fn remove(&mut self, vw: ViewingId, steps: &[(f64, f64)]) {
-        let Ok(at) = self.asks.binary_search_by_key(&vw, |ask| ask.vw) else { return };
+    fn remove(&mut self, viewing_id: ViewingId, steps: &[(f64, f64)]) {
+        let Ok(at) = self.asks.binary_search_by_key(&viewing_id, |ask| ask.viewing_id) else { return };
         let Ask { floor, stand, slot, .. } = self.asks.remove(at);
         self.free.push(slot);
         if self.asks.iter().all(|ask| ask.stand != stand) {
             self.stands[stand] = None;
         }
         for (i, (dear, kb)) in steps.iter().enumerate() {
-            let step = Step { dear: *dear, kb: *kb, vw, rung: floor + i + 1, stand, slot };
+            let step = Step { dear: *dear, kb: *kb, viewing_id, rung: floor + i + 1, stand, slot };
             if let Ok(at) = self.steps.binary_search_by(Rack::order(&step)) {
                 self.steps.remove(at);
             }
@@ -497,13 +499,15 @@
     }
 
     /// Books what a viewing asks at the server that it is at, and in its rack; nothing any more where `there` is false.
-    fn book(&mut self, vw: ViewingId, there: bool) {
-        let Some((server, v)) = self.viewings.get(&vw).and_then(|v| Some((v.server?, v))) else { return };
+    fn book(&mut self, viewing_id: ViewingId, there: bool) {
+        let Some((server, v)) = self.viewings.get(&viewing_id).and_then(|v| Some((v.server?, v))) else {
+            return;
+        };
         let (kb, floor) = (self.kb(v, v.rung), self.packages[v.package].floor);
         let asks = self.at.entry(server).or_default();
-        match (asks.binary_search_by_key(&vw, |ask| ask.0), there) {
+        match (asks.binary_search_by_key(&viewing_id, |ask| ask.0), there) {
             (Ok(i), true) => asks[i].1 = kb,
-            (Err(i), true) => asks.insert(i, (vw, kb)),
+            (Err(i), true) => asks.insert(i, (viewing_id, kb)),
             (Ok(i), false) => drop(asks.remove(i)),
             (Err(_), false) => {}
         }
@@ -511,24 +515,24 @@
             self.at.remove(&server);
         }
         let Some(rack) = self.shelf(server) else { return };
-        match (self.racks[rack].asks.binary_search_by_key(&vw, |ask| ask.vw), there) {
+        match (self.racks[rack].asks.binary_search_by_key(&viewing_id, |ask| ask.viewing_id), there) {
             (Ok(i), true) => self.racks[rack].asks[i].kb = kb,
             (Err(i), true) => {
                 let (steps, floor) = (self.steps(v), (floor, self.kb(v, floor)));
-                self.racks[rack].add(i, vw, server, floor, kb, &steps);
+                self.racks[rack].add(i, viewing_id, server, floor, kb, &steps);
             }
             (Ok(_), false) => {
                 let steps = self.steps(v);
-                self.racks[rack].remove(vw, &steps);
+                self.racks[rack].remove(viewing_id, &steps);
             }
             (Err(_), false) => {}
         }
     }
 
     /// Puts a viewing to a server, or takes it off the one that it is at.
-    pub(crate) fn place(&mut self, vw: ViewingId, server: Option<ServerId>) {
-        self.book(vw, false);
-        if let Some(viewing) = self.viewings.get_mut(&vw) {
+    pub(crate) fn place(&mut self, viewing_id: ViewingId, server: Option<ServerId>) {
+        self.book(viewing_id, false);
+        if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
             let (was, about) = (viewing.server.is_some(), (viewing.package, viewing.title));
             viewing.server = server;
             let held = self.held.entry(about).or_default();
@@ -537,7 +541,7 @@
                 self.held.remove(&about);
             }
         }
-        self.book(vw, true);
+        self.book(viewing_id, true);
     }
 
     /// Counts a viewing among those of its package, rung and top, or (by -1) no more.
@@ -550,21 +554,21 @@
     }
 
     /// Puts a viewing to a rung.
-    pub(crate) fn turn(&mut self, vw: ViewingId, rung: usize) {
-        if let Some(viewing) = self.viewings.get_mut(&vw) {
+    pub(crate) fn turn(&mut self, viewing_id: ViewingId, rung: usize) {
+        if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
             let was = viewing.alike();
             viewing.rung = rung;
             let is = viewing.alike();
             self.alike(was, -1);
             self.alike(is, 1);
         }
-        self.book(vw, true);
+        self.book(viewing_id, true);
     }
 
-    pub(crate) fn forget(&mut self, vw: ViewingId) {
-        self.place(vw, None);
-        self.asking.remove(&vw);
-        if let Some(viewing) = self.viewings.remove(&vw) {
+    pub(crate) fn forget(&mut self, viewing_id: ViewingId) {
+        self.place(viewing_id, None);
+        self.asking.remove(&viewing_id);
+        if let Some(viewing) = self.viewings.remove(&viewing_id) {
             self.alike(viewing.alike(), -1);
         }
     }
@@ -597,20 +601,20 @@
         let ids: Vec<_> = self.at.get(&server).into_iter().flatten().map(|ask| ask.0).collect();
         if let Some(rack) = was {
             self.racks[rack].servers.remove(&server);
-            for vw in &ids {
-                let steps = self.steps(&self.viewings[vw]);
-                self.racks[rack].remove(*vw, &steps);
+            for viewing_id in &ids {
+                let steps = self.steps(&self.viewings[viewing_id]);
+                self.racks[rack].remove(*viewing_id, &steps);
             }
         }
         if let Some(rack) = self.shelf(server) {
             self.racks[rack].servers.insert(server);
         }
-        ids.into_iter().for_each(|vw| self.book(vw, true));
+        ids.into_iter().for_each(|viewing_id| self.book(viewing_id, true));
     }
 
     /// Our viewings at a server, by their ids.
     pub(crate) fn there(&self, server: ServerId) -> impl Iterator<Item = &Viewing<Next>> {
-        self.at.get(&server).into_iter().flatten().map(|(vw, _)| &self.viewings[vw])
+        self.at.get(&server).into_iter().flatten().map(|(viewing_id, _)| &self.viewings[viewing_id])
     }
 
     /// The servers of a rack that we have viewings at.
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -27,22 +27,22 @@
 struct Recorder(Vec<Did>, Vec<RefusalReason>);
 
 impl Actions for Recorder {
-    fn tune_in(&mut self, vw: ViewingId, server: ServerId, limit: Duration) {
-        self.0.push(Did::TuneIn(vw.0, server.0[0], limit));
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration) {
+        self.0.push(Did::TuneIn(viewing_id.0, server.0[0], limit));
     }
-    fn block(&mut self, vw: ViewingId, come_back: Option<Duration>, reason: RefusalReason) {
+    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, reason: RefusalReason) {
         self.1.push(reason);
-        self.0.push(Did::Block(vw.0, come_back));
+        self.0.push(Did::Block(viewing_id.0, come_back));
     }
-    fn abort(&mut self, vw: ViewingId, reason: RefusalReason) {
+    fn abort(&mut self, viewing_id: ViewingId, reason: RefusalReason) {
         self.1.push(reason);
-        self.0.push(Did::Abort(vw.0));
+        self.0.push(Did::Abort(viewing_id.0));
     }
-    fn cancel_tune_in(&mut self, vw: ViewingId, tune_in: u16) {
-        self.0.push(Did::CallOff(vw.0, tune_in));
+    fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16) {
+        self.0.push(Did::CallOff(viewing_id.0, tune_in));
     }
-    fn set_rung(&mut self, vw: ViewingId, rung: usize) {
-        self.0.push(Did::Rung(vw.0, rung));
+    fn set_rung(&mut self, viewing_id: ViewingId, rung: usize) {
+        self.0.push(Did::Rung(viewing_id.0, rung));
     }
     fn probe(&mut self, server: ServerId) {
         self.0.push(Did::Probe(server.0[0]));
@@ -108,16 +108,18 @@
     }
 
     /// Asks for a viewing of a title on the cells from `first`; tells what was done.
-    fn ask(&mut self, vw: u32, package: usize, first: u32, spread: u32) -> Vec<Did> {
+    fn ask(&mut self, viewing_id: u32, package: usize, first: u32, spread: u32) -> Vec<Did> {
         let (package, title) = (PackageId(package), TitleId(u64::from(first)));
         let (cells, ends) = (Cells { first, spread }, self.now + ms(4000));
-        let id = ViewingId(vw);
+        let id = ViewingId(viewing_id);
         self.manager.on_request(&mut self.did, self.now, id, package, title, cells, 3, ends);
         self.take()
     }
 
-    fn end(&mut self, vw: u32, n: u16, server: u8, outcome: TuneInOutcome, terminal: bool) -> Vec<Did> {
-        let (id, server) = (ViewingId(vw), ServerId([server; 6]));
+    fn end(
+        &mut self, viewing_id: u32, n: u16, server: u8, outcome: TuneInOutcome, terminal: bool,
+    ) -> Vec<Did> {
+        let (id, server) = (ViewingId(viewing_id), ServerId([server; 6]));
         self.manager.on_tune_in_ended(
             &mut self.did,
             self.now,
@@ -131,14 +133,14 @@
         self.take()
     }
 
-    fn play(&mut self, vw: u32, server: u8) {
-        self.manager.on_playing(self.now, ViewingId(vw), ServerId([server; 6]));
+    fn play(&mut self, viewing_id: u32, server: u8) {
+        self.manager.on_playing(self.now, ViewingId(viewing_id), ServerId([server; 6]));
     }
 
     /// News that several viewings bring.
-    fn news(&mut self, vw: u32, server: u8, news: ServerUpdate) {
+    fn news(&mut self, viewing_id: u32, server: u8, news: ServerUpdate) {
         (0..9).for_each(|_| {
-            self.manager.on_server_update(self.now, ViewingId(vw), ServerId([server; 6]), news)
+            self.manager.on_server_update(self.now, ViewingId(viewing_id), ServerId([server; 6]), news)
         });
     }
 
@@ -151,9 +153,9 @@
         self.take()
     }
 
-    fn patience(&mut self, vw: u32) -> Vec<Did> {
+    fn patience(&mut self, viewing_id: u32) -> Vec<Did> {
         self.now += ms(4000);
-        self.manager.on_timer(&mut self.did, self.now, 1 << 32 | u64::from(vw));
+        self.manager.on_timer(&mut self.did, self.now, 1 << 32 | u64::from(viewing_id));
         self.take()
     }
 
@@ -284,9 +286,9 @@
                 desk.list(0, ServerState::Ready, Some(desk.now));
             }
             let mut sent = 0;
-            for vw in 0..10 {
-                if sent_to(&desk.ask(vw, 0, 0, 1)).is_some() {
-                    desk.play(vw, 0);
+            for viewing_id in 0..10 {
+                if sent_to(&desk.ask(viewing_id, 0, 0, 1)).is_some() {
+                    desk.play(viewing_id, 0);
                     sent += 1;
                 }
                 desk.now += ms(gap);
@@ -303,10 +305,12 @@
         [(2.0, 0.0, 6, 2), (0.0, 0.5, 6, 3), (1.0, 0.25, 4, 2), (0.0, 0.0, 3, 0)]
     {
         let mut desk = Desk::new(Some(RetryBudget::new(ms(5000), free, share)));
-        let asked: Vec<_> = (0..viewings).map(|vw| (vw, sent_to(&desk.ask(vw, 0, 0, 4)).unwrap())).collect();
+        let asked: Vec<_> = (0..viewings)
+            .map(|viewing_id| (viewing_id, sent_to(&desk.ask(viewing_id, 0, 0, 4)).unwrap()))
+            .collect();
         let mut further = 0;
-        for (vw, server) in asked {
-            let did = desk.end(vw, 0, server, TuneInOutcome::Refused, false);
+        for (viewing_id, server) in asked {
+            let did = desk.end(viewing_id, 0, server, TuneInOutcome::Refused, false);
             further += usize::from(sent_to(&did).is_some());
             assert!(sent_to(&did).is_some() != blocked(&did));
         }
@@ -319,7 +323,7 @@
     // Package, viewings of one title asked for, how many get a tune-in, the lowest rung allowed.
     for (package, asked, held, floor) in [(0, 4, 4, 0), (2, 4, 2, 1)] {
         let mut desk = Desk::new(None);
-        let did: Vec<Did> = (0..asked).flat_map(|vw| desk.ask(vw, package, 0, 3)).collect();
+        let did: Vec<Did> = (0..asked).flat_map(|viewing_id| desk.ask(viewing_id, package, 0, 3)).collect();
         assert_eq!(did.iter().filter(|d| matches!(d, Did::TuneIn(..))).count(), held);
         // However short the link, no rung goes under the floor; however long, none over the top.
         for (full, share) in [(9.0, 0.2), (0.01, 1.0)] {
@@ -421,10 +425,11 @@
             desk.news(1, taken, ServerUpdate::Uplink(if taken == 0 { 0.2 } else { 5.0 }));
             desk.pass(4);
         }
-        let to: Vec<_> = (2..8).filter_map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
+        let to: Vec<_> = (2..8).filter_map(|viewing_id| sent_to(&desk.ask(viewing_id, 0, 0, 2))).collect();
         assert_eq!(to, [1 - taken; 6]);
         // Alone, it takes what it has tokens for; viewers are told when to come back.
-        let did: Vec<_> = (10..14).flat_map(|vw| desk.ask(vw, 0, u32::from(taken), 1)).collect();
+        let did: Vec<_> =
+            (10..14).flat_map(|viewing_id| desk.ask(viewing_id, 0, u32::from(taken), 1)).collect();
         assert_eq!(did.iter().filter(|d| matches!(d, Did::TuneIn(..))).count(), 1);
         assert!(did.iter().any(|d| matches!(d, Did::Block(_, Some(wait)) if *wait <= ms(2000))));
     }
@@ -440,7 +445,7 @@
         assert_eq!(sent_to(&desk.ask(1, 0, 0, 1)), Some(0));
         desk.play(1, 0);
         desk.end(1, 0, 0, outcome, true);
-        let to: Vec<_> = (2..12).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2)).unwrap()).collect();
+        let to: Vec<_> = (2..12).map(|viewing_id| sent_to(&desk.ask(viewing_id, 0, 0, 2)).unwrap()).collect();
         assert_eq!(to.contains(&0), again, "{outcome:?} {to:?}");
         // With all holders suspect the best is still tried.
         desk.now += ms(900);
@@ -481,7 +486,7 @@
             desk.play(200, 4);
         }
         desk.now += ms(later);
-        let to: Vec<_> = (0..12).filter_map(|vw| sent_to(&desk.ask(vw, 0, 5, 2))).collect();
+        let to: Vec<_> = (0..12).filter_map(|viewing_id| sent_to(&desk.ask(viewing_id, 0, 5, 2))).collect();
         assert_eq!(to.len(), 12);
         assert_eq!(
             to.iter().all(|server| *server == 6),
@@ -508,8 +513,8 @@
             desk.news(0, server as u8, ServerUpdate::Link(full));
         }
         desk.news(0, 0, ServerUpdate::Uplink(uplink));
-        for vw in 1..4 {
-            let to = sent_to(&desk.ask(vw, 0, 0, 3)).unwrap();
+        for viewing_id in 1..4 {
+            let to = sent_to(&desk.ask(viewing_id, 0, 0, 3)).unwrap();
             assert!(may.contains(&to), "{to} at {links:?}, {uplink}");
         }
     }
@@ -599,11 +604,15 @@
     // Fullness of the link, the rungs of the viewing there and of ten of ours elsewhere, whether it rises.
     for (full, own, others, rises) in [(0.7, 0, 2, true), (0.7, 2, 0, false), (1.3, 0, 2, false)] {
         let mut desk = Desk::new(None);
-        for vw in 1..12 {
-            let server = if vw == 1 { 0 } else { 1 };
-            assert_eq!(sent_to(&desk.ask(vw, 0, server, 1)), Some(server as u8));
-            desk.play(vw, server as u8);
-            desk.news(vw, server as u8, ServerUpdate::Rung(if vw == 1 { own } else { others }));
+        for viewing_id in 1..12 {
+            let server = if viewing_id == 1 { 0 } else { 1 };
+            assert_eq!(sent_to(&desk.ask(viewing_id, 0, server, 1)), Some(server as u8));
+            desk.play(viewing_id, server as u8);
+            desk.news(
+                viewing_id,
+                server as u8,
+                ServerUpdate::Rung(if viewing_id == 1 { own } else { others }),
+            );
         }
         desk.news(1, 0, ServerUpdate::Link(full));
         desk.news(1, 0, ServerUpdate::Uplink(0.1));
@@ -696,7 +705,7 @@
             };
             let mut desks: Vec<_> = (0..u64::from(managers)).map(new).collect();
             // A title at each of eight cells; the server stands at the first, and starts after twelve seconds.
-            let (mut chance, mut vw, mut sent, mut wanted) = (Pcg(seed), 0, vec![], 0);
+            let (mut chance, mut viewing_id, mut sent, mut wanted) = (Pcg(seed), 0, vec![], 0);
             let gap = Duration::from_secs_f64(part / (asked * bears));
             let (mut now, started_at) = (desks[0].now, desks[0].now + ms(12_000));
             while now < started_at + ms(10_000) {
@@ -708,9 +717,9 @@
                 if was < started_at && now >= started_at {
                     desk.list(0, ServerState::Ready, Some(started_at));
                 }
-                vw += 1;
-                let to = sent_to(&desk.ask(vw, 0, cell, 1));
-                to.into_iter().for_each(|server| desk.play(vw, server));
+                viewing_id += 1;
+                let to = sent_to(&desk.ask(viewing_id, 0, cell, 1));
+                to.into_iter().for_each(|server| desk.play(viewing_id, server));
                 wanted += usize::from(now >= started_at && cell == 0);
                 sent.extend(to.filter(|server| *server == 0 && now >= started_at).map(|_| now));
             }
@@ -733,31 +742,31 @@
 fn what_is_kept_by_server_and_rack_is_what_a_recount_finds() {
     for seed in 1..=8 {
         let (mut desk, mut chance, mut live) = (Desk::new(None), Pcg(seed), vec![]);
-        for vw in 0..400 {
+        for viewing_id in 0..400 {
             desk.now += ms(chance.below(60) as u64);
             let server = chance.below(5) as u8;
             match chance.below(9) {
                 0..4 => {
-                    let did = desk.ask(vw, chance.below(3), chance.below(8) as u32, 3);
-                    live.extend(sent_to(&did).map(|server| (vw, 0, server)));
+                    let did = desk.ask(viewing_id, chance.below(3), chance.below(8) as u32, 3);
+                    live.extend(sent_to(&did).map(|server| (viewing_id, 0, server)));
                 }
                 4 if !live.is_empty() => {
-                    let (vw, n, server) = live.swap_remove(chance.below(live.len()));
-                    let did = desk.end(vw, n, server, TuneInOutcome::ConnectionBroken, false);
-                    live.extend(sent_to(&did).map(|server| (vw, n + 1, server)));
+                    let (viewing_id, n, server) = live.swap_remove(chance.below(live.len()));
+                    let did = desk.end(viewing_id, n, server, TuneInOutcome::ConnectionBroken, false);
+                    live.extend(sent_to(&did).map(|server| (viewing_id, n + 1, server)));
                 }
                 5 if !live.is_empty() => {
-                    let (vw, _, server) = live[chance.below(live.len())];
-                    desk.play(vw, server);
-                    desk.news(vw, server, ServerUpdate::Rung(chance.below(4)));
-                    desk.news(vw, server, ServerUpdate::Link(2.0 * chance.part()));
+                    let (viewing_id, _, server) = live[chance.below(live.len())];
+                    desk.play(viewing_id, server);
+                    desk.news(viewing_id, server, ServerUpdate::Rung(chance.below(4)));
+                    desk.news(viewing_id, server, ServerUpdate::Link(2.0 * chance.part()));
                 }
                 6 => drop(desk.pass(1)),
                 7 => desk.list(server, ServerState::Ready, None),
                 // A server unknown so far, one that stands elsewhere now, and viewings from before.
                 _ => {
                     let (package, title, id) = (PackageId(0), TitleId(1), ServerId([server; 6]));
-                    desk.manager.restore_viewing(desk.now, ViewingId(vw), id, package, title, (0, 3));
+                    desk.manager.restore_viewing(desk.now, ViewingId(viewing_id), id, package, title, (0, 3));
                     let row = desk.manager.servers.get(&id).map(|s| s.list_entry);
                     let moved = row.map(|row| ServerEntry { cell: chance.below(8) as u32, ..row });
                     moved
@@ -768,17 +777,17 @@
             let m = &desk.manager;
             let asks = |fits: &dyn Fn(&ServerId) -> bool| -> Vec<_> {
                 let there = m.viewings.iter().filter(|(_, v)| v.server.is_some_and(|server| fits(&server)));
-                there.map(|(vw, v)| (*vw, m.kb(v, v.rung))).collect()
+                there.map(|(viewing_id, v)| (*viewing_id, m.kb(v, v.rung))).collect()
             };
             for (server, kept) in &m.at {
-                assert_eq!(*kept, asks(&|at| at == server), "seed {seed}, event {vw}, {server:?}");
+                assert_eq!(*kept, asks(&|at| at == server), "seed {seed}, event {viewing_id}, {server:?}");
             }
             for (rack, kept) in m.racks.iter().enumerate() {
                 let here = |at: &ServerId| {
                     m.servers.get(at).is_some_and(|s| m.network.rack(s.list_entry.cell) == rack)
                 };
-                let kb: Vec<_> = kept.asks.iter().map(|ask| (ask.vw, ask.kb)).collect();
-                assert_eq!(kb, asks(&here), "seed {seed}, event {vw}, rack {rack}");
+                let kb: Vec<_> = kept.asks.iter().map(|ask| (ask.viewing_id, ask.kb)).collect();
+                assert_eq!(kb, asks(&here), "seed {seed}, event {viewing_id}, rack {rack}");
                 assert!(
                     kept.servers.iter().all(here)
                         && m.servers.keys().filter(|at| here(at)).count() == kept.servers.len()
@@ -786,16 +795,16 @@
                 // The steps up, sorted anew: the dearest first, equals by viewing and rung.
                 let mut steps = vec![];
                 for ask in &kept.asks {
-                    let v = &m.viewings[&ask.vw];
+                    let v = &m.viewings[&ask.viewing_id];
                     assert_eq!((kept.stands[ask.stand], ask.floor_kb), (v.server, m.kb(v, ask.floor)));
                     for rung in ask.floor..v.top {
                         let (kb, value) = m.between(v.package, rung, rung + 1);
-                        steps.push((value / kb, kb, ask.vw, rung + 1, ask.stand, ask.slot));
+                        steps.push((value / kb, kb, ask.viewing_id, rung + 1, ask.stand, ask.slot));
                     }
                 }
                 steps.sort_by(|a, b| b.0.total_cmp(&a.0));
-                let told = kept.steps.iter().map(|s| (s.dear, s.kb, s.vw, s.rung, s.stand, s.slot));
-                assert!(told.eq(steps), "seed {seed}, event {vw}, steps of rack {rack}");
+                let told = kept.steps.iter().map(|s| (s.dear, s.kb, s.viewing_id, s.rung, s.stand, s.slot));
+                assert!(told.eq(steps), "seed {seed}, event {viewing_id}, steps of rack {rack}");
                 let slots: BTreeSet<_> = kept.asks.iter().map(|ask| ask.slot).collect();
                 assert!(slots.len() == kept.asks.len() && slots.iter().all(|slot| *slot < kept.slots()));
             }
@@ -803,16 +812,16 @@
             for v in m.viewings.values().filter(|v| v.server.is_some()) {
                 *held.entry((v.package, v.title)).or_insert(0_usize) += 1;
             }
-            assert_eq!(m.held, held, "seed {seed}, event {vw}");
+            assert_eq!(m.held, held, "seed {seed}, event {viewing_id}");
             let (mut alike, mut steps) = (BTreeMap::new(), vec![]);
             for v in m.viewings.values() {
                 *alike.entry((v.package, v.rung, v.top)).or_insert(0_usize) += 1;
                 let (kb, value) = m.between(v.package, v.rung.min(v.top - 1), (v.rung + 1).min(v.top));
                 steps.push(value / kb);
             }
-            assert_eq!(m.alike, alike, "seed {seed}, event {vw}");
+            assert_eq!(m.alike, alike, "seed {seed}, event {viewing_id}");
             let price = steps.iter().sum::<f64>() / steps.len().max(1) as f64;
-            assert!((m.price() - price).abs() <= 1e-12 * price, "seed {seed}, event {vw}");
+            assert!((m.price() - price).abs() <= 1e-12 * price, "seed {seed}, event {viewing_id}");
             let stands = |rack: &Rack| rack.stands.iter().flatten().count();
             assert_eq!(
                 m.racks.iter().map(stands).sum::<usize>(),
@@ -827,13 +836,13 @@
 fn an_alarm_leaves_room_for_what_lower_rungs_would_free() {
     let mut desk = Desk::new(None);
     let mut at = 0;
-    for vw in 0..6 {
-        at = sent_to(&desk.ask(vw, 0, 0, 1)).expect("the only holder takes it");
-        desk.play(vw, at);
+    for viewing_id in 0..6 {
+        at = sent_to(&desk.ask(viewing_id, 0, 0, 1)).expect("the only holder takes it");
+        desk.play(viewing_id, at);
         desk.now += ms(500);
     }
     // Our six fill the link at their highest rungs: beside them there is room for none.
-    (0..6).for_each(|vw| desk.news(vw, at, ServerUpdate::Rung(3)));
+    (0..6).for_each(|viewing_id| desk.news(viewing_id, at, ServerUpdate::Rung(3)));
     desk.news(0, at, ServerUpdate::Link(0.97));
     let server = ServerId([at; 6]);
     let s = desk.manager.servers.get_mut(&server).expect("listed");
@@ -861,7 +870,7 @@
             let started_at = now.map(|now| if now { desk.now } else { START });
             desk.list(0, *state, started_at);
         }
-        let sent = (0..10).filter(|vw| sent_to(&desk.ask(*vw, 0, 0, 1)).is_some()).count();
+        let sent = (0..10).filter(|viewing_id| sent_to(&desk.ask(*viewing_id, 0, 0, 1)).is_some()).count();
         assert!(sent <= 1, "{sent} set-ups at once to a server that has just started: {rows:?}");
     }
     // Told of again without its date, a start is not another one.
@@ -869,7 +878,7 @@
     desk.list(0, Ready, Some(START));
     desk.now += ms(20_000);
     [None, Some(START)].into_iter().for_each(|started_at| desk.list(0, Ready, started_at));
-    assert_eq!((0..10).filter(|vw| sent_to(&desk.ask(*vw, 0, 0, 1)).is_some()).count(), 10);
+    assert_eq!((0..10).filter(|viewing_id| sent_to(&desk.ask(*viewing_id, 0, 0, 1)).is_some()).count(), 10);
 }
 
 #[test]
@@ -903,9 +912,10 @@
                 [row(id(turn, i), ServerState::Ready), row(id(turn.wrapping_sub(1), i), ServerState::Gone)];
             desk.manager.on_server_list(desk.now, &rows[..if turn > 0 { 2 } else { 1 }], ListScope::Changes);
         }
-        for vw in 0..8 {
-            let id = ViewingId(turn * 8 + vw);
-            let (title, cells, ends) = (TitleId(0), Cells { first: vw % 4, spread: 4 }, desk.now + ms(3000));
+        for viewing_id in 0..8 {
+            let id = ViewingId(turn * 8 + viewing_id);
+            let (title, cells, ends) =
+                (TitleId(0), Cells { first: viewing_id % 4, spread: 4 }, desk.now + ms(3000));
             desk.manager.on_request(&mut desk.did, desk.now, id, PackageId(0), title, cells, 3, ends);
             let server = desk.manager.viewings.get(&id).and_then(|v| v.server);
             if let Some(server) = server {
@@ -929,7 +939,8 @@
     let row =
         ServerEntry { server: old, state: ServerState::Ready, started_at, weight: 2.0, zone, kind, cell: 7 };
     desk.manager.on_server_list(desk.now, &[row], ListScope::Changes);
-    let sent = (900..910).filter(|vw| desk.ask(*vw, 0, 7, 1).iter().any(|d| matches!(d, Did::TuneIn(..))));
+    let sent = (900..910)
+        .filter(|viewing_id| desk.ask(*viewing_id, 0, 7, 1).iter().any(|d| matches!(d, Did::TuneIn(..))));
     assert!(sent.count() <= 1, "it has just started");
 }
 
@@ -942,7 +953,7 @@
     // Warm by now; then the answer of the earlier start's connection breaks at last.
     desk.now += ms(15_000);
     desk.end(1, 0, 0, TuneInOutcome::ConnectionBroken, true);
-    let to: Vec<_> = (2..8).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
+    let to: Vec<_> = (2..8).map(|viewing_id| sent_to(&desk.ask(viewing_id, 0, 0, 2))).collect();
     assert!(to.contains(&Some(0)), "left alone for what its earlier start did: {to:?}");
 }
 
@@ -959,7 +970,12 @@
             (0, 4),
             RefusalReason::NoReadyHolder,
         ),
-        (|d| (0..2).for_each(|vw| drop(d.ask(50 + vw, 2, 0, 3))), 2, (0, 3), RefusalReason::SeatsTaken),
+        (
+            |d| (0..2).for_each(|viewing_id| drop(d.ask(50 + viewing_id, 2, 0, 3))),
+            2,
+            (0, 3),
+            RefusalReason::SeatsTaken,
+        ),
         (
             |d| {
                 d.list(0, ServerState::Ready, Some(d.now));
@@ -1009,13 +1025,13 @@
 #[should_panic(expected = "held against the start that runs")]
 fn what_an_earlier_start_did_is_forgotten_at_the_next() {
     let mut desk = Desk::new(None);
-    for vw in 1..4 {
-        assert_eq!(sent_to(&desk.ask(vw, 0, 0, 1)), Some(0));
-        desk.end(vw, 0, 0, TuneInOutcome::Failed, true);
+    for viewing_id in 1..4 {
+        assert_eq!(sent_to(&desk.ask(viewing_id, 0, 0, 1)), Some(0));
+        desk.end(viewing_id, 0, 0, TuneInOutcome::Failed, true);
     }
     desk.now += ms(100);
     desk.list(0, ServerState::Ready, Some(desk.now));
     desk.now += ms(1000);
-    let to: Vec<_> = (4..10).map(|vw| sent_to(&desk.ask(vw, 0, 0, 2))).collect();
+    let to: Vec<_> = (4..10).map(|viewing_id| sent_to(&desk.ask(viewing_id, 0, 0, 2))).collect();
     assert!(to.contains(&Some(0)), "held against the start that runs: {to:?}");
 }
--- a/src/tests/outage.rs
+++ b/src/tests/outage.rs
@@ -103,20 +103,20 @@
             }
             Next::Asked => {
                 agenda.put(now + Duration::from_secs_f64(2.0 * chance.part() / rate), Next::Asked);
-                let (at, vw) = (chance.below(managers), asked.len() as u32);
+                let (at, viewing_id) = (chance.below(managers), asked.len() as u32);
                 asked.push((now, false));
                 desks[at].now = now;
                 // Each title lies on three of the servers.
-                (at, desks[at].ask(vw, 0, chance.below(2) as u32, 3))
+                (at, desks[at].ask(viewing_id, 0, chance.below(2) as u32, 3))
             }
-            Next::Ends(at, vw, n, server, ending) => {
+            Next::Ends(at, viewing_id, n, server, ending) => {
                 desks[at].now = now;
-                (at, desks[at].end(vw, n, server, ending, ending == TuneInOutcome::Completed))
+                (at, desks[at].end(viewing_id, n, server, ending, ending == TuneInOutcome::Completed))
             }
         };
         for did in did {
-            let Did::TuneIn(vw, server, limit) = did else { continue };
-            let n = desks[at].manager.viewings[&ViewingId(vw)].tune_ins - 1;
+            let Did::TuneIn(viewing_id, server, limit) = did else { continue };
+            let n = desks[at].manager.viewings[&ViewingId(viewing_id)].tune_ins - 1;
             if now >= down && now < up(server) {
                 vain += 1;
                 let (after, ending) = match outage.fails {
@@ -124,15 +124,15 @@
                     Fails::Silent => (limit.min(ms(250)), TuneInOutcome::Unreachable),
                     Fails::Resets => (ms(2), TuneInOutcome::ConnectionBroken),
                 };
-                agenda.put(now + after, Next::Ends(at, vw, n, server, ending));
+                agenda.put(now + after, Next::Ends(at, viewing_id, n, server, ending));
                 continue;
             }
             if now >= first_up {
                 sent[usize::from(server)].push(now);
             }
-            desks[at].play(vw, server);
-            asked[vw as usize].1 = true;
-            agenda.put(now + ms(4000), Next::Ends(at, vw, n, server, TuneInOutcome::Completed));
+            desks[at].play(viewing_id, server);
+            asked[viewing_id as usize].1 = true;
+            agenda.put(now + ms(4000), Next::Ends(at, viewing_id, n, server, TuneInOutcome::Completed));
         }
     }
     let nine = |late: &Duration| {
