--- a/crates/quality/src/blame.rs
+++ b/crates/quality/src/blame.rs
@@ -243,14 +243,7 @@
         }
         let sessions = table.by(factor).get(&level).map_or(0.0, |sum| sum.count);
         let alternatives = indistinguishable(table, factor, level, overall_variance);
-        named.push(Blame {
-            factor,
-            level,
-            excess,
-            standard_errors: standard_errors,
-            sessions,
-            alternatives: alternatives,
-        });
+        named.push(Blame { factor, level, excess, standard_errors, sessions, alternatives });
     }
     named
 }
--- a/crates/signal/src/binary.rs
+++ b/crates/signal/src/binary.rs
@@ -97,7 +97,7 @@
             }
         }
     }
-    Ok(Signal { kind, session: session, cause, description, fields })
+    Ok(Signal { kind, session, cause, description, fields })
 }
 
 /// Encodes a message with its length prefix.
--- a/crates/signal/src/line.rs
+++ b/crates/signal/src/line.rs
@@ -89,7 +89,7 @@
         };
         known_fields.push((*field, Cow::Owned(value)));
     }
-    Ok(Signal { kind, session: session, cause, description, fields: known_fields })
+    Ok(Signal { kind, session, cause, description, fields: known_fields })
 }
 
 /// Encodes a message as a line with its line end.
