--- a/src/tests.rs
+++ b/src/tests.rs
@@ -377,12 +377,13 @@
         (&[(0.8, 9.0), (1.0, 4.0), (1.0, 4.0), (1.0, 4.0)], None),
     ];
     for (readings, stands) in cases {
-        let mut warning = Warning::default();
+        let mut warning = EarlyWarning::default();
         let mut now = START;
         for (share, asked) in calm.iter().chain(readings) {
-            (warning.share, warning.asked, warning.admitted) = (Some(*share), *asked, *asked);
+            (warning.lowest_share, warning.request_count, warning.admitted_count) =
+                (Some(*share), *asked, *asked);
             now += ms(2000);
-            warning.close(now, 100.0, false);
+            warning.end_interval(now, 100.0, false);
         }
         let rate = warning.bucket.map(|b| b.rate * 2.0);
         assert_eq!(rate, stands, "{readings:?}");
@@ -393,18 +394,19 @@
 fn buckets_keep_their_floor_cap_and_scores() {
     // Set-ups that the link has room for, whether it is stuck, the rate in set-ups an interval after an alarm.
     for (room, stuck, rate) in [(100.0, false, 9.0), (5.0, false, 5.0), (0.0, false, 1.0), (0.0, true, 1.0)] {
-        let mut warning = Warning::default();
+        let mut warning = EarlyWarning::default();
         for (share, asked) in [(1.0, 4.0), (1.0, 4.0), (if stuck { 1.0 } else { 0.8 }, 9.0)] {
-            (warning.share, warning.asked, warning.admitted) = (Some(share), asked, asked);
-            warning.close(START, room, stuck && asked > 4.0);
+            (warning.lowest_share, warning.request_count, warning.admitted_count) =
+                (Some(share), asked, asked);
+            warning.end_interval(START, room, stuck && asked > 4.0);
         }
         assert_eq!(warning.bucket.as_ref().map(|b| b.rate * 2.0), Some(rate), "{room} {stuck}");
     }
     // Steps taken and whether the alarm cleared at each; which way the next goes.
     for (cleared, up) in [(vec![false], false), (vec![false; 2], true), (vec![false, true, false], false)] {
-        let mut bucket = Bucket::new(1.0, START);
-        cleared.iter().for_each(|c| bucket.steer(*c));
-        assert_eq!(bucket.last, Some(up), "{cleared:?}");
+        let mut bucket = TokenBucket::new(1.0, START);
+        cleared.iter().for_each(|c| bucket.step_rate(*c));
+        assert_eq!(bucket.last_step_up, Some(up), "{cleared:?}");
     }
 }
 
@@ -521,9 +523,9 @@
 }
 
 /// How we look at links one second after the start, with so many viewings then and now.
-fn view(then: f64, now: f64) -> View {
-    let mut view = View::new(ms(3000), 2.0);
-    view.crowd = [(START, then), (START + ms(1000), now)].into();
+fn view(then: f64, now: f64) -> EstimateContext {
+    let mut view = EstimateContext::new(ms(3000), 2.0);
+    view.viewing_counts = [(START, then), (START + ms(1000), now)].into();
     view.now = START + ms(1000);
     view
 }
@@ -541,12 +543,12 @@
     ];
     for ((then, now), (own, meant), usual, (least, most)) in cases {
         let mut link = Link::new(1000.0, 0);
-        link.mark(START, own, 1.0);
-        link.hear(START, 0.5);
-        link.mark(START + ms(500), own, meant);
+        link.record_demand(START, own, 1.0);
+        link.add_report(START, 0.5);
+        link.record_demand(START + ms(500), own, meant);
         let mut view = view(then, now);
-        view.usual = [usual, usual];
-        let full = link.full(&view);
+        view.prior_utilization = [usual, usual];
+        let full = link.utilization(&view);
         assert!(full >= least && full <= most, "{full} for {then} to {now}, {own} by {meant}");
     }
 }
@@ -564,12 +566,12 @@
     ];
     for (news, siblings, held, age, least, most) in cases {
         let mut view = view(6.0, 6.0);
-        (view.siblings, view.held) = (siblings, [held, held]);
+        (view.manager_count, view.mean_viewing_counts) = (siblings, [held, held]);
         let (mut other, mut link) = (Link::new(1000.0, 0), Link::new(1000.0, 0));
-        (0..9).for_each(|_| view.hear(&mut other, view.now, news));
-        view.settle(500.0 / siblings, [1000.0, 1000.0], None);
-        age.into_iter().for_each(|age| link.hear(view.now - ms(age * 1000), 1.0));
-        let full = link.full(&view);
+        (0..9).for_each(|_| view.record_report(&mut other, view.now, news));
+        view.update_prior(500.0 / siblings, [1000.0, 1000.0], None);
+        age.into_iter().for_each(|age| link.add_report(view.now - ms(age * 1000), 1.0));
+        let full = link.utilization(&view);
         assert!(full >= least && full <= most, "{full} at {news}, {siblings} managers, {age:?}");
     }
 }
@@ -587,14 +589,14 @@
     for (tells, crowd, asks, unknown, short) in cases {
         let mut desk = Desk::new(None);
         desk.manager.network.configured_report_interval = if tells { ms(3000) } else { Duration::ZERO };
-        let mut view = View::new(desk.manager.network.report_interval(), 200.0);
+        let mut view = EstimateContext::new(desk.manager.network.report_interval(), 200.0);
         view.now = START;
-        view.settle(asks * 1000.0 / 200.0, [1000.0, 1000.0], (!tells).then_some(crowd));
+        view.update_prior(asks * 1000.0 / 200.0, [1000.0, 1000.0], (!tells).then_some(crowd));
         let mut link = Link::new(1000.0, 0);
-        let full = link.full(&view);
+        let full = link.utilization(&view);
         assert!(full >= unknown.0 && full <= unknown.1, "tells {tells}, {crowd} ask {asks}: {full}");
-        link.hear(START - ms(1000), 1.6);
-        let full = link.full(&view);
+        link.add_report(START - ms(1000), 1.6);
+        let full = link.utilization(&view);
         assert!(full >= short.0 && full <= short.1, "tells {tells}, {crowd} ask {asks}, short: {full}");
     }
 }
@@ -697,21 +699,21 @@
         for seed in 0..2 {
             let new = |n: u64| {
                 let mut desk = Desk::new(None);
-                desk.manager.siblings = f64::from(managers);
+                desk.manager.manager_count = f64::from(managers);
                 desk.manager.slow_start =
                     SlowStart::new(managers, &[streams], ms(10_000), 0.4, 2.0, ms(1000));
-                desk.manager.chance = Pcg((seed * 1000 + n + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
+                desk.manager.rng = Pcg32((seed * 1000 + n + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
                 desk
             };
             let mut desks: Vec<_> = (0..u64::from(managers)).map(new).collect();
             // A title at each of eight cells; the server stands at the first, and starts after twelve seconds.
-            let (mut chance, mut viewing_id, mut sent, mut wanted) = (Pcg(seed), 0, vec![], 0);
+            let (mut chance, mut viewing_id, mut sent, mut wanted) = (Pcg32(seed), 0, vec![], 0);
             let gap = Duration::from_secs_f64(part / (asked * bears));
             let (mut now, started_at) = (desks[0].now, desks[0].now + ms(12_000));
             while now < started_at + ms(10_000) {
                 now += gap;
                 let desk = &mut desks[chance.below(managers as usize)];
-                let cell = if chance.falls(part) { 0 } else { 1 + chance.below(7) as u32 };
+                let cell = if chance.random_bool(part) { 0 } else { 1 + chance.below(7) as u32 };
                 let was = desk.now;
                 desk.now = now;
                 if was < started_at && now >= started_at {
@@ -741,7 +743,7 @@
 #[test]
 fn what_is_kept_by_server_and_rack_is_what_a_recount_finds() {
     for seed in 1..=8 {
-        let (mut desk, mut chance, mut live) = (Desk::new(None), Pcg(seed), vec![]);
+        let (mut desk, mut chance, mut live) = (Desk::new(None), Pcg32(seed), vec![]);
         for viewing_id in 0..400 {
             desk.now += ms(chance.below(60) as u64);
             let server = chance.below(5) as u8;
@@ -759,7 +761,7 @@
                     let (viewing_id, _, server) = live[chance.below(live.len())];
                     desk.play(viewing_id, server);
                     desk.news(viewing_id, server, ServerUpdate::Rung(chance.below(4)));
-                    desk.news(viewing_id, server, ServerUpdate::Link(2.0 * chance.part()));
+                    desk.news(viewing_id, server, ServerUpdate::Link(2.0 * chance.uniform()));
                 }
                 6 => drop(desk.pass(1)),
                 7 => desk.list(server, ServerState::Ready, None),
@@ -777,16 +779,16 @@
             let m = &desk.manager;
             let asks = |fits: &dyn Fn(&ServerId) -> bool| -> Vec<_> {
                 let there = m.viewings.iter().filter(|(_, v)| v.server.is_some_and(|server| fits(&server)));
-                there.map(|(viewing_id, v)| (*viewing_id, m.kb(v, v.rung))).collect()
+                there.map(|(viewing_id, v)| (*viewing_id, m.rung_kb(v, v.rung))).collect()
             };
-            for (server, kept) in &m.at {
+            for (server, kept) in &m.demand_by_server {
                 assert_eq!(*kept, asks(&|at| at == server), "seed {seed}, event {viewing_id}, {server:?}");
             }
             for (rack, kept) in m.racks.iter().enumerate() {
                 let here = |at: &ServerId| {
-                    m.servers.get(at).is_some_and(|s| m.network.rack(s.list_entry.cell) == rack)
+                    m.servers.get(at).is_some_and(|s| m.network.rack_of_cell(s.list_entry.cell) == rack)
                 };
-                let kb: Vec<_> = kept.asks.iter().map(|ask| (ask.viewing_id, ask.kb)).collect();
+                let kb: Vec<_> = kept.demands.iter().map(|ask| (ask.viewing_id, ask.kb)).collect();
                 assert_eq!(kb, asks(&here), "seed {seed}, event {viewing_id}, rack {rack}");
                 assert!(
                     kept.servers.iter().all(here)
@@ -794,38 +796,55 @@
                 );
                 // The steps up, sorted anew: the dearest first, equals by viewing and rung.
                 let mut steps = vec![];
-                for ask in &kept.asks {
+                for ask in &kept.demands {
                     let v = &m.viewings[&ask.viewing_id];
-                    assert_eq!((kept.stands[ask.stand], ask.floor_kb), (v.server, m.kb(v, ask.floor)));
-                    for rung in ask.floor..v.top {
-                        let (kb, value) = m.between(v.package, rung, rung + 1);
-                        steps.push((value / kb, kb, ask.viewing_id, rung + 1, ask.stand, ask.slot));
+                    assert_eq!(
+                        (kept.server_slots[ask.server_slot], ask.floor_kb),
+                        (v.server, m.rung_kb(v, ask.floor_rung))
+                    );
+                    for rung in ask.floor_rung..v.top_rung {
+                        let (kb, value) = m.rung_difference(v.package, rung, rung + 1);
+                        steps.push((
+                            value / kb,
+                            kb,
+                            ask.viewing_id,
+                            rung + 1,
+                            ask.server_slot,
+                            ask.viewing_slot,
+                        ));
                     }
                 }
                 steps.sort_by(|a, b| b.0.total_cmp(&a.0));
-                let told = kept.steps.iter().map(|s| (s.dear, s.kb, s.viewing_id, s.rung, s.stand, s.slot));
+                let told = kept
+                    .steps
+                    .iter()
+                    .map(|s| (s.value_per_kb, s.kb, s.viewing_id, s.rung, s.server_slot, s.viewing_slot));
                 assert!(told.eq(steps), "seed {seed}, event {viewing_id}, steps of rack {rack}");
-                let slots: BTreeSet<_> = kept.asks.iter().map(|ask| ask.slot).collect();
-                assert!(slots.len() == kept.asks.len() && slots.iter().all(|slot| *slot < kept.slots()));
+                let slots: BTreeSet<_> = kept.demands.iter().map(|ask| ask.viewing_slot).collect();
+                assert!(
+                    slots.len() == kept.demands.len()
+                        && slots.iter().all(|slot| *slot < kept.viewing_slot_count())
+                );
             }
             let mut held = BTreeMap::new();
             for v in m.viewings.values().filter(|v| v.server.is_some()) {
                 *held.entry((v.package, v.title)).or_insert(0_usize) += 1;
             }
-            assert_eq!(m.held, held, "seed {seed}, event {viewing_id}");
+            assert_eq!(m.placed_by_title, held, "seed {seed}, event {viewing_id}");
             let (mut alike, mut steps) = (BTreeMap::new(), vec![]);
             for v in m.viewings.values() {
-                *alike.entry((v.package, v.rung, v.top)).or_insert(0_usize) += 1;
-                let (kb, value) = m.between(v.package, v.rung.min(v.top - 1), (v.rung + 1).min(v.top));
+                *alike.entry((v.package, v.rung, v.top_rung)).or_insert(0_usize) += 1;
+                let (kb, value) =
+                    m.rung_difference(v.package, v.rung.min(v.top_rung - 1), (v.rung + 1).min(v.top_rung));
                 steps.push(value / kb);
             }
-            assert_eq!(m.alike, alike, "seed {seed}, event {viewing_id}");
+            assert_eq!(m.class_counts, alike, "seed {seed}, event {viewing_id}");
             let price = steps.iter().sum::<f64>() / steps.len().max(1) as f64;
-            assert!((m.price() - price).abs() <= 1e-12 * price, "seed {seed}, event {viewing_id}");
-            let stands = |rack: &Rack| rack.stands.iter().flatten().count();
+            assert!((m.shadow_price() - price).abs() <= 1e-12 * price, "seed {seed}, event {viewing_id}");
+            let stands = |rack: &Rack| rack.server_slots.iter().flatten().count();
             assert_eq!(
                 m.racks.iter().map(stands).sum::<usize>(),
-                m.at.keys().filter(|at| m.servers.contains_key(at)).count()
+                m.demand_by_server.keys().filter(|at| m.servers.contains_key(at)).count()
             );
         }
         assert!(desk.manager.viewings.len() > 20, "{} live", desk.manager.viewings.len());
@@ -846,9 +865,9 @@
     desk.news(0, at, ServerUpdate::Link(0.97));
     let server = ServerId([at; 6]);
     let s = desk.manager.servers.get_mut(&server).expect("listed");
-    s.warning.bucket = Some(Bucket::new(100.0, desk.now));
+    s.early_warning.bucket = Some(TokenBucket::new(100.0, desk.now));
     desk.pass(4);
-    let rate = desk.manager.servers[&server].warning.bucket.as_ref().map(|bucket| bucket.rate);
+    let rate = desk.manager.servers[&server].early_warning.bucket.as_ref().map(|bucket| bucket.rate);
     assert!(rate.is_some_and(|rate| rate > 2.0), "more than the least of one in two seconds: {rate:?}");
 }
 
@@ -988,7 +1007,7 @@
         (
             |d| {
                 let s = d.manager.servers.get_mut(&ServerId([0; 6])).unwrap();
-                s.warning.bucket = Some(Bucket::new(0.5, d.now));
+                s.early_warning.bucket = Some(TokenBucket::new(0.5, d.now));
             },
             0,
             (0, 1),
--- a/src/tests/outage.rs
+++ b/src/tests/outage.rs
@@ -62,13 +62,13 @@
 fn desk(n: u64, (managers, streams, _): Load, fresh: bool) -> Desk {
     let mut desk = Desk::new(Some(RetryBudget::new(ms(5000), 5.0, 0.2)));
     let manager = &mut desk.manager;
-    manager.siblings = f64::from(managers);
+    manager.manager_count = f64::from(managers);
     manager.slow_start = SlowStart::new(managers, &[streams], COLD, 0.4, 2.0, WINDOW);
-    manager.chance = Pcg(n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    manager.rng = Pcg32(n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     // Links bear whatever is asked: nothing but the outage holds anything back.
     (manager.network.links_kb, manager.network.uplink_kb) = (4e6, 4e6);
-    manager.uplinks.iter_mut().for_each(|uplink| uplink.kb = 4e6);
-    manager.servers.values_mut().for_each(|server| server.link.kb = 1e6);
+    manager.uplinks.iter_mut().for_each(|uplink| uplink.capacity_kb = 4e6);
+    manager.servers.values_mut().for_each(|server| server.link.capacity_kb = 1e6);
     if fresh {
         manager.start(&mut desk.did, desk.now);
         manager.servers.values_mut().for_each(|server| server.cold_until = desk.now + COLD);
@@ -85,7 +85,7 @@
     let down = if outage.fresh { begun } else { begun + ms(12_000) };
     let up = |server: u8| down + outage.lasts + outage.apart * u32::from(server);
     let (first_up, all_up) = (up(0), up(SERVERS - 1));
-    let (mut agenda, mut chance) = (Agenda::default(), Pcg(seed));
+    let (mut agenda, mut chance) = (Agenda::default(), Pcg32(seed));
     agenda.put(begun, Next::Asked);
     agenda.put(begun, Next::Look);
     // When each request was made, and whether it played; when a server that served again got set-ups.
@@ -102,7 +102,7 @@
                 continue;
             }
             Next::Asked => {
-                agenda.put(now + Duration::from_secs_f64(2.0 * chance.part() / rate), Next::Asked);
+                agenda.put(now + Duration::from_secs_f64(2.0 * chance.uniform() / rate), Next::Asked);
                 let (at, viewing_id) = (chance.below(managers), asked.len() as u32);
                 asked.push((now, false));
                 desks[at].now = now;
