--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a manager holds: settings as they were given, viewings, samples. No decision is made here.
+//! State of a manager: its settings, viewings, servers and samples. Decisions are in `policy`.
 
 use crate::interface::*;
 use crate::policy::{Continuation, MAX_SAMPLES};
@@ -6,36 +6,39 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A permuted congruential generator.
+/// A permuted congruential generator (PCG-XSH-RR) with 32 bits of output.
 pub(crate) struct Pcg32(pub u64);
 
 impl Pcg32 {
+    /// A random integer below `n`.
     pub fn below(&mut self, n: usize) -> usize {
-        let s = self.0;
-        self.0 = s.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let word = ((((s >> 18) ^ s) >> 27) as u32).rotate_right((s >> 59) as u32);
-        ((u64::from(word) * n as u64) >> 32) as usize
+        let state = self.0;
+        self.0 = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        let output = ((((state >> 18) ^ state) >> 27) as u32).rotate_right((state >> 59) as u32);
+        ((u64::from(output) * n as u64) >> 32) as usize
     }
 
-    /// Evenly from 0 up to 1.
+    /// A random number, uniform in [0, 1).
     pub fn uniform(&mut self) -> f64 {
         self.below(1 << 24) as f64 / f64::from(1 << 24)
     }
 
-    pub fn random_bool(&mut self, part: f64) -> bool {
-        self.uniform() < part
+    /// True with the given probability.
+    pub fn random_bool(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 }
 
-/// The last few samples of something.
-pub(crate) fn push_sample<T>(samples: &mut VecDeque<T>, most: usize, sample: T) {
-    if samples.len() >= most {
+/// Appends a sample to a history and drops the oldest if there are `max_count` already.
+pub(crate) fn push_sample<T>(samples: &mut VecDeque<T>, max_count: usize, sample: T) {
+    if samples.len() >= max_count {
         samples.pop_front();
     }
     samples.push_back(sample);
 }
 
-/// The ladder of rates: kB a second and worth of each rung, and the seconds of value that a change costs.
+/// The ladder of rates: kB per second and worth of each rung, and the seconds of value that a switch
+/// costs.
 pub struct Ladder {
     pub rates: Vec<f64>,
     pub worths: Vec<f64>,
@@ -43,33 +46,34 @@
 }
 
 impl Ladder {
-    /// kB and worth between two rungs.
+    /// Differences in kB and in worth between two rungs.
     pub(crate) fn rung_difference(&self, from: usize, to: usize) -> (f64, f64) {
         (self.rates[to] - self.rates[from], self.worths[to] - self.worths[from])
     }
 }
 
+/// Settings of a package: value, set-up target, scale of its rates, lowest and highest rung.
 pub struct Package {
     pub value: f64,
     pub target: Duration,
-    /// Paid at set-up, so never set up twice.
+    /// Paid at set-up, so it is never set up twice.
     pub paid_once: bool,
     pub scale: f64,
     pub floor: usize,
     pub top: usize,
-    /// Viewings of one title that a manager may hold; 0 for no cap.
+    /// Maximum number of viewings of one title that a manager may hold; 0 for no limit.
     pub seats: usize,
 }
 
-/// Cells and racks, the size of links, and how news of them comes.
+/// Cells and racks, the capacities of links, and the timing of reports on them.
 pub struct Network {
     pub places: u32,
     pub racks: u32,
-    /// All links together at the start.
+    /// Capacity of all servers' links together, at the start.
     pub links_kb: f64,
     pub weight_kb: f64,
     pub uplink_kb: f64,
-    /// None: they come at no interval.
+    /// Zero if reports come at no interval.
     pub configured_report_interval: Duration,
     pub report_delay: Duration,
 }
@@ -80,8 +84,9 @@
     }
 }
 
-/// What is allowed of tune-ins: how many, the price of a probe in worth if any may be, whether they may be called off, and the longest stay away that
-/// viewers hear of, if they hear any.
+/// Limits of tune-ins: their maximum count, whether they may be cancelled, the price of a probe in worth
+/// (none: no probes), and the longest time after which a blocked viewer is asked to come back (none:
+/// viewers get no such time).
 pub struct Limits {
     pub tune_ins: u16,
     pub call_off: bool,
@@ -89,12 +94,14 @@
     pub come_back: Option<Duration>,
 }
 
-/// What a viewing costs, in parts of its value, that crosses to another zone, or needs a connection to a server anew.
+/// Costs of a viewing as fractions of its value: crossing to another zone, and a new connection to a
+/// server.
 pub struct Prices {
     pub cross: f64,
     pub handshake: f64,
 }
 
+/// A viewing: what it requests, where it is, and its tune-ins so far.
 pub(crate) struct Viewing<Continuation> {
     pub package: usize,
     pub title: TitleId,
@@ -104,78 +111,82 @@
     pub server: Option<ServerId>,
     pub patience_ends_at: Duration,
     pub tune_ins: u16,
-    /// When its last tune-in was made.
+    /// Time of its last tune-in.
     pub sent_at: Duration,
     pub answered: bool,
     pub playing: bool,
     pub rung_changed_at: Duration,
+    /// Servers at which a tune-in of it failed.
     pub failed_servers: Vec<ServerId>,
     /// Servers at which an earlier attempt of it may still run.
     pub may_run_at: Vec<ServerId>,
-    /// The holders drawn for it, and those of them whose probes are out.
+    /// The holders drawn for it, and those of them whose probes are pending.
     pub candidates: Vec<ServerId>,
     pub pending_probes: Vec<ServerId>,
     pub continuation: Option<Continuation>,
 }
 
 impl<Continuation> Viewing<Continuation> {
-    /// Package, rung and top: all that the price of a step goes by.
+    /// Package, rung and top rung: all that the value of the next step depends on.
     pub fn price_class(&self) -> (usize, usize, usize) {
         (self.package, self.rung, self.top_rung)
     }
 
     pub fn new(package: usize, title: TitleId, cells: Cells, rungs: (usize, usize)) -> Self {
-        let (rung, top) = rungs;
-        let (ends, sent, changed, shunned) = (Duration::ZERO, Duration::ZERO, Duration::ZERO, vec![]);
-        let (server, tune_ins, answered, playing, next) = (None, 0, false, false, None);
+        let (rung, top_rung) = rungs;
+        let (patience_ends_at, sent_at, rung_changed_at, failed_servers) =
+            (Duration::ZERO, Duration::ZERO, Duration::ZERO, vec![]);
+        let (server, tune_ins, answered, playing, continuation) = (None, 0, false, false, None);
         Viewing {
             package,
             title,
             cells,
-            top_rung: top,
+            top_rung,
             rung,
             server,
-            patience_ends_at: ends,
+            patience_ends_at,
             tune_ins,
-            sent_at: sent,
+            sent_at,
             answered,
             playing,
-            rung_changed_at: changed,
-            failed_servers: shunned,
+            rung_changed_at,
+            failed_servers,
             may_run_at: vec![],
             candidates: vec![],
             pending_probes: vec![],
-            continuation: next,
+            continuation,
         }
     }
 }
 
-/// A link (tier 0) or an uplink (1): what was heard of its fullness, and the part that is ours.
+/// A link (tier 0) or an uplink (tier 1): its capacity, the reports of its utilization, and our own
+/// demand.
 pub(crate) struct Link {
     pub capacity_kb: f64,
     pub tier: usize,
-    /// Our viewings there.
+    /// Number of our viewings there.
     pub viewing_count: usize,
+    /// Time and utilization of the last reports.
     pub reports: VecDeque<(Duration, f64)>,
-    /// When, what we asked of it, and how far our rungs were meant to have grown it in all.
+    /// Time, our demand in kB, and the product of all changes of it that our rung changes intended.
     pub demand_history: VecDeque<(Duration, f64, f64)>,
 }
 
 impl Link {
-    pub fn new(kb: f64, tier: usize) -> Self {
-        let trail = VecDeque::from([(Duration::ZERO, 0.0, 1.0)]);
+    pub fn new(capacity_kb: f64, tier: usize) -> Self {
+        let demand_history = VecDeque::from([(Duration::ZERO, 0.0, 1.0)]);
         Link {
-            capacity_kb: kb.max(1.0),
+            capacity_kb: capacity_kb.max(1.0),
             tier,
             viewing_count: 0,
             reports: VecDeque::new(),
-            demand_history: trail,
+            demand_history,
         }
     }
 
-    pub fn add_report(&mut self, at: Duration, full: f64) {
-        if full.is_finite() && full >= 0.0 {
-            push_sample(&mut self.reports, MAX_SAMPLES, (at, full));
+    pub fn add_report(&mut self, at: Duration, utilization: f64) {
+        if utilization.is_finite() && utilization >= 0.0 {
+            push_sample(&mut self.reports, MAX_SAMPLES, (at, utilization));
         }
     }
 
@@ -188,43 +199,44 @@
     }
 }
 
-/// What all links are looked at with: the time, how often notes come, our viewings' number over time, and by
-/// tier the last news of any link and what is usual.
+/// Inputs that the estimates of all links share: the time, the report interval, the number of our
+/// viewings over time, and by tier the last reports of any link and the usual utilization.
 pub(crate) struct EstimateContext {
     pub now: Duration,
     pub report_interval: Duration,
     pub viewing_counts: VecDeque<(Duration, f64)>,
     pub recent_reports: [VecDeque<(Duration, f64)>; 2],
     pub prior_utilization: [f64; 2],
-    /// Our viewings at a link or uplink on average.
+    /// Mean number of our viewings at a link or uplink.
     pub mean_viewing_counts: [f64; 2],
     pub manager_count: f64,
 }
 
 impl EstimateContext {
-    pub fn new(report_interval: Duration, siblings: f64) -> Self {
-        let (now, crowd, news, usual) = (Duration::ZERO, VecDeque::new(), Default::default(), [0.0; 2]);
+    pub fn new(report_interval: Duration, manager_count: f64) -> Self {
+        let (now, viewing_counts, recent_reports, prior_utilization) =
+            (Duration::ZERO, VecDeque::new(), Default::default(), [0.0; 2]);
         EstimateContext {
             now,
             report_interval,
-            viewing_counts: crowd,
-            recent_reports: news,
-            prior_utilization: usual,
+            viewing_counts,
+            recent_reports,
+            prior_utilization,
             mean_viewing_counts: [0.0; 2],
-            manager_count: siblings,
+            manager_count,
         }
     }
 
-    /// News of a link, kept with it and among the last of any.
-    pub fn record_report(&mut self, link: &mut Link, at: Duration, full: f64) {
-        link.add_report(at, full);
-        if full.is_finite() && full >= 0.0 {
-            push_sample(&mut self.recent_reports[link.tier], 4 * MAX_SAMPLES, (at, full));
+    /// Adds a report to a link and to the recent reports of its tier.
+    pub fn record_report(&mut self, link: &mut Link, at: Duration, utilization: f64) {
+        link.add_report(at, utilization);
+        if utilization.is_finite() && utilization >= 0.0 {
+            push_sample(&mut self.recent_reports[link.tier], 4 * MAX_SAMPLES, (at, utilization));
         }
     }
 }
 
-/// One interval's reading of a server.
+/// The measurements of one control interval at a server.
 #[derive(Clone, Copy)]
 pub(crate) struct Reading {
     pub delivered_share: f64,
@@ -232,7 +244,7 @@
     pub alarmed: bool,
 }
 
-/// The design's limit on one server's set-ups, with its scoreboard.
+/// Token bucket that limits the set-ups at one server, with the scoreboard that adjusts its rate.
 pub(crate) struct TokenBucket {
     pub rate: f64,
     pub tokens: f64,
@@ -241,15 +253,16 @@
     pub up_score: i32,
     pub down_score: i32,
     pub last_step_up: Option<bool>,
+    /// Successive calm intervals of full delivery.
     pub full_interval_count: usize,
 }
 
 impl TokenBucket {
-    pub fn new(rate: f64, at: Duration) -> Self {
+    pub fn new(rate: f64, refilled_at: Duration) -> Self {
         TokenBucket {
             rate,
             tokens: 0.0,
-            refilled_at: at,
+            refilled_at,
             alarmed: true,
             up_score: 0,
             down_score: 0,
@@ -259,7 +272,7 @@
     }
 }
 
-/// The design's detector and controller of one server.
+/// Early-warning detector and controller of one server, after the NEWS paper.
 #[derive(Default)]
 pub(crate) struct EarlyWarning {
     pub readings: VecDeque<Reading>,
@@ -269,15 +282,16 @@
     pub lowest_share: Option<f64>,
 }
 
-/// When tune-ins and viewings at a server ended well or badly, and whether it was lost since it last played.
+/// Times and success of the last tune-ins and viewings at a server, and whether its connection was lost
+/// since a viewing last played.
 #[derive(Default)]
 pub(crate) struct ServerHealth {
     pub outcomes: VecDeque<(Duration, bool)>,
     pub connection_lost: bool,
 }
 
-/// How many tune-ins beyond each viewing's first are allowed in a span, and when viewings were taken and
-/// further tune-ins made.
+/// The retry budget: how many tune-ins beyond each viewing's first are allowed in a sliding window, with
+/// the times of new viewings and of retries.
 pub struct RetryBudget {
     pub(crate) window: Duration,
     pub(crate) free_retries: f64,
@@ -287,40 +301,41 @@
 }
 
 impl RetryBudget {
-    pub fn new(span: Duration, free: f64, share: f64) -> Self {
+    pub fn new(window: Duration, free_retries: f64, retry_share: f64) -> Self {
         RetryBudget {
-            window: span,
-            free_retries: free,
-            retry_share: share,
+            window,
+            free_retries,
+            retry_share,
             viewing_times: VecDeque::new(),
             retry_times: VecDeque::new(),
         }
     }
 }
 
+/// State of a server that is or was in the server list.
 pub(crate) struct Server {
     pub list_entry: ServerEntry,
     pub link: Link,
     pub early_warning: EarlyWarning,
     pub health: ServerHealth,
-    /// Its last start, as far as any line of the list told of one.
+    /// Its last start, as far as an entry of the list reported one.
     pub started_at: Option<Duration>,
     pub cold_until: Duration,
-    /// When our last set-ups went there, as many as `SlowStart` allows in its span.
+    /// Times of our last set-ups there, as many as `SlowStart` allows in its span.
     pub set_up_times: VecDeque<Duration>,
-    /// When it was last told of as short.
+    /// When it last reported a share below full delivery, unless it reported full delivery since.
     pub short_reported_at: Option<Duration>,
-    /// Intervals since the list told that it is gone.
+    /// Control intervals since the list marked it as gone.
     pub gone_interval_count: u32,
 }
 
 impl Server {
     pub fn new(list_entry: ServerEntry, link: Link, cold_until: Duration) -> Self {
-        let (warning, health) = (EarlyWarning::default(), ServerHealth::default());
+        let (early_warning, health) = (EarlyWarning::default(), ServerHealth::default());
         Server {
             list_entry,
             link,
-            early_warning: warning,
+            early_warning,
             health,
             started_at: list_entry.started_at,
             cold_until,
@@ -331,14 +346,15 @@
     }
 }
 
-/// By kind, how many set-ups we may send to a server that has just started in which span, none where chance keeps all
-/// managers' to their pace, and that pace a second; and how long it counts as cold.
+/// Limits for servers that have just started, by kind: the number of our set-ups per span (0 where
+/// random choice alone keeps all managers to the rate), the span, and the rate of all managers per
+/// second. Also how long a server counts as cold.
 pub struct SlowStart {
     pub(crate) allowances: Vec<(usize, Duration, f64)>,
     pub(crate) cold_for: Duration,
 }
 
-/// What a viewing asks in its rack: now, at its floor, and which of the rack's stands and slots are its.
+/// A viewing's demand in its rack: now and at its floor rung, with its server's slot and its own.
 #[derive(Clone, Copy)]
 pub(crate) struct ViewingDemand {
     pub viewing_id: ViewingId,
@@ -349,7 +365,7 @@
     pub viewing_slot: usize,
 }
 
-/// A step up to a rung: its value a kB, its kB, and the viewing whose it is.
+/// A step up to a rung: its value per kB, its kB, and the viewing.
 #[derive(Clone, Copy)]
 pub(crate) struct RungStep {
     pub value_per_kb: f64,
@@ -360,54 +376,57 @@
     pub viewing_slot: usize,
 }
 
-/// A rack's servers, and our viewings there. What all of them could rise by is kept in the order of its worth, so that
-/// nothing is sorted while rungs are reckoned.
+/// A rack's servers and our viewings there. All possible steps up are kept in the order of their value
+/// per kB, so that planning rungs needs no sort.
 #[derive(Clone, Default)]
 pub(crate) struct Rack {
     pub servers: BTreeSet<ServerId>,
-    /// By the viewings' ids.
+    /// Sorted by viewing id.
     pub demands: Vec<ViewingDemand>,
-    /// The dearest first, equals by viewing and rung.
+    /// Highest value per kB first; equal ones by viewing and rung.
     pub steps: Vec<RungStep>,
-    /// Servers that have viewings of ours, each at its place while it has; and slots given back.
+    /// The servers that have viewings of ours. Each keeps its slot while it has any.
     pub server_slots: Vec<Option<ServerId>>,
+    /// Viewing slots that were given back.
     free_viewing_slots: Vec<usize>,
     slots: usize,
 }
 
 impl Rack {
     fn compare_steps(step: &RungStep) -> impl Fn(&RungStep) -> std::cmp::Ordering {
-        let RungStep { value_per_kb: dear, viewing_id, rung, .. } = *step;
+        let RungStep { value_per_kb, viewing_id, rung, .. } = *step;
         move |other| {
-            dear.total_cmp(&other.value_per_kb)
+            value_per_kb
+                .total_cmp(&other.value_per_kb)
                 .then(other.viewing_id.cmp(&viewing_id))
                 .then(other.rung.cmp(&rung))
         }
     }
 
-    /// Slots that are or were in use.
+    /// Number of viewing slots that are or were in use.
     pub fn viewing_slot_count(&self) -> usize {
         self.slots
     }
 
-    fn stand(&mut self, server: ServerId) -> usize {
-        let at = |wanted: Option<ServerId>| self.server_slots.iter().position(|id| *id == wanted);
-        let at = at(Some(server)).or(at(None)).unwrap_or(self.server_slots.len());
-        if at == self.server_slots.len() {
+    /// The slot of a server; takes a free one if it has none.
+    fn server_slot_of(&mut self, server: ServerId) -> usize {
+        let slot = |wanted: Option<ServerId>| self.server_slots.iter().position(|id| *id == wanted);
+        let slot = slot(Some(server)).or(slot(None)).unwrap_or(self.server_slots.len());
+        if slot == self.server_slots.len() {
             self.server_slots.push(None);
         }
-        self.server_slots[at] = Some(server);
-        at
+        self.server_slots[slot] = Some(server);
+        slot
     }
 
-    /// `steps`: worth a kB and kB of each rung above the floor.
+    /// Adds a viewing at index `at`. `steps`: value per kB and kB of each rung above the floor.
     fn add(
         &mut self, at: usize, viewing_id: ViewingId, server: ServerId, floor: (usize, f64), kb: f64,
         steps: &[(f64, f64)],
     ) {
-        let stand = self.stand(server);
-        let slot = self.free_viewing_slots.pop().unwrap_or(self.slots);
-        self.slots = self.slots.max(slot + 1);
+        let server_slot = self.server_slot_of(server);
+        let viewing_slot = self.free_viewing_slots.pop().unwrap_or(self.slots);
+        self.slots = self.slots.max(viewing_slot + 1);
         self.demands.insert(
             at,
             ViewingDemand {
@@ -415,40 +434,40 @@
                 kb,
                 floor_rung: floor.0,
                 floor_kb: floor.1,
-                server_slot: stand,
-                viewing_slot: slot,
+                server_slot,
+                viewing_slot,
             },
         );
-        for (i, (dear, kb)) in steps.iter().enumerate() {
+        for (i, (value_per_kb, kb)) in steps.iter().enumerate() {
             let step = RungStep {
-                value_per_kb: *dear,
+                value_per_kb: *value_per_kb,
                 kb: *kb,
                 viewing_id,
                 rung: floor.0 + i + 1,
-                server_slot: stand,
-                viewing_slot: slot,
+                server_slot,
+                viewing_slot,
             };
             let (Ok(at) | Err(at)) = self.steps.binary_search_by(Rack::compare_steps(&step));
             self.steps.insert(at, step);
         }
     }
 
+    /// Removes a viewing and its steps.
     fn remove(&mut self, viewing_id: ViewingId, steps: &[(f64, f64)]) {
         let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |ask| ask.viewing_id) else { return };
-        let ViewingDemand { floor_rung: floor, server_slot: stand, viewing_slot: slot, .. } =
-            self.demands.remove(at);
-        self.free_viewing_slots.push(slot);
-        if self.demands.iter().all(|ask| ask.server_slot != stand) {
-            self.server_slots[stand] = None;
+        let ViewingDemand { floor_rung: floor, server_slot, viewing_slot, .. } = self.demands.remove(at);
+        self.free_viewing_slots.push(viewing_slot);
+        if self.demands.iter().all(|ask| ask.server_slot != server_slot) {
+            self.server_slots[server_slot] = None;
         }
-        for (i, (dear, kb)) in steps.iter().enumerate() {
+        for (i, (value_per_kb, kb)) in steps.iter().enumerate() {
             let step = RungStep {
-                value_per_kb: *dear,
+                value_per_kb: *value_per_kb,
                 kb: *kb,
                 viewing_id,
                 rung: floor + i + 1,
-                server_slot: stand,
-                viewing_slot: slot,
+                server_slot,
+                viewing_slot,
             };
             if let Ok(at) = self.steps.binary_search_by(Rack::compare_steps(&step)) {
                 self.steps.remove(at);
@@ -457,7 +476,7 @@
     }
 }
 
-/// A session manager; what it does is in `policy`.
+/// A session manager. Its behaviour is in `policy`.
 pub struct Manager {
     pub(crate) start_time: Duration,
     pub(crate) rng: Pcg32,
@@ -471,23 +490,25 @@
     pub(crate) retry_budget: Option<RetryBudget>,
     pub(crate) packages: Vec<Package>,
     pub(crate) replan_count: u32,
-    /// When holders were sought.
+    /// Times of the last placements.
     pub(crate) placement_times: VecDeque<Duration>,
     pub(crate) viewings: BTreeMap<ViewingId, Viewing<Continuation>>,
-    /// What our viewings ask in kB, by the server that they are at and by their ids; those that wait for probes.
+    /// Demand of our viewings in kB, by server and sorted by viewing id.
     pub(crate) demand_by_server: BTreeMap<ServerId, Vec<(ViewingId, f64)>>,
+    /// Viewings that wait for probes.
     pub(crate) awaiting_probes: BTreeSet<ViewingId>,
-    /// Our viewings that are at a server, by package and title.
+    /// Number of our viewings that are at a server, by package and title.
     pub(crate) placed_by_title: BTreeMap<(usize, TitleId), usize>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// By rack its servers, and what our viewings there ask.
+    /// The racks, each with its servers and the demand of our viewings there.
     pub(crate) racks: Vec<Rack>,
-    /// Servers by cell, and how many the list doesn't tell to be gone.
+    /// Servers by cell.
     pub(crate) servers_by_cell: Vec<Vec<ServerId>>,
+    /// Number of servers that are not marked as gone in the list.
     pub(crate) live_server_count: usize,
-    /// By zone the tune-ins that came to nothing since one played there, and where.
+    /// By zone, time and server of the tune-ins that got no answer since a viewing last played there.
     pub(crate) zone_failures: BTreeMap<ZoneId, VecDeque<(Duration, ServerId)>>,
-    /// How many of our viewings are of a package at a rung with a top.
+    /// Number of our viewings by package, rung and top rung.
     pub(crate) class_counts: BTreeMap<(usize, usize, usize), usize>,
     pub(crate) uplinks: Vec<Link>,
     pub(crate) context: EstimateContext,
@@ -496,20 +517,20 @@
 
 impl Manager {
     pub fn new(
-        (seed, siblings, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
+        (seed, manager_count, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
         slow_start: SlowStart, limits: Limits, retry_budget: Option<RetryBudget>, packages: Vec<Package>,
     ) -> Self {
-        let (now, siblings) = (Duration::ZERO, f64::from(siblings.max(1)));
+        let (now, manager_count) = (Duration::ZERO, f64::from(manager_count.max(1)));
         let uplinks: Vec<_> = (0..network.racks.max(1)).map(|_| Link::new(network.uplink_kb, 1)).collect();
         let racks = vec![Rack::default(); uplinks.len()];
-        let (looks, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
-        let places = vec![vec![]; network.places.max(1) as usize];
-        let (started, chance, view) =
-            (now, Pcg32(seed), EstimateContext::new(network.report_interval(), siblings));
+        let (replan_count, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
+        let servers_by_cell = vec![vec![]; network.places.max(1) as usize];
+        let (start_time, rng, context) =
+            (now, Pcg32(seed), EstimateContext::new(network.report_interval(), manager_count));
         Manager {
-            start_time: started,
-            rng: chance,
-            manager_count: siblings,
+            start_time,
+            rng,
+            manager_count,
             zone,
             prices,
             ladder,
@@ -518,7 +539,7 @@
             limits,
             retry_budget,
             packages,
-            replan_count: looks,
+            replan_count,
             placement_times: VecDeque::new(),
             viewings,
             demand_by_server: BTreeMap::new(),
@@ -526,103 +547,109 @@
             placed_by_title: BTreeMap::new(),
             servers,
             racks,
-            servers_by_cell: places,
+            servers_by_cell,
             live_server_count: 0,
             zone_failures: BTreeMap::new(),
             class_counts: BTreeMap::new(),
             uplinks,
-            context: view,
+            context,
             visited: Cell::new(0),
         }
     }
 
     /// The servers of the cells that hold a title.
     pub(crate) fn holders(&self, cells: Cells) -> impl Iterator<Item = ServerId> + use<'_> {
-        let places = self.servers_by_cell.len();
-        let cell = move |i| (cells.first as usize + i) % places;
-        (0..places.min(cells.spread as usize))
-            .flat_map(move |i| self.servers_by_cell[cell(i)].iter().copied())
+        let cell_count = self.servers_by_cell.len();
+        let cell_index = move |i| (cells.first as usize + i) % cell_count;
+        (0..cell_count.min(cells.spread as usize))
+            .flat_map(move |i| self.servers_by_cell[cell_index(i)].iter().copied())
     }
 
-    /// The rack of a server that was listed.
+    /// The rack of a server, if it is known.
     fn rack_of_server(&self, server: ServerId) -> Option<usize> {
         Some(self.network.rack_of_cell(self.servers.get(&server)?.list_entry.cell))
     }
 
-    /// Worth a kB and kB of each step above a viewing's floor.
-    fn rung_steps(&self, v: &Viewing<Continuation>) -> Vec<(f64, f64)> {
-        let floor = self.packages[v.package].floor;
-        let step = |rung| self.rung_difference(v.package, rung, rung + 1);
-        (floor..v.top_rung).map(step).map(|(kb, value)| (value / kb, kb)).collect()
+    /// Value per kB and kB of each step above a viewing's floor.
+    fn rung_steps(&self, viewing: &Viewing<Continuation>) -> Vec<(f64, f64)> {
+        let floor = self.packages[viewing.package].floor;
+        let step = |rung| self.rung_difference(viewing.package, rung, rung + 1);
+        (floor..viewing.top_rung).map(step).map(|(kb, value)| (value / kb, kb)).collect()
     }
 
-    /// Books what a viewing asks at the server that it is at, and in its rack; nothing any more where `there` is false.
-    fn update_demand(&mut self, viewing_id: ViewingId, there: bool) {
-        let Some((server, v)) = self.viewings.get(&viewing_id).and_then(|v| Some((v.server?, v))) else {
+    /// Updates a viewing's demand at its server and in its rack; removes it if `is_present` is false.
+    fn update_demand(&mut self, viewing_id: ViewingId, is_present: bool) {
+        let Some((server, viewing)) =
+            self.viewings.get(&viewing_id).and_then(|viewing| Some((viewing.server?, viewing)))
+        else {
             return;
         };
-        let (kb, floor) = (self.rung_kb(v, v.rung), self.packages[v.package].floor);
-        let asks = self.demand_by_server.entry(server).or_default();
-        match (asks.binary_search_by_key(&viewing_id, |ask| ask.0), there) {
-            (Ok(i), true) => asks[i].1 = kb,
-            (Err(i), true) => asks.insert(i, (viewing_id, kb)),
-            (Ok(i), false) => drop(asks.remove(i)),
+        let (kb, floor) = (self.rung_kb(viewing, viewing.rung), self.packages[viewing.package].floor);
+        let demands = self.demand_by_server.entry(server).or_default();
+        match (demands.binary_search_by_key(&viewing_id, |demand| demand.0), is_present) {
+            (Ok(i), true) => demands[i].1 = kb,
+            (Err(i), true) => demands.insert(i, (viewing_id, kb)),
+            (Ok(i), false) => drop(demands.remove(i)),
             (Err(_), false) => {}
         }
-        if asks.is_empty() {
+        if demands.is_empty() {
             self.demand_by_server.remove(&server);
         }
         let Some(rack) = self.rack_of_server(server) else { return };
-        match (self.racks[rack].demands.binary_search_by_key(&viewing_id, |ask| ask.viewing_id), there) {
+        match (
+            self.racks[rack].demands.binary_search_by_key(&viewing_id, |demand| demand.viewing_id),
+            is_present,
+        ) {
             (Ok(i), true) => self.racks[rack].demands[i].kb = kb,
             (Err(i), true) => {
-                let (steps, floor) = (self.rung_steps(v), (floor, self.rung_kb(v, floor)));
+                let (steps, floor) = (self.rung_steps(viewing), (floor, self.rung_kb(viewing, floor)));
                 self.racks[rack].add(i, viewing_id, server, floor, kb, &steps);
             }
             (Ok(_), false) => {
-                let steps = self.rung_steps(v);
+                let steps = self.rung_steps(viewing);
                 self.racks[rack].remove(viewing_id, &steps);
             }
             (Err(_), false) => {}
         }
     }
 
-    /// Puts a viewing to a server, or takes it off the one that it is at.
+    /// Assigns a viewing to a server, or removes it from its present one.
     pub(crate) fn assign_server(&mut self, viewing_id: ViewingId, server: Option<ServerId>) {
         self.update_demand(viewing_id, false);
         if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
-            let (was, about) = (viewing.server.is_some(), (viewing.package, viewing.title));
+            let (was_placed, title_key) = (viewing.server.is_some(), (viewing.package, viewing.title));
             viewing.server = server;
-            let held = self.placed_by_title.entry(about).or_default();
-            *held = *held + usize::from(server.is_some()) - usize::from(was);
-            if *held == 0 {
-                self.placed_by_title.remove(&about);
+            let placed_count = self.placed_by_title.entry(title_key).or_default();
+            *placed_count = *placed_count + usize::from(server.is_some()) - usize::from(was_placed);
+            if *placed_count == 0 {
+                self.placed_by_title.remove(&title_key);
             }
         }
         self.update_demand(viewing_id, true);
     }
 
-    /// Counts a viewing among those of its package, rung and top, or (by -1) no more.
-    pub(crate) fn adjust_class_count(&mut self, of: (usize, usize, usize), by: isize) {
-        let n = self.class_counts.entry(of).or_default();
-        *n = n.saturating_add_signed(by);
-        if *n == 0 {
-            self.class_counts.remove(&of);
+    /// Changes by `change` the number of viewings of a package, rung and top rung.
+    pub(crate) fn adjust_class_count(&mut self, class: (usize, usize, usize), change: isize) {
+        let count = self.class_counts.entry(class).or_default();
+        *count = count.saturating_add_signed(change);
+        if *count == 0 {
+            self.class_counts.remove(&class);
         }
     }
 
-    /// Puts a viewing to a rung.
+    /// Sets the rung of a viewing and updates its demand.
     pub(crate) fn assign_rung(&mut self, viewing_id: ViewingId, rung: usize) {
         if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
-            let was = viewing.price_class();
+            let old_class = viewing.price_class();
             viewing.rung = rung;
-            let is = viewing.price_class();
-            self.adjust_class_count(was, -1);
-            self.adjust_class_count(is, 1);
+            let new_class = viewing.price_class();
+            self.adjust_class_count(old_class, -1);
+            self.adjust_class_count(new_class, 1);
         }
         self.update_demand(viewing_id, true);
     }
 
+    /// Removes a viewing with its demand.
     pub(crate) fn remove_viewing(&mut self, viewing_id: ViewingId) {
         self.assign_server(viewing_id, None);
         self.awaiting_probes.remove(&viewing_id);
@@ -631,35 +658,40 @@
         }
     }
 
-    /// Takes a server that has nothing of ours out of all that is held.
+    /// Removes a server that has no viewings of ours.
     pub(crate) fn remove_server(&mut self, server: ServerId) {
         let rack = self.rack_of_server(server);
-        let Some(s) = self.servers.remove(&server) else { return };
-        let place = s.list_entry.cell as usize % self.servers_by_cell.len();
-        self.servers_by_cell[place].retain(|id| *id != server);
+        let Some(entry) = self.servers.remove(&server) else { return };
+        let cell = entry.list_entry.cell as usize % self.servers_by_cell.len();
+        self.servers_by_cell[cell].retain(|id| *id != server);
         if let Some(rack) = rack {
             self.racks[rack].servers.remove(&server);
         }
     }
 
-    /// Holds a server as the list has it, in its cell, and in its rack with all that is there.
+    /// Stores a server's list entry and moves it, with the demand there, to the entry's cell and rack.
     pub(crate) fn update_listing(&mut self, list_entry: ServerEntry) {
-        let (was, server) = (self.rack_of_server(list_entry.server), list_entry.server);
-        let place = |cell: u32| cell as usize % self.servers_by_cell.len();
-        let (from, to) =
-            (self.servers.get(&server).map(|s| place(s.list_entry.cell)), place(list_entry.cell));
-        if from != Some(to) || !self.servers_by_cell[to].contains(&server) {
-            from.into_iter().for_each(|from| self.servers_by_cell[from].retain(|id| *id != server));
-            self.servers_by_cell[to].push(server);
+        let (old_rack, server) = (self.rack_of_server(list_entry.server), list_entry.server);
+        let cell_index = |cell: u32| cell as usize % self.servers_by_cell.len();
+        let (old_cell, new_cell) = (
+            self.servers.get(&server).map(|entry| cell_index(entry.list_entry.cell)),
+            cell_index(list_entry.cell),
+        );
+        if old_cell != Some(new_cell) || !self.servers_by_cell[new_cell].contains(&server) {
+            old_cell
+                .into_iter()
+                .for_each(|old_cell| self.servers_by_cell[old_cell].retain(|id| *id != server));
+            self.servers_by_cell[new_cell].push(server);
         }
-        self.servers.entry(server).and_modify(|s| s.list_entry = list_entry);
-        if was.is_some_and(|rack| {
-            self.rack_of_server(server) == was && self.racks[rack].servers.contains(&server)
+        self.servers.entry(server).and_modify(|entry| entry.list_entry = list_entry);
+        if old_rack.is_some_and(|rack| {
+            self.rack_of_server(server) == old_rack && self.racks[rack].servers.contains(&server)
         }) {
             return;
         }
-        let ids: Vec<_> = self.demand_by_server.get(&server).into_iter().flatten().map(|ask| ask.0).collect();
-        if let Some(rack) = was {
+        let ids: Vec<_> =
+            self.demand_by_server.get(&server).into_iter().flatten().map(|demand| demand.0).collect();
+        if let Some(rack) = old_rack {
             self.racks[rack].servers.remove(&server);
             for viewing_id in &ids {
                 let steps = self.rung_steps(&self.viewings[viewing_id]);
@@ -672,7 +704,7 @@
         ids.into_iter().for_each(|viewing_id| self.update_demand(viewing_id, true));
     }
 
-    /// Our viewings at a server, by their ids.
+    /// Our viewings at a server, sorted by viewing id.
     pub(crate) fn viewings_at(&self, server: ServerId) -> impl Iterator<Item = &Viewing<Continuation>> {
         self.demand_by_server
             .get(&server)
@@ -681,7 +713,7 @@
             .map(|(viewing_id, _)| &self.viewings[viewing_id])
     }
 
-    /// The servers of a rack that we have viewings at.
+    /// The servers of a rack that have viewings of ours.
     pub(crate) fn servers_in_use(&self, rack: usize) -> impl Iterator<Item = &ServerId> {
         self.racks[rack]
             .servers
@@ -689,62 +721,69 @@
             .filter(|server| self.demand_by_server.get(server).is_some_and(|asks| !asks.is_empty()))
     }
 
+    /// The kB per second of a viewing at a rung.
     pub(crate) fn rung_kb(&self, viewing: &Viewing<Continuation>, rung: usize) -> f64 {
         self.ladder.rates[rung] * self.packages[viewing.package].scale
     }
 
-    /// kB and value between two rungs of a viewing of a package.
+    /// Differences in kB and in value between two rungs of a package.
     pub(crate) fn rung_difference(&self, package: usize, from: usize, to: usize) -> (f64, f64) {
-        let p = &self.packages[package];
+        let package_settings = &self.packages[package];
         let (kb, worth) = self.ladder.rung_difference(from, to);
-        ((kb * p.scale).max(1e-6), worth * p.value)
+        ((kb * package_settings.scale).max(1e-6), worth * package_settings.value)
     }
 
-    /// Everything that is held by server, viewing or tune-in.
+    /// Number of entries held by server, viewing or tune-in; shows whether memory stays bounded.
     pub fn entry_count(&self) -> usize {
-        let rack =
+        let rack_entry_count =
             |r: &Rack| r.servers.len() + r.server_slots.len() + r.slots + r.demands.len() + r.steps.len();
-        let racks = self.racks.iter().map(rack).sum::<usize>();
-        let places = self.servers_by_cell.iter().map(Vec::len).sum::<usize>();
-        let retry_budget =
+        let rack_entries = self.racks.iter().map(rack_entry_count).sum::<usize>();
+        let cell_entries = self.servers_by_cell.iter().map(Vec::len).sum::<usize>();
+        let retry_entries =
             self.retry_budget.iter().map(|r| r.viewing_times.len() + r.retry_times.len()).sum::<usize>();
-        self.servers.len() + self.demand_by_server.len() + racks + places + retry_budget + self.viewings.len()
+        self.servers.len()
+            + self.demand_by_server.len()
+            + rack_entries
+            + cell_entries
+            + retry_entries
+            + self.viewings.len()
     }
 
-    /// What is held of a server: what is asked of its link and its rack's uplink over what they give, our viewings there,
-    /// and how many of the last tune-ins and viewings there ended badly.
+    /// Our estimate of a server: the utilization of its link and of its rack's uplink, the number of our
+    /// viewings there, and how many of the last tune-ins and viewings there failed.
     pub fn server_estimate(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
-        let s = self.servers.get(&server)?;
-        let uplink = &self.uplinks[self.network.rack_of_cell(s.list_entry.cell)];
-        let bad = s.health.outcomes.iter().filter(|tried| !tried.1).count();
+        let entry = self.servers.get(&server)?;
+        let uplink = &self.uplinks[self.network.rack_of_cell(entry.list_entry.cell)];
+        let failure_count = entry.health.outcomes.iter().filter(|outcome| !outcome.1).count();
         Some((
-            [s.link.utilization(&self.context), uplink.utilization(&self.context)],
+            [entry.link.utilization(&self.context), uplink.utilization(&self.context)],
             self.viewings_at(server).count(),
-            bad,
+            failure_count,
         ))
     }
 
-    /// Entries that decisions have gone through so far.
+    /// Number of entries that decisions have visited so far.
     pub fn visited_entries(&self) -> usize {
         self.visited.get()
     }
 
+    /// Counts entries that a decision visits.
     pub(crate) fn add_visited(&self, entries: usize) {
         self.visited.set(self.visited.get().wrapping_add(entries));
     }
 
-    /// Marks what we ask of a server's link and its rack's uplink: added up anew each time in the order of ids, so
-    /// that no sum drifts.
+    /// Records our demand on a server's link and its rack's uplink. The sums are computed anew each time
+    /// in the order of ids, so that they accumulate no rounding error.
     pub(crate) fn record_demand(&mut self, server: ServerId) {
         let Some(rack) = self.rack_of_server(server) else { return };
-        let there = self.demand_by_server.get(&server).map(Vec::as_slice).unwrap_or_default();
-        let (held, kb) = (there.len(), there.iter().map(|ask| ask.1).sum());
-        let kb_up = self.racks[rack].demands.iter().map(|ask| ask.kb).sum();
-        self.add_visited(held + self.racks[rack].demands.len());
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.link.viewing_count = held;
-            s.link.record_demand(self.context.now, kb, 1.0);
+        let demands = self.demand_by_server.get(&server).map(Vec::as_slice).unwrap_or_default();
+        let (viewing_count, link_kb) = (demands.len(), demands.iter().map(|demand| demand.1).sum());
+        let uplink_kb = self.racks[rack].demands.iter().map(|demand| demand.kb).sum();
+        self.add_visited(viewing_count + self.racks[rack].demands.len());
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.link.viewing_count = viewing_count;
+            entry.link.record_demand(self.context.now, link_kb, 1.0);
         }
-        self.uplinks[rack].record_demand(self.context.now, kb_up, 1.0);
+        self.uplinks[rack].record_demand(self.context.now, uplink_kb, 1.0);
     }
 }
