--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision module: id types, the actions it may take, the inputs it gets.
-//! Times are spans since the start of the clock that the caller keeps.
+//! Interface of the decision module: id types, the actions that it may take, and its inputs. Times are
+//! spans since the start of the caller's clock.
 
 use std::time::Duration;
 
@@ -24,60 +24,63 @@
 pub enum TuneInOutcome {
     /// It played to its end.
     Completed,
-    /// The server turned it away unseen: its link or its places are full, or it drains.
+    /// The server refused it without processing it: its link is full, it has no free place, or it
+    /// drains.
     Refused,
-    /// No connection came about, so it never ran.
+    /// No connection was established, so it never ran.
     Unreachable,
     /// It was not sent at all.
     NotSent,
     /// The server answered with an error; it may have run.
     Failed,
-    /// No answer in time; it may have run.
+    /// No answer before the timeout; it may have run.
     TimedOut,
     /// The connection broke; it may have run.
     ConnectionBroken,
-    /// Called off or moved by us, or the viewer left; it may have run.
+    /// Cancelled or moved by this manager, or the viewer left; it may have run.
     Cancelled,
 }
 
 impl TuneInOutcome {
+    /// Whether the server certainly did not process it.
     pub fn never_ran(self) -> bool {
         matches!(self, TuneInOutcome::Refused | TuneInOutcome::Unreachable | TuneInOutcome::NotSent)
     }
 
-    /// Whether it may go on running at its server until the release of it is processed there.
+    /// Whether it may keep running at its server until the server processes its release.
     pub fn may_still_run(self) -> bool {
         matches!(self, TuneInOutcome::TimedOut | TuneInOutcome::ConnectionBroken)
     }
 }
 
-/// News of a server, heard on one of its viewings.
+/// An update about a server that arrives with one of its viewings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerUpdate {
-    /// The share of their rates that viewings there got a while ago.
+    /// The share of their rates that the viewings there received, measured a while ago.
     Share(f64),
     /// The rung in force.
     Rung(usize),
-    /// What is asked of the server's link over what it gives.
+    /// Utilization of the server's link: demand over capacity.
     Link(f64),
-    /// What is asked of its rack's uplink over what that gives.
+    /// Utilization of its rack's uplink.
     Uplink(f64),
 }
 
-/// A server's load report, as far as it came.
+/// A server's load report: the utilization of its link and uplink, where reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     pub link: Option<f64>,
     pub uplink: Option<f64>,
 }
 
-/// The cells that hold a title: so many in a row from the first.
+/// The cells that hold a title: `spread` successive ones starting with `first`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cells {
     pub first: u32,
     pub spread: u32,
 }
 
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     Ready,
@@ -85,12 +88,12 @@
     Gone,
 }
 
-/// One line of the list of servers.
+/// One entry of the server list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
     pub server: ServerId,
     pub state: ServerState,
-    /// When it last started; none: long ago.
+    /// Time of its last start; none if that was long ago.
     pub started_at: Option<Duration>,
     pub weight: f64,
     pub zone: ZoneId,
@@ -98,48 +101,54 @@
     pub cell: u32,
 }
 
-/// How much of the list an update carries.
+/// Which part of the list an update carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     Changes,
     Full,
-    /// The whole list as last held before a restart; it may be stale.
+    /// The whole list as last known before a restart; it may be stale.
     Restored,
 }
 
-/// Why a viewing is blocked or aborted. Nothing goes by it: it lets counts tell afterwards what happened.
+/// Why a viewing is blocked or aborted. No decision depends on it; it is for counters and logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// Its package is none of ours.
+    /// The package is not in the settings.
     UnknownPackage,
     /// All seats of its package and title are taken.
     SeatsTaken,
     /// The viewer's patience is over.
     PatienceOver,
-    /// All tune-ins that it may have were made, or the ration leaves no further one.
+    /// It has made all the tune-ins that it may make.
     TuneInsUsedUp,
+    /// The retry budget allows no further tune-in.
     RetryBudgetExhausted,
     /// No holder of the title is ready.
     NoReadyHolder,
-    /// Holders that have just started take nothing yet, or none has tokens.
+    /// Its holders have just started and take no set-up yet.
     HoldersCold,
+    /// Token buckets limit the set-ups at its holders.
     RateLimited,
-    /// Paid, and an earlier tune-in may have run.
+    /// It is paid, and an earlier tune-in may have run.
     MayHaveRun,
-    /// Earlier attempts of it may still run at all holders that are ready.
+    /// Earlier tune-ins of it may still run at all ready holders.
     MayStillRun,
 }
 
-/// What the module may do. Each call takes effect at the time of the input being handled.
+/// What the module may do. Each call takes effect at the time of the present input.
 pub trait Actions {
-    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration);
-    /// Final answer: the viewing is turned down; the viewer may come back after the span given.
-    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, reason: RefusalReason);
-    /// Final answer: the viewing failed, nothing is promised about what ran.
+    /// Sends a tune-in to a server; it ends as timed out after `timeout`.
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, timeout: Duration);
+    /// Final answer: the viewing is refused. The viewer may come back after the given span.
+    fn block(&mut self, viewing_id: ViewingId, come_back_after: Option<Duration>, reason: RefusalReason);
+    /// Final answer: the viewing failed; it may or may not have run.
     fn abort(&mut self, viewing_id: ViewingId, reason: RefusalReason);
+    /// Cancels a tune-in; `tune_in` counts from 0.
     fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16);
+    /// Sets the rung at which a viewing is played.
     fn set_rung(&mut self, viewing_id: ViewingId, rung: usize);
-    /// Asks a server for its load; `on_probe_result` tells what came of it.
+    /// Requests a server's load. `on_probe_result` receives the answer.
     fn probe(&mut self, server: ServerId);
+    /// Calls `on_timer` with the token after a span.
     fn set_timer(&mut self, after: Duration, token: u64);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! ivyward: admission and quality control for media sessions. The decisions are in `policy`,
-//! what they are called with and what they may do is in `interface`.
+//! ivyward: admission control, placement and quality control for media sessions. `policy` makes the
+//! decisions, `state` holds the state, `interface` defines inputs and actions.
 
 pub mod interface;
 pub mod policy;
--- a/src/state.rs
+++ b/src/state.rs
@@ -275,10 +275,14 @@
 /// Early-warning detector and controller of one server, after the NEWS paper.
 #[derive(Default)]
 pub(crate) struct EarlyWarning {
+    /// The measurements of the last control intervals.
     pub readings: VecDeque<Reading>,
+    /// Present from an alarm until delivery is full again.
     pub bucket: Option<TokenBucket>,
+    /// Requests for titles of this server in the present interval, and set-ups sent to it.
     pub request_count: f64,
     pub admitted_count: f64,
+    /// Lowest share reported in the present interval.
     pub lowest_share: Option<f64>,
 }
 
@@ -389,7 +393,7 @@
     pub server_slots: Vec<Option<ServerId>>,
     /// Viewing slots that were given back.
     free_viewing_slots: Vec<usize>,
-    slots: usize,
+    viewing_slot_count: usize,
 }
 
 impl Rack {
@@ -405,7 +409,7 @@
 
     /// Number of viewing slots that are or were in use.
     pub fn viewing_slot_count(&self) -> usize {
-        self.slots
+        self.viewing_slot_count
     }
 
     /// The slot of a server; takes a free one if it has none.
@@ -425,8 +429,8 @@
         steps: &[(f64, f64)],
     ) {
         let server_slot = self.server_slot_of(server);
-        let viewing_slot = self.free_viewing_slots.pop().unwrap_or(self.slots);
-        self.slots = self.slots.max(viewing_slot + 1);
+        let viewing_slot = self.free_viewing_slots.pop().unwrap_or(self.viewing_slot_count);
+        self.viewing_slot_count = self.viewing_slot_count.max(viewing_slot + 1);
         self.demands.insert(
             at,
             ViewingDemand {
@@ -454,10 +458,12 @@
 
     /// Removes a viewing and its steps.
     fn remove(&mut self, viewing_id: ViewingId, steps: &[(f64, f64)]) {
-        let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |ask| ask.viewing_id) else { return };
-        let ViewingDemand { floor_rung: floor, server_slot, viewing_slot, .. } = self.demands.remove(at);
+        let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |demand| demand.viewing_id) else {
+            return;
+        };
+        let ViewingDemand { floor_rung, server_slot, viewing_slot, .. } = self.demands.remove(at);
         self.free_viewing_slots.push(viewing_slot);
-        if self.demands.iter().all(|ask| ask.server_slot != server_slot) {
+        if self.demands.iter().all(|demand| demand.server_slot != server_slot) {
             self.server_slots[server_slot] = None;
         }
         for (i, (value_per_kb, kb)) in steps.iter().enumerate() {
@@ -465,7 +471,7 @@
                 value_per_kb: *value_per_kb,
                 kb: *kb,
                 viewing_id,
-                rung: floor + i + 1,
+                rung: floor_rung + i + 1,
                 server_slot,
                 viewing_slot,
             };
@@ -718,7 +724,7 @@
         self.racks[rack]
             .servers
             .iter()
-            .filter(|server| self.demand_by_server.get(server).is_some_and(|asks| !asks.is_empty()))
+            .filter(|server| self.demand_by_server.get(server).is_some_and(|demands| !demands.is_empty()))
     }
 
     /// The kB per second of a viewing at a rung.
@@ -735,8 +741,9 @@
 
     /// Number of entries held by server, viewing or tune-in; shows whether memory stays bounded.
     pub fn entry_count(&self) -> usize {
-        let rack_entry_count =
-            |r: &Rack| r.servers.len() + r.server_slots.len() + r.slots + r.demands.len() + r.steps.len();
+        let rack_entry_count = |r: &Rack| {
+            r.servers.len() + r.server_slots.len() + r.viewing_slot_count + r.demands.len() + r.steps.len()
+        };
         let rack_entries = self.racks.iter().map(rack_entry_count).sum::<usize>();
         let cell_entries = self.servers_by_cell.iter().map(Vec::len).sum::<usize>();
         let retry_entries =
