--- a/src/state.rs
+++ b/src/state.rs
@@ -458,9 +458,7 @@
 
     /// Removes a viewing and its steps.
     fn remove(&mut self, viewing_id: ViewingId, steps: &[(f64, f64)]) {
-        let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |demand| demand.viewing_id) else {
-            return;
-        };
+        let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |d| d.viewing_id) else { return };
         let ViewingDemand { floor_rung, server_slot, viewing_slot, .. } = self.demands.remove(at);
         self.free_viewing_slots.push(viewing_slot);
         if self.demands.iter().all(|demand| demand.server_slot != server_slot) {
