--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process, and the calls that each event record becomes.
+//! The decision instances of this process, and the call that each event record stands for.
 
 use crate::frame::{self, Frame, Record, Reply};
 use ivyward::interface::*;
@@ -8,55 +8,68 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-const LISTS: usize = 16;
-const ROW: usize = 23;
+/// Number of server lists that the host can store.
+const LIST_COUNT: usize = 16;
+/// Size of a server list entry.
+const ENTRY_BYTES: usize = 23;
 
+/// A decision instance, and the meaning of the values in its load reports.
 struct Instance {
     manager: Manager,
-    report: Vec<options::Gauge>,
+    report_gauges: Vec<options::Gauge>,
 }
 
+/// All instances by id, and the server lists by number.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: [Vec<ServerEntry>; LISTS],
+    lists: [Vec<ServerEntry>; LIST_COUNT],
 }
 
-/// The actions of one instance, written into the reply.
-struct Hand<'a> {
-    who: u32,
+/// Writes the actions of one instance into the reply.
+struct InstanceActions<'a> {
+    instance_id: u32,
     reply: &'a mut Reply,
 }
 
-fn micros(span: Duration) -> [u8; 4] {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
+/// Microseconds as the protocol's 32-bit field; a longer span becomes the largest value.
+fn micros_bytes(duration: Duration) -> [u8; 4] {
+    u32::try_from(duration.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-impl Actions for Hand<'_> {
-    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, limit: Duration) {
-        self.reply.push(self.who, 1, &[&viewing_id.0.to_le_bytes(), &micros(limit), &server.0]);
+impl Actions for InstanceActions<'_> {
+    fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, timeout: Duration) {
+        self.reply.push_action(
+            self.instance_id,
+            1,
+            &[&viewing_id.0.to_le_bytes(), &micros_bytes(timeout), &server.0],
+        );
     }
-    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, _: RefusalReason) {
-        self.reply.push(self.who, 2, &[&viewing_id.0.to_le_bytes(), &micros(come_back.unwrap_or_default())]);
+    fn block(&mut self, viewing_id: ViewingId, come_back_after: Option<Duration>, _: RefusalReason) {
+        self.reply.push_action(
+            self.instance_id,
+            2,
+            &[&viewing_id.0.to_le_bytes(), &micros_bytes(come_back_after.unwrap_or_default())],
+        );
     }
     fn abort(&mut self, viewing_id: ViewingId, _: RefusalReason) {
-        self.reply.push(self.who, 3, &[&viewing_id.0.to_le_bytes()]);
+        self.reply.push_action(self.instance_id, 3, &[&viewing_id.0.to_le_bytes()]);
     }
     fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16) {
-        self.reply.push(self.who, 4, &[&viewing_id.0.to_le_bytes(), &tune_in.to_le_bytes()]);
+        self.reply.push_action(self.instance_id, 4, &[&viewing_id.0.to_le_bytes(), &tune_in.to_le_bytes()]);
     }
     fn set_rung(&mut self, viewing_id: ViewingId, rung: usize) {
-        self.reply.push(self.who, 13, &[&viewing_id.0.to_le_bytes(), &[rung as u8]]);
+        self.reply.push_action(self.instance_id, 13, &[&viewing_id.0.to_le_bytes(), &[rung as u8]]);
     }
     fn probe(&mut self, server: ServerId) {
-        self.reply.push(self.who, 6, &[&server.0]);
+        self.reply.push_action(self.instance_id, 6, &[&server.0]);
     }
     fn set_timer(&mut self, after: Duration, token: u64) {
-        self.reply.push(self.who, 5, &[&micros(after), &token.to_le_bytes()]);
+        self.reply.push_action(self.instance_id, 5, &[&micros_bytes(after), &token.to_le_bytes()]);
     }
 }
 
-fn outcome(code: u16) -> Result<TuneInOutcome, String> {
+fn parse_outcome(code: u16) -> Result<TuneInOutcome, String> {
     Ok(match code {
         0 => TuneInOutcome::Completed,
         1 => TuneInOutcome::Cancelled,
@@ -70,13 +83,14 @@
     })
 }
 
-fn load(record: &Record, at: usize, report: &[options::Gauge]) -> Result<LoadReport, String> {
+/// Reads a load report: a count, then the values in the order of the instance's report gauges.
+fn parse_load(record: &Record, at: usize, report_gauges: &[options::Gauge]) -> Result<LoadReport, String> {
     let mut load = LoadReport::default();
-    let values = usize::from(record.u8(at, "gauge")?);
-    if values > 4 {
-        return Err(format!("gauge: {values} values at byte {at}"));
+    let value_count = usize::from(record.u8(at, "gauge")?);
+    if value_count > 4 {
+        return Err(format!("gauge: {value_count} values at byte {at}, expected at most 4"));
     }
-    for (i, gauge) in report.iter().enumerate().take(values) {
+    for (i, gauge) in report_gauges.iter().enumerate().take(value_count) {
         let value = Some(record.f32(at + 1 + 4 * i, "gauge")?);
         match gauge {
             options::Gauge::Link => load.link = value,
@@ -87,11 +101,11 @@
     Ok(load)
 }
 
-fn listed(row: &[u8]) -> Result<ServerEntry, String> {
-    let [zone, state, kind] = frame::bytes(row, 12, "zone")?;
-    let started_at = u64::from_le_bytes(frame::bytes(row, 4, "born-us")?);
+fn parse_list_entry(entry: &[u8]) -> Result<ServerEntry, String> {
+    let [zone, state, kind] = frame::read_bytes(entry, 12, "zone")?;
+    let started_at = u64::from_le_bytes(frame::read_bytes(entry, 4, "born-us")?);
     Ok(ServerEntry {
-        server: ServerId(frame::bytes(row, 15, "server")?),
+        server: ServerId(frame::read_bytes(entry, 15, "server")?),
         state: match state {
             0 => ServerState::Gone,
             1 => ServerState::Ready,
@@ -99,31 +113,36 @@
             other => return Err(format!("lifecycle: unknown code {other}")),
         },
         started_at: (started_at > 0).then(|| Duration::from_micros(started_at)),
-        weight: f64::from(f32::from_le_bytes(frame::bytes(row, 0, "rating")?)),
+        weight: f64::from(f32::from_le_bytes(frame::read_bytes(entry, 0, "rating")?)),
         zone: ZoneId(zone),
         kind: KindId(usize::from(kind)),
-        cell: u32::from(u16::from_le_bytes(frame::bytes(row, 21, "place")?)),
+        cell: u32::from(u16::from_le_bytes(frame::read_bytes(entry, 21, "place")?)),
     })
 }
 
 impl Host {
-    pub fn answer(&mut self, frame: &Frame) -> Result<Vec<u8>, String> {
+    /// Handles the events of a frame in their order and returns the reply frame. A panic of an instance
+    /// becomes an action with its message.
+    pub fn handle_frame(&mut self, frame: &Frame) -> Result<Vec<u8>, String> {
         let mut reply = Reply::default();
-        let mut who = None;
+        let mut instance_id = None;
         for record in frame.records() {
             match record.u16(0, "code")? {
-                8 => who = Some(record.u32(2, "who")?),
-                13 => self.list(&record)?,
+                8 => instance_id = Some(record.u32(2, "who")?),
+                13 => self.store_list(&record)?,
                 code => {
-                    let who = who.ok_or_else(|| format!("code {code}: no instance named before it"))?;
-                    let event = AssertUnwindSafe(|| self.event(who, code, &record, frame.clock, &mut reply));
+                    let instance_id = instance_id
+                        .ok_or_else(|| format!("code {code}: no record names an instance before it"))?;
+                    let event = AssertUnwindSafe(|| {
+                        self.handle_event(instance_id, code, &record, frame.clock, &mut reply)
+                    });
                     let caught = catch_unwind(event);
                     match caught {
                         Ok(done) => done?,
                         Err(panic) => {
                             let text = panic.downcast_ref::<String>().map(String::as_str);
                             let text = text.or(panic.downcast_ref::<&str>().copied());
-                            reply.push_text(who, 10, text.unwrap_or("panic"));
+                            reply.push_text(instance_id, 10, text.unwrap_or("panic"));
                         }
                     }
                 }
@@ -132,66 +151,75 @@
         Ok(reply.finish(frame.batch))
     }
 
-    fn list(&mut self, record: &Record) -> Result<(), String> {
+    /// Stores a server list under its number, for later events.
+    fn store_list(&mut self, record: &Record) -> Result<(), String> {
         let number = record.u32(2, "ref")? as usize;
-        let rows = record.tail(6, ROW, "rows-in")?;
+        let entries = record.tail_bytes(6, ENTRY_BYTES, "rows-in")?;
         let list = self.lists.get_mut(number).ok_or_else(|| format!("ref: no list {number}"))?;
-        *list = rows.chunks_exact(ROW).map(listed).collect::<Result<_, _>>()?;
+        *list = entries.chunks_exact(ENTRY_BYTES).map(parse_list_entry).collect::<Result<_, _>>()?;
         Ok(())
     }
 
-    fn event(
-        &mut self, who: u32, code: u16, r: &Record, now: Duration, reply: &mut Reply,
+    /// Makes the call of one event record.
+    fn handle_event(
+        &mut self, instance_id: u32, code: u16, record: &Record, now: Duration, reply: &mut Reply,
     ) -> Result<(), String> {
-        let act = &mut Hand { who, reply };
+        let actions = &mut InstanceActions { instance_id, reply };
         if code == 3 {
-            let seed = r.u64(2, "prng")?;
-            let all = options::read(r.tail(10, 1, "options")?)?;
-            let (mut manager, report) = (options::manager(seed, &all)?, options::report_gauges(&all));
-            manager.start(act, now);
-            self.instances.insert(who, Instance { manager, report });
+            let seed = record.u64(2, "prng")?;
+            let all_options = options::read(record.tail_bytes(10, 1, "options")?)?;
+            let (mut manager, report_gauges) =
+                (options::manager(seed, &all_options)?, options::report_gauges(&all_options));
+            manager.start(actions, now);
+            self.instances.insert(instance_id, Instance { manager, report_gauges });
             return Ok(());
         }
         if code == 9 {
-            self.instances.remove(&who);
+            self.instances.remove(&instance_id);
             return Ok(());
         }
-        let named = format!("who: no instance {who}");
-        let Instance { manager, report } = self.instances.get_mut(&who).ok_or(named)?;
-        let viewing_id = |field| r.u32(2, field).map(ViewingId);
-        let span = |at, field| r.u64(at, field).map(Duration::from_micros);
-        let count = |at, field| r.f32(at, field).map(|x| x as u32);
+        let unknown_instance = format!("who: unknown instance {instance_id}");
+        let Instance { manager, report_gauges } =
+            self.instances.get_mut(&instance_id).ok_or(unknown_instance)?;
+        let viewing_id = |field| record.u32(2, field).map(ViewingId);
+        let duration = |at, field| record.u64(at, field).map(Duration::from_micros);
+        let count = |at, field| record.f32(at, field).map(|value| value as u32);
         match code {
             1 => manager.restore_viewing(
                 now,
                 viewing_id("req")?,
-                ServerId(r.server(17, "server")?),
-                PackageId(usize::from(r.u8(16, "type")?)),
-                TitleId(r.u64(48, "title")?),
-                // The caller tells no rung: the lowest is taken.
+                ServerId(record.server(17, "server")?),
+                PackageId(usize::from(record.u8(16, "type")?)),
+                TitleId(record.u64(48, "title")?),
+                // The caller doesn't send a rung, so the viewing gets its lowest one.
                 (0, count(44, "ceiling-rung")? as usize),
             ),
             2 => {
-                let load = load(r, 14, report)?;
-                let answered = r.u16(8, "reason")? == 0;
-                manager.on_probe_result(act, now, ServerId(r.server(2, "server")?), answered.then_some(load));
+                let load = parse_load(record, 14, report_gauges)?;
+                let answered = record.u16(8, "reason")? == 0;
+                manager.on_probe_result(
+                    actions,
+                    now,
+                    ServerId(record.server(2, "server")?),
+                    answered.then_some(load),
+                );
             }
             4 => {
-                r.tail(6, 1, "payload")?;
+                record.tail_bytes(6, 1, "payload")?;
             }
             5 => manager.on_request(
-                act,
+                actions,
                 now,
                 viewing_id("req")?,
-                PackageId(usize::from(r.u8(6, "type")?)),
-                TitleId(r.u64(17, "title")?),
+                PackageId(usize::from(record.u8(6, "type")?)),
+                TitleId(record.u64(17, "title")?),
                 Cells { first: count(37, "from-cell")?, spread: count(41, "spread")? },
                 count(45, "ceiling-rung")? as usize,
-                span(25, "client-deadline-us")?,
+                duration(25, "client-deadline-us")?,
             ),
             6 => {
-                let number = r.u32(11, "ref")? as usize;
-                let scope = match r.u8(2, "kind")? {
+                let number = record.u32(11, "ref")? as usize;
+                let scope = match record.u8(2, "kind")? {
                     0 => ListScope::Changes,
                     1 => ListScope::Full,
                     2 => ListScope::Restored,
@@ -202,28 +230,33 @@
                 manager.on_server_list(now, list, scope);
             }
             7 => manager.on_tune_in_ended(
-                act,
+                actions,
                 now,
                 viewing_id("req")?,
-                r.u16(6, "n")?,
-                ServerId(r.server(8, "server")?),
-                outcome(r.u16(14, "reason")?)?,
-                r.u8(20, "terminal")? != 0,
-                load(r, 21, report)?,
+                record.u16(6, "n")?,
+                ServerId(record.server(8, "server")?),
+                parse_outcome(record.u16(14, "reason")?)?,
+                record.u8(20, "terminal")? != 0,
+                parse_load(record, 21, report_gauges)?,
             ),
-            10 => manager.on_viewer_left(act, viewing_id("req")?),
-            11 => manager.on_playing(now, viewing_id("req")?, ServerId(r.server(6, "server")?)),
-            12 => manager.on_timer(act, now, r.u64(2, "cookie")?),
+            10 => manager.on_viewer_left(actions, viewing_id("req")?),
+            11 => manager.on_playing(now, viewing_id("req")?, ServerId(record.server(6, "server")?)),
+            12 => manager.on_timer(actions, now, record.u64(2, "cookie")?),
             14 => {
-                let x = r.f32(15, "x")?;
-                let news = match r.u8(14, "what")? {
-                    1 => ServerUpdate::Share(x),
-                    2 => ServerUpdate::Rung(x as usize),
-                    3 => ServerUpdate::Link(x),
-                    4 => ServerUpdate::Uplink(x),
+                let value = record.f32(15, "x")?;
+                let news = match record.u8(14, "what")? {
+                    1 => ServerUpdate::Share(value),
+                    2 => ServerUpdate::Rung(value as usize),
+                    3 => ServerUpdate::Link(value),
+                    4 => ServerUpdate::Uplink(value),
                     _ => return Ok(()),
                 };
-                manager.on_server_update(now, viewing_id("req")?, ServerId(r.server(8, "server")?), news);
+                manager.on_server_update(
+                    now,
+                    viewing_id("req")?,
+                    ServerId(record.server(8, "server")?),
+                    news,
+                );
             }
             other => return Err(format!("code: unknown event {other}")),
         }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts decision instances: event frames on standard input, one reply frame each on standard output.
+//! Hosts decision instances. Reads frames of events from standard input and writes one reply frame for
+//! each to standard output.
 
 mod frame;
 mod host;
@@ -6,9 +7,10 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// Larger frames than this are taken for a broken stream.
-const LARGEST_FRAME: usize = 1 << 30;
+/// A larger frame length means that the stream is corrupt.
+const MAX_FRAME_BYTES: usize = 1 << 30;
 
+/// Handles frames until the input ends; the error names the field that is wrong.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut host = host::Host::default();
     let mut bytes = Vec::new();
@@ -17,21 +19,22 @@
         match input.read(&mut length[..1]) {
             Ok(0) => return Ok(()),
             Ok(_) => {}
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-            Err(e) => return Err(format!("input: {e}")),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+            Err(error) => return Err(format!("input: {error}")),
         }
-        input.read_exact(&mut length[1..]).map_err(|e| format!("frame length: {e}"))?;
+        input.read_exact(&mut length[1..]).map_err(|error| format!("frame length: {error}"))?;
         let size = u32::from_le_bytes(length) as usize;
-        if !(frame::HEADER..=LARGEST_FRAME).contains(&size) {
-            return Err(format!("frame length: {size} at byte 0"));
+        if !(frame::HEADER_BYTES..=MAX_FRAME_BYTES).contains(&size) {
+            return Err(format!("frame length: {size} bytes are outside the allowed range"));
         }
         bytes.clear();
-        let read = input.take(size as u64 - 4).read_to_end(&mut bytes).map_err(|e| format!("frame: {e}"))?;
+        let read =
+            input.take(size as u64 - 4).read_to_end(&mut bytes).map_err(|error| format!("frame: {error}"))?;
         if read + 4 < size {
-            return Err(format!("frame length: {size} announced, {} came", read + 4));
+            return Err(format!("frame length: {size} bytes announced, {} received", read + 4));
         }
-        let reply = host.answer(&frame::Frame::parse(&bytes)?)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("output: {e}"))?;
+        let reply = host.handle_frame(&frame::Frame::parse(&bytes)?)?;
+        output.write_all(&reply).and_then(|()| output.flush()).map_err(|error| format!("output: {error}"))?;
     }
 }
 
@@ -41,8 +44,8 @@
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     match serve(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(line) => {
-            eprintln!("ivyward-wirehost: {line}");
+        Err(error) => {
+            eprintln!("ivyward-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/tests.rs
+++ b/crates/wirehost/src/tests.rs
@@ -1,4 +1,4 @@
-//! Frames in, replies out: round trips and malformed input.
+//! Tests of the frame protocol: round trips and malformed input.
 
 use std::io::Cursor;
 
@@ -15,9 +15,9 @@
   "rung-worth": [0.24, 0.52, 0.77, 1.0], "seen-after-us": 900000, "shelves": 2, "switch-s": 0.6,
   "told-every-us": 3750000, "weight-kb": 4246.0}}"#;
 
-/// An event record: its code, then fields at their offsets.
+/// An event record: its code, then the fields at their offsets.
 fn event(code: u16, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut record = vec![0; crate::frame::EVENT];
+    let mut record = vec![0; crate::frame::EVENT_BYTES];
     record[..2].copy_from_slice(&code.to_le_bytes());
     for (at, bytes) in fields {
         record[*at..*at + bytes.len()].copy_from_slice(bytes);
@@ -26,7 +26,7 @@
 }
 
 fn frame(clock: u64, batch: u32, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
-    let size = crate::frame::HEADER + records.concat().len() + tail.len();
+    let size = crate::frame::HEADER_BYTES + records.concat().len() + tail.len();
     let header =
         [&(size as u32).to_le_bytes()[..], &clock.to_le_bytes(), &(records.len() as u32).to_le_bytes()];
     [header.concat(), batch.to_le_bytes().to_vec(), records.concat(), tail.to_vec()].concat()
@@ -36,7 +36,7 @@
     [(start as u32).to_le_bytes(), (length as u32).to_le_bytes()].concat()
 }
 
-/// One row of a list: a server, its state and cell.
+/// A server list entry: a server, its state and cell.
 fn row(server: u8, state: u8, cell: u16) -> Vec<u8> {
     let mut row = 1.5f32.to_le_bytes().to_vec();
     row.extend([0; 8]);
@@ -45,26 +45,27 @@
     row
 }
 
-fn named(who: u32) -> Vec<u8> {
-    event(8, &[(2, &who.to_le_bytes())])
+fn named(instance_id: u32) -> Vec<u8> {
+    event(8, &[(2, &instance_id.to_le_bytes())])
 }
 
 fn attach(options: usize) -> Vec<u8> {
     event(3, &[(2, &7u64.to_le_bytes()), (10, &span(0, options))])
 }
 
-fn catalog(number: u32, start: usize, rows: usize) -> Vec<u8> {
-    event(13, &[(2, &number.to_le_bytes()), (6, &span(start, rows))])
+fn catalog(number: u32, start: usize, entry_count: usize) -> Vec<u8> {
+    event(13, &[(2, &number.to_le_bytes()), (6, &span(start, entry_count))])
 }
 
 fn discovery(kind: u8, number: u32) -> Vec<u8> {
     event(6, &[(2, &[kind]), (11, &number.to_le_bytes())])
 }
 
-fn accept(req: u32, patience: u64) -> Vec<u8> {
-    let (cells, top) = (3f32.to_le_bytes(), 3f32.to_le_bytes());
-    let at = [(2, &req.to_le_bytes()[..]), (25, &patience.to_le_bytes()), (41, &cells), (45, &top)];
-    event(5, &at)
+fn accept(viewing_id: u32, patience: u64) -> Vec<u8> {
+    let (spread, top_rung) = (3f32.to_le_bytes(), 3f32.to_le_bytes());
+    let fields =
+        [(2, &viewing_id.to_le_bytes()[..]), (25, &patience.to_le_bytes()), (41, &spread), (45, &top_rung)];
+    event(5, &fields)
 }
 
 fn serve(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
@@ -72,21 +73,25 @@
     (crate::serve(&mut Cursor::new(input), &mut output), output)
 }
 
-/// The actions of each reply, as code and bytes after it.
+/// The actions of each reply: code and the bytes after it.
 fn replies(mut output: &[u8]) -> Vec<Vec<(u16, Vec<u8>)>> {
-    let word = |bytes: &[u8], at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
+    let u32_at = |bytes: &[u8], at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
     let mut replies = vec![];
     while !output.is_empty() {
-        let (reply, rest) = output.split_at(word(output, 0));
-        let records = reply[12..].chunks_exact(16).take(word(reply, 4));
-        replies.push(records.map(|r| (u16::from_le_bytes([r[0], r[1]]), r[2..].to_vec())).collect());
+        let (reply, rest) = output.split_at(u32_at(output, 0));
+        let action_records = reply[12..].chunks_exact(16).take(u32_at(reply, 4));
+        replies.push(
+            action_records
+                .map(|record| (u16::from_le_bytes([record[0], record[1]]), record[2..].to_vec()))
+                .collect(),
+        );
         output = rest;
     }
     replies
 }
 
 fn sent_to(actions: &[(u16, Vec<u8>)]) -> Vec<u8> {
-    actions.iter().filter(|a| a.0 == 1).map(|a| a.1[8]).collect()
+    actions.iter().filter(|action| action.0 == 1).map(|action| action.1[8]).collect()
 }
 
 #[test]
@@ -97,36 +102,37 @@
 }
 
 #[test]
-fn lists_and_instances_go_by_the_order_of_events() {
+fn lists_and_instances_follow_the_order_of_events() {
     let options = OPTIONS.len();
-    let rows = [row(1, 1, 0), row(2, 1, 0), row(1, 0, 0)].concat();
-    let tail = [OPTIONS.as_bytes(), &rows].concat();
-    let list = |first: usize, rows: usize| catalog(0, options + 23 * first, rows);
-    let asked = || accept(1, 9_000_000);
-    // Records of one batch after a first list; servers that are sent to in it: none before a list is known, a list's
-    // number used again, a row gone, a call that failed, killed and attached again, two instances that share nothing.
+    let entries = [row(1, 1, 0), row(2, 1, 0), row(1, 0, 0)].concat();
+    let tail = [OPTIONS.as_bytes(), &entries].concat();
+    let list = |first: usize, entries: usize| catalog(0, options + 23 * first, entries);
+    let request = || accept(1, 9_000_000);
+    // Records of one batch after a first list, and the servers that get a tune-in. Cases: no list yet, a
+    // list number used again, a server removed from the list, a discovery that failed, an instance that
+    // is removed and created again, two instances that share no state.
     let cases: [(Vec<Vec<u8>>, &[u8]); 7] = [
-        (vec![attach(options), asked()], &[]),
-        (vec![asked()], &[1]),
-        (vec![list(1, 1), discovery(1, 0), asked()], &[2]),
-        (vec![list(2, 1), discovery(0, 0), asked()], &[]),
-        (vec![discovery(3, 9), asked()], &[1]),
-        (vec![event(9, &[]), attach(options), asked()], &[]),
-        (vec![named(4), attach(options), asked(), named(3), asked()], &[1]),
+        (vec![attach(options), request()], &[]),
+        (vec![request()], &[1]),
+        (vec![list(1, 1), discovery(1, 0), request()], &[2]),
+        (vec![list(2, 1), discovery(0, 0), request()], &[]),
+        (vec![discovery(3, 9), request()], &[1]),
+        (vec![event(9, &[]), attach(options), request()], &[]),
+        (vec![named(4), attach(options), request(), named(3), request()], &[1]),
     ];
     for (i, (records, expected)) in cases.into_iter().enumerate() {
         let first = vec![list(0, 1), named(3), attach(options), discovery(2, 0)];
-        let (done, output) = serve(&frame(5_000_000, 2, &[first, records].concat(), &tail));
-        assert_eq!(done, Ok(()), "case {i}");
+        let (result, output) = serve(&frame(5_000_000, 2, &[first, records].concat(), &tail));
+        assert_eq!(result, Ok(()), "case {i}");
         assert_eq!(sent_to(&replies(&output)[0]), expected, "case {i}");
     }
 }
 
 #[test]
-fn endings_are_told_apart() {
+fn each_completion_code_has_its_follow_up() {
     let tail = [OPTIONS.as_bytes(), &row(1, 1, 0), &row(2, 1, 1)].concat();
-    // Completion code, whether the request has concluded; the code of the action that follows for a free package, and
-    // for one paid at set-up.
+    // Completion code, whether the request has ended; the code of the action that follows for a free
+    // package, and for one paid at set-up.
     let (sent, failed) = (Some(1), Some(3));
     let cases = [
         (0, 1, [None, None]),
@@ -138,29 +144,31 @@
         (1, 0, [sent, failed]),
         (9, 1, [None, None]),
     ];
-    let cases =
-        cases.iter().flat_map(|(code, done, by)| [(*code, *done, 0, by[0]), (*code, *done, 1, by[1])]);
+    let cases = cases.iter().flat_map(|(code, concluded, follow_ups)| {
+        [(*code, *concluded, 0, follow_ups[0]), (*code, *concluded, 1, follow_ups[1])]
+    });
     for (code, concluded, package, follows) in cases {
-        let mut asked = accept(1, 9_000_000);
-        asked[6] = package;
-        let setup = [catalog(0, OPTIONS.len(), 2), named(3), attach(OPTIONS.len()), discovery(2, 0), asked];
-        let first = frame(5_000_000, 1, &setup, &tail);
+        let mut request = accept(1, 9_000_000);
+        request[6] = package;
+        let set_up =
+            [catalog(0, OPTIONS.len(), 2), named(3), attach(OPTIONS.len()), discovery(2, 0), request];
+        let first = frame(5_000_000, 1, &set_up, &tail);
         let server = sent_to(&replies(&serve(&first).1)[0])[0];
         let address = [server, server, server, server, 0x93, 0x1f];
         let fields = [(2, &1u32.to_le_bytes()[..]), (8, &address), (14, &[code, 0]), (20, &[concluded])];
         let second = frame(5_200_000, 2, &[named(3), event(7, &fields)], &[]);
-        let (done, output) = serve(&[first, second].concat());
-        assert_eq!(done, Ok(()));
+        let (result, output) = serve(&[first, second].concat());
+        assert_eq!(result, Ok(()));
         assert_eq!(replies(&output)[1].last().map(|a| a.0), follows, "code {code}, package {package}");
     }
 }
 
 #[test]
-fn malformed_input_ends_with_a_line_that_names_it() {
+fn malformed_input_gives_an_error_that_names_the_field() {
     let options = OPTIONS.len();
     let good = frame(1, 1, &[named(3), attach(options)], OPTIONS.as_bytes());
-    let broken = |from: &str, to: &str| {
-        let text = OPTIONS.replace(from, to);
+    let broken = |old: &str, new: &str| {
+        let text = OPTIONS.replace(old, new);
         frame(1, 1, &[named(3), attach(text.len())], text.as_bytes())
     };
     let cases = [
@@ -182,10 +190,10 @@
         (broken("rates-kb", "other"), "rates-kb"),
         (broken("cold-us", "other"), "cold-us"),
     ];
-    for (input, names) in cases {
-        let (done, _) = serve(&input);
-        let line = done.expect_err(names);
-        assert!(line.contains(names) && !line.contains('\n'), "{line} lacks {names}");
+    for (input, expected_name) in cases {
+        let (result, _) = serve(&input);
+        let error = result.expect_err(expected_name);
+        assert!(error.contains(expected_name) && !error.contains('\n'), "{error} lacks {expected_name}");
     }
     assert_eq!(serve(&good).0, Ok(()));
 }
