--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -244,7 +244,7 @@
             12 => manager.on_timer(actions, now, record.u64(2, "cookie")?),
             14 => {
                 let value = record.f32(15, "x")?;
-                let news = match record.u8(14, "what")? {
+                let update = match record.u8(14, "what")? {
                     1 => ServerUpdate::Share(value),
                     2 => ServerUpdate::Rung(value as usize),
                     3 => ServerUpdate::Link(value),
@@ -255,7 +255,7 @@
                     now,
                     viewing_id("req")?,
                     ServerId(record.server(8, "server")?),
-                    news,
+                    update,
                 );
             }
             other => return Err(format!("code: unknown event {other}")),
