--- a/src/state.rs
+++ b/src/state.rs
@@ -1,41 +1,44 @@
-//! What a manager holds: settings as they were given, viewings, samples. No decision is made here.
+//! State of a manager: its settings, viewings, servers and samples. Decisions are in `policy`.
 
 use crate::interface::*;
-use crate::policy::{KEPT, Next};
+use crate::policy::{Continuation, MAX_SAMPLES};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A permuted congruential generator.
-pub(crate) struct Pcg(pub u64);
+/// A permuted congruential generator (PCG-XSH-RR) with 32 bits of output.
+pub(crate) struct Pcg32(pub u64);
 
-impl Pcg {
+impl Pcg32 {
+    /// A random integer below `n`.
     pub fn below(&mut self, n: usize) -> usize {
-        let s = self.0;
-        self.0 = s.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let word = ((((s >> 18) ^ s) >> 27) as u32).rotate_right((s >> 59) as u32);
-        ((u64::from(word) * n as u64) >> 32) as usize
+        let state = self.0;
+        self.0 = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        let output = ((((state >> 18) ^ state) >> 27) as u32).rotate_right((state >> 59) as u32);
+        ((u64::from(output) * n as u64) >> 32) as usize
     }
 
-    /// Evenly from 0 up to 1.
-    pub fn part(&mut self) -> f64 {
+    /// A random number, uniform in [0, 1).
+    pub fn uniform(&mut self) -> f64 {
         self.below(1 << 24) as f64 / f64::from(1 << 24)
     }
 
-    pub fn falls(&mut self, part: f64) -> bool {
-        self.part() < part
+    /// True with the given probability.
+    pub fn random_bool(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 }
 
-/// The last few samples of something.
-pub(crate) fn keep<T>(samples: &mut VecDeque<T>, most: usize, sample: T) {
-    if samples.len() >= most {
+/// Appends a sample to a history and drops the oldest if there are `max_count` already.
+pub(crate) fn push_sample<T>(samples: &mut VecDeque<T>, max_count: usize, sample: T) {
+    if samples.len() >= max_count {
         samples.pop_front();
     }
     samples.push_back(sample);
 }
 
-/// The ladder of rates: kB a second and worth of each rung, and the seconds of value that a change costs.
+/// The ladder of rates: kB per second and worth of each rung, and the seconds of value that a switch
+/// costs.
 pub struct Ladder {
     pub rates: Vec<f64>,
     pub worths: Vec<f64>,
@@ -43,45 +46,47 @@
 }
 
 impl Ladder {
-    /// kB and worth between two rungs.
-    pub(crate) fn between(&self, from: usize, to: usize) -> (f64, f64) {
+    /// Differences in kB and in worth between two rungs.
+    pub(crate) fn rung_difference(&self, from: usize, to: usize) -> (f64, f64) {
         (self.rates[to] - self.rates[from], self.worths[to] - self.worths[from])
     }
 }
 
+/// Settings of a package: value, set-up target, scale of its rates, lowest and highest rung.
 pub struct Package {
     pub value: f64,
     pub target: Duration,
-    /// Paid at set-up, so never set up twice.
+    /// Paid at set-up, so it is never set up twice.
     pub paid_once: bool,
     pub scale: f64,
     pub floor: usize,
     pub top: usize,
-    /// Viewings of one title that a manager may hold; 0 for no cap.
+    /// Maximum number of viewings of one title that a manager may hold; 0 for no limit.
     pub seats: usize,
 }
 
-/// Cells and racks, the size of links, and how news of them comes.
+/// Cells and racks, the capacities of links, and the timing of reports on them.
 pub struct Network {
     pub places: u32,
     pub racks: u32,
-    /// All links together at the start.
+    /// Capacity of all servers' links together, at the start.
     pub links_kb: f64,
     pub weight_kb: f64,
     pub uplink_kb: f64,
-    /// None: they come at no interval.
+    /// Zero if reports come at no interval.
     pub configured_report_interval: Duration,
     pub report_delay: Duration,
 }
 
 impl Network {
-    pub(crate) fn rack(&self, cell: u32) -> usize {
+    pub(crate) fn rack_of_cell(&self, cell: u32) -> usize {
         (cell % self.racks.max(1)) as usize
     }
 }
 
-/// What is allowed of tune-ins: how many, the price of a probe in worth if any may be, whether they may be called off, and the longest stay away that
-/// viewers hear of, if they hear any.
+/// Limits of tune-ins: their maximum count, whether they may be cancelled, the price of a probe in worth
+/// (none: no probes), and the longest time after which a blocked viewer is asked to come back (none:
+/// viewers get no such time).
 pub struct Limits {
     pub tune_ins: u16,
     pub call_off: bool,
@@ -89,323 +94,397 @@
     pub come_back: Option<Duration>,
 }
 
-/// What a viewing costs, in parts of its value, that crosses to another zone, or needs a connection to a server anew.
+/// Costs of a viewing as fractions of its value: crossing to another zone, and a new connection to a
+/// server.
 pub struct Prices {
     pub cross: f64,
     pub handshake: f64,
 }
 
-pub(crate) struct Viewing<Next> {
+/// A viewing: what it requests, where it is, and its tune-ins so far.
+pub(crate) struct Viewing<Continuation> {
     pub package: usize,
     pub title: TitleId,
     pub cells: Cells,
-    pub top: usize,
+    pub top_rung: usize,
     pub rung: usize,
     pub server: Option<ServerId>,
-    pub ends: Duration,
+    pub patience_ends_at: Duration,
     pub tune_ins: u16,
-    /// When its last tune-in was made.
-    pub sent: Duration,
+    /// Time of its last tune-in.
+    pub sent_at: Duration,
     pub answered: bool,
     pub playing: bool,
-    pub changed: Duration,
-    pub shunned: Vec<ServerId>,
+    pub rung_changed_at: Duration,
+    /// Servers at which a tune-in of it failed.
+    pub failed_servers: Vec<ServerId>,
     /// Servers at which an earlier attempt of it may still run.
     pub may_run_at: Vec<ServerId>,
-    /// The holders drawn for it, and those of them whose probes are out.
-    pub drawn: Vec<ServerId>,
-    pub probed: Vec<ServerId>,
-    pub next: Option<Next>,
+    /// The holders drawn for it, and those of them whose probes are pending.
+    pub candidates: Vec<ServerId>,
+    pub pending_probes: Vec<ServerId>,
+    pub continuation: Option<Continuation>,
 }
 
-impl<Next> Viewing<Next> {
-    /// Package, rung and top: all that the price of a step goes by.
-    pub fn alike(&self) -> (usize, usize, usize) {
-        (self.package, self.rung, self.top)
+impl<Continuation> Viewing<Continuation> {
+    /// Package, rung and top rung: all that the value of the next step depends on.
+    pub fn price_class(&self) -> (usize, usize, usize) {
+        (self.package, self.rung, self.top_rung)
     }
 
     pub fn new(package: usize, title: TitleId, cells: Cells, rungs: (usize, usize)) -> Self {
-        let (rung, top) = rungs;
-        let (ends, sent, changed, shunned) = (Duration::ZERO, Duration::ZERO, Duration::ZERO, vec![]);
-        let (server, tune_ins, answered, playing, next) = (None, 0, false, false, None);
+        let (rung, top_rung) = rungs;
+        let (patience_ends_at, sent_at, rung_changed_at, failed_servers) =
+            (Duration::ZERO, Duration::ZERO, Duration::ZERO, vec![]);
+        let (server, tune_ins, answered, playing, continuation) = (None, 0, false, false, None);
         Viewing {
             package,
             title,
             cells,
-            top,
+            top_rung,
             rung,
             server,
-            ends,
+            patience_ends_at,
             tune_ins,
-            sent,
+            sent_at,
             answered,
             playing,
-            changed,
-            shunned,
+            rung_changed_at,
+            failed_servers,
             may_run_at: vec![],
-            drawn: vec![],
-            probed: vec![],
-            next,
+            candidates: vec![],
+            pending_probes: vec![],
+            continuation,
         }
     }
 }
 
-/// A link (tier 0) or an uplink (1): what was heard of its fullness, and the part that is ours.
+/// A link (tier 0) or an uplink (tier 1): its capacity, the reports of its utilization, and our own
+/// demand.
 pub(crate) struct Link {
-    pub kb: f64,
+    pub capacity_kb: f64,
     pub tier: usize,
-    /// Our viewings there.
-    pub held: usize,
-    pub heard: VecDeque<(Duration, f64)>,
-    /// When, what we asked of it, and how far our rungs were meant to have grown it in all.
-    pub trail: VecDeque<(Duration, f64, f64)>,
+    /// Number of our viewings there.
+    pub viewing_count: usize,
+    /// Time and utilization of the last reports.
+    pub reports: VecDeque<(Duration, f64)>,
+    /// Time, our demand in kB, and the product of all changes of it that our rung changes intended.
+    pub demand_history: VecDeque<(Duration, f64, f64)>,
 }
 
 impl Link {
-    pub fn new(kb: f64, tier: usize) -> Self {
-        let trail = VecDeque::from([(Duration::ZERO, 0.0, 1.0)]);
-        Link { kb: kb.max(1.0), tier, held: 0, heard: VecDeque::new(), trail }
+    pub fn new(capacity_kb: f64, tier: usize) -> Self {
+        let demand_history = VecDeque::from([(Duration::ZERO, 0.0, 1.0)]);
+        Link {
+            capacity_kb: capacity_kb.max(1.0),
+            tier,
+            viewing_count: 0,
+            reports: VecDeque::new(),
+            demand_history,
+        }
     }
 
-    pub fn hear(&mut self, at: Duration, full: f64) {
-        if full.is_finite() && full >= 0.0 {
-            keep(&mut self.heard, KEPT, (at, full));
+    pub fn add_report(&mut self, at: Duration, utilization: f64) {
+        if utilization.is_finite() && utilization >= 0.0 {
+            push_sample(&mut self.reports, MAX_SAMPLES, (at, utilization));
         }
     }
 
-    pub fn last(&self) -> (Duration, f64, f64) {
-        self.trail.back().copied().unwrap_or((Duration::ZERO, 0.0, 1.0))
+    pub fn last_demand(&self) -> (Duration, f64, f64) {
+        self.demand_history.back().copied().unwrap_or((Duration::ZERO, 0.0, 1.0))
     }
 
-    pub fn own(&self) -> f64 {
-        self.last().1
+    pub fn own_demand(&self) -> f64 {
+        self.last_demand().1
     }
 }
 
-/// What all links are looked at with: the time, how often notes come, our viewings' number over time, and by
-/// tier the last news of any link and what is usual.
-pub(crate) struct View {
+/// Inputs that the estimates of all links share: the time, the report interval, the number of our
+/// viewings over time, and by tier the last reports of any link and the usual utilization.
+pub(crate) struct EstimateContext {
     pub now: Duration,
     pub report_interval: Duration,
-    pub crowd: VecDeque<(Duration, f64)>,
-    pub news: [VecDeque<(Duration, f64)>; 2],
-    pub usual: [f64; 2],
-    /// Our viewings at a link or uplink on average.
-    pub held: [f64; 2],
-    pub siblings: f64,
+    pub viewing_counts: VecDeque<(Duration, f64)>,
+    pub recent_reports: [VecDeque<(Duration, f64)>; 2],
+    pub prior_utilization: [f64; 2],
+    /// Mean number of our viewings at a link or uplink.
+    pub mean_viewing_counts: [f64; 2],
+    pub manager_count: f64,
 }
 
-impl View {
-    pub fn new(report_interval: Duration, siblings: f64) -> Self {
-        let (now, crowd, news, usual) = (Duration::ZERO, VecDeque::new(), Default::default(), [0.0; 2]);
-        View { now, report_interval, crowd, news, usual, held: [0.0; 2], siblings }
+impl EstimateContext {
+    pub fn new(report_interval: Duration, manager_count: f64) -> Self {
+        let (now, viewing_counts, recent_reports, prior_utilization) =
+            (Duration::ZERO, VecDeque::new(), Default::default(), [0.0; 2]);
+        EstimateContext {
+            now,
+            report_interval,
+            viewing_counts,
+            recent_reports,
+            prior_utilization,
+            mean_viewing_counts: [0.0; 2],
+            manager_count,
+        }
     }
 
-    /// News of a link, kept with it and among the last of any.
-    pub fn hear(&mut self, link: &mut Link, at: Duration, full: f64) {
-        link.hear(at, full);
-        if full.is_finite() && full >= 0.0 {
-            keep(&mut self.news[link.tier], 4 * KEPT, (at, full));
+    /// Adds a report to a link and to the recent reports of its tier.
+    pub fn record_report(&mut self, link: &mut Link, at: Duration, utilization: f64) {
+        link.add_report(at, utilization);
+        if utilization.is_finite() && utilization >= 0.0 {
+            push_sample(&mut self.recent_reports[link.tier], 4 * MAX_SAMPLES, (at, utilization));
         }
     }
 }
 
-/// One interval's reading of a server.
+/// The measurements of one control interval at a server.
 #[derive(Clone, Copy)]
 pub(crate) struct Reading {
-    pub share: f64,
-    pub asked: f64,
+    pub delivered_share: f64,
+    pub request_count: f64,
     pub alarmed: bool,
 }
 
-/// The design's limit on one server's set-ups, with its scoreboard.
-pub(crate) struct Bucket {
+/// Token bucket that limits the set-ups at one server, with the scoreboard that adjusts its rate.
+pub(crate) struct TokenBucket {
     pub rate: f64,
     pub tokens: f64,
-    pub at: Duration,
+    pub refilled_at: Duration,
     pub alarmed: bool,
-    pub up: i32,
-    pub down: i32,
-    pub last: Option<bool>,
-    pub full_for: usize,
+    pub up_score: i32,
+    pub down_score: i32,
+    pub last_step_up: Option<bool>,
+    /// Successive calm intervals of full delivery.
+    pub full_interval_count: usize,
 }
 
-impl Bucket {
-    pub fn new(rate: f64, at: Duration) -> Self {
-        Bucket { rate, tokens: 0.0, at, alarmed: true, up: 0, down: 0, last: None, full_for: 0 }
+impl TokenBucket {
+    pub fn new(rate: f64, refilled_at: Duration) -> Self {
+        TokenBucket {
+            rate,
+            tokens: 0.0,
+            refilled_at,
+            alarmed: true,
+            up_score: 0,
+            down_score: 0,
+            last_step_up: None,
+            full_interval_count: 0,
+        }
     }
 }
 
-/// The design's detector and controller of one server.
+/// Early-warning detector and controller of one server, after the NEWS paper.
 #[derive(Default)]
-pub(crate) struct Warning {
+pub(crate) struct EarlyWarning {
+    /// The measurements of the last control intervals.
     pub readings: VecDeque<Reading>,
-    pub bucket: Option<Bucket>,
-    pub asked: f64,
-    pub admitted: f64,
-    pub share: Option<f64>,
+    /// Present from an alarm until delivery is full again.
+    pub bucket: Option<TokenBucket>,
+    /// Requests for titles of this server in the present interval, and set-ups sent to it.
+    pub request_count: f64,
+    pub admitted_count: f64,
+    /// Lowest share reported in the present interval.
+    pub lowest_share: Option<f64>,
 }
 
-/// When tune-ins and viewings at a server ended well or badly, and whether it was lost since it last played.
+/// Times and success of the last tune-ins and viewings at a server, and whether its connection was lost
+/// since a viewing last played.
 #[derive(Default)]
-pub(crate) struct Health {
-    pub tries: VecDeque<(Duration, bool)>,
-    pub lost: bool,
+pub(crate) struct ServerHealth {
+    pub outcomes: VecDeque<(Duration, bool)>,
+    pub connection_lost: bool,
 }
 
-/// How many tune-ins beyond each viewing's first are allowed in a span, and when viewings were taken and
-/// further tune-ins made.
+/// The retry budget: how many tune-ins beyond each viewing's first are allowed in a sliding window, with
+/// the times of new viewings and of retries.
 pub struct RetryBudget {
-    pub(crate) span: Duration,
-    pub(crate) free: f64,
-    pub(crate) share: f64,
-    pub(crate) taken: VecDeque<Duration>,
-    pub(crate) further: VecDeque<Duration>,
+    pub(crate) window: Duration,
+    pub(crate) free_retries: f64,
+    pub(crate) retry_share: f64,
+    pub(crate) viewing_times: VecDeque<Duration>,
+    pub(crate) retry_times: VecDeque<Duration>,
 }
 
 impl RetryBudget {
-    pub fn new(span: Duration, free: f64, share: f64) -> Self {
-        RetryBudget { span, free, share, taken: VecDeque::new(), further: VecDeque::new() }
+    pub fn new(window: Duration, free_retries: f64, retry_share: f64) -> Self {
+        RetryBudget {
+            window,
+            free_retries,
+            retry_share,
+            viewing_times: VecDeque::new(),
+            retry_times: VecDeque::new(),
+        }
     }
 }
 
+/// State of a server that is or was in the server list.
 pub(crate) struct Server {
     pub list_entry: ServerEntry,
     pub link: Link,
-    pub warning: Warning,
-    pub health: Health,
-    /// Its last start, as far as any line of the list told of one.
+    pub early_warning: EarlyWarning,
+    pub health: ServerHealth,
+    /// Its last start, as far as an entry of the list reported one.
     pub started_at: Option<Duration>,
     pub cold_until: Duration,
-    /// When our last set-ups went there, as many as `SlowStart` allows in its span.
-    pub sent: VecDeque<Duration>,
-    /// When it was last told of as short.
-    pub short: Option<Duration>,
-    /// Intervals since the list told that it is gone.
-    pub gone: u32,
+    /// Times of our last set-ups there, as many as `SlowStart` allows in its span.
+    pub set_up_times: VecDeque<Duration>,
+    /// When it last reported a share below full delivery, unless it reported full delivery since.
+    pub short_reported_at: Option<Duration>,
+    /// Control intervals since the list marked it as gone.
+    pub gone_interval_count: u32,
 }
 
 impl Server {
     pub fn new(list_entry: ServerEntry, link: Link, cold_until: Duration) -> Self {
-        let (warning, health) = (Warning::default(), Health::default());
+        let (early_warning, health) = (EarlyWarning::default(), ServerHealth::default());
         Server {
             list_entry,
             link,
-            warning,
+            early_warning,
             health,
             started_at: list_entry.started_at,
             cold_until,
-            sent: VecDeque::new(),
-            short: None,
-            gone: 0,
+            set_up_times: VecDeque::new(),
+            short_reported_at: None,
+            gone_interval_count: 0,
         }
     }
 }
 
-/// By kind, how many set-ups we may send to a server that has just started in which span, none where chance keeps all
-/// managers' to their pace, and that pace a second; and how long it counts as cold.
+/// Limits for servers that have just started, by kind: the number of our set-ups per span (0 where
+/// random choice alone keeps all managers to the rate), the span, and the rate of all managers per
+/// second. Also how long a server counts as cold.
 pub struct SlowStart {
-    pub(crate) paces: Vec<(usize, Duration, f64)>,
+    pub(crate) allowances: Vec<(usize, Duration, f64)>,
     pub(crate) cold_for: Duration,
 }
 
-/// What a viewing asks in its rack: now, at its floor, and which of the rack's stands and slots are its.
+/// A viewing's demand in its rack: now and at its floor rung, with its server's slot and its own.
 #[derive(Clone, Copy)]
-pub(crate) struct Ask {
+pub(crate) struct ViewingDemand {
     pub viewing_id: ViewingId,
     pub kb: f64,
-    pub floor: usize,
+    pub floor_rung: usize,
     pub floor_kb: f64,
-    pub stand: usize,
-    pub slot: usize,
+    pub server_slot: usize,
+    pub viewing_slot: usize,
 }
 
-/// A step up to a rung: its value a kB, its kB, and the viewing whose it is.
+/// A step up to a rung: its value per kB, its kB, and the viewing.
 #[derive(Clone, Copy)]
-pub(crate) struct Step {
-    pub dear: f64,
+pub(crate) struct RungStep {
+    pub value_per_kb: f64,
     pub kb: f64,
     pub viewing_id: ViewingId,
     pub rung: usize,
-    pub stand: usize,
-    pub slot: usize,
+    pub server_slot: usize,
+    pub viewing_slot: usize,
 }
 
-/// A rack's servers, and our viewings there. What all of them could rise by is kept in the order of its worth, so that
-/// nothing is sorted while rungs are reckoned.
+/// A rack's servers and our viewings there. All possible steps up are kept in the order of their value
+/// per kB, so that planning rungs needs no sort.
 #[derive(Clone, Default)]
 pub(crate) struct Rack {
     pub servers: BTreeSet<ServerId>,
-    /// By the viewings' ids.
-    pub asks: Vec<Ask>,
-    /// The dearest first, equals by viewing and rung.
-    pub steps: Vec<Step>,
-    /// Servers that have viewings of ours, each at its place while it has; and slots given back.
-    pub stands: Vec<Option<ServerId>>,
-    free: Vec<usize>,
-    slots: usize,
+    /// Sorted by viewing id.
+    pub demands: Vec<ViewingDemand>,
+    /// Highest value per kB first; equal ones by viewing and rung.
+    pub steps: Vec<RungStep>,
+    /// The servers that have viewings of ours. Each keeps its slot while it has any.
+    pub server_slots: Vec<Option<ServerId>>,
+    /// Viewing slots that were given back.
+    free_viewing_slots: Vec<usize>,
+    viewing_slot_count: usize,
 }
 
 impl Rack {
-    fn order(step: &Step) -> impl Fn(&Step) -> std::cmp::Ordering {
-        let Step { dear, viewing_id, rung, .. } = *step;
+    fn compare_steps(step: &RungStep) -> impl Fn(&RungStep) -> std::cmp::Ordering {
+        let RungStep { value_per_kb, viewing_id, rung, .. } = *step;
         move |other| {
-            dear.total_cmp(&other.dear).then(other.viewing_id.cmp(&viewing_id)).then(other.rung.cmp(&rung))
+            value_per_kb
+                .total_cmp(&other.value_per_kb)
+                .then(other.viewing_id.cmp(&viewing_id))
+                .then(other.rung.cmp(&rung))
         }
     }
 
-    /// Slots that are or were in use.
-    pub fn slots(&self) -> usize {
-        self.slots
+    /// Number of viewing slots that are or were in use.
+    pub fn viewing_slot_count(&self) -> usize {
+        self.viewing_slot_count
     }
 
-    fn stand(&mut self, server: ServerId) -> usize {
-        let at = |wanted: Option<ServerId>| self.stands.iter().position(|id| *id == wanted);
-        let at = at(Some(server)).or(at(None)).unwrap_or(self.stands.len());
-        if at == self.stands.len() {
-            self.stands.push(None);
+    /// The slot of a server; takes a free one if it has none.
+    fn server_slot_of(&mut self, server: ServerId) -> usize {
+        let slot = |wanted: Option<ServerId>| self.server_slots.iter().position(|id| *id == wanted);
+        let slot = slot(Some(server)).or(slot(None)).unwrap_or(self.server_slots.len());
+        if slot == self.server_slots.len() {
+            self.server_slots.push(None);
         }
-        self.stands[at] = Some(server);
-        at
+        self.server_slots[slot] = Some(server);
+        slot
     }
 
-    /// `steps`: worth a kB and kB of each rung above the floor.
+    /// Adds a viewing at index `at`. `steps`: value per kB and kB of each rung above the floor.
     fn add(
         &mut self, at: usize, viewing_id: ViewingId, server: ServerId, floor: (usize, f64), kb: f64,
         steps: &[(f64, f64)],
     ) {
-        let stand = self.stand(server);
-        let slot = self.free.pop().unwrap_or(self.slots);
-        self.slots = self.slots.max(slot + 1);
-        self.asks.insert(at, Ask { viewing_id, kb, floor: floor.0, floor_kb: floor.1, stand, slot });
-        for (i, (dear, kb)) in steps.iter().enumerate() {
-            let step = Step { dear: *dear, kb: *kb, viewing_id, rung: floor.0 + i + 1, stand, slot };
-            let (Ok(at) | Err(at)) = self.steps.binary_search_by(Rack::order(&step));
+        let server_slot = self.server_slot_of(server);
+        let viewing_slot = self.free_viewing_slots.pop().unwrap_or(self.viewing_slot_count);
+        self.viewing_slot_count = self.viewing_slot_count.max(viewing_slot + 1);
+        self.demands.insert(
+            at,
+            ViewingDemand {
+                viewing_id,
+                kb,
+                floor_rung: floor.0,
+                floor_kb: floor.1,
+                server_slot,
+                viewing_slot,
+            },
+        );
+        for (i, (value_per_kb, kb)) in steps.iter().enumerate() {
+            let step = RungStep {
+                value_per_kb: *value_per_kb,
+                kb: *kb,
+                viewing_id,
+                rung: floor.0 + i + 1,
+                server_slot,
+                viewing_slot,
+            };
+            let (Ok(at) | Err(at)) = self.steps.binary_search_by(Rack::compare_steps(&step));
             self.steps.insert(at, step);
         }
     }
 
+    /// Removes a viewing and its steps.
     fn remove(&mut self, viewing_id: ViewingId, steps: &[(f64, f64)]) {
-        let Ok(at) = self.asks.binary_search_by_key(&viewing_id, |ask| ask.viewing_id) else { return };
-        let Ask { floor, stand, slot, .. } = self.asks.remove(at);
-        self.free.push(slot);
-        if self.asks.iter().all(|ask| ask.stand != stand) {
-            self.stands[stand] = None;
+        let Ok(at) = self.demands.binary_search_by_key(&viewing_id, |d| d.viewing_id) else { return };
+        let ViewingDemand { floor_rung, server_slot, viewing_slot, .. } = self.demands.remove(at);
+        self.free_viewing_slots.push(viewing_slot);
+        if self.demands.iter().all(|demand| demand.server_slot != server_slot) {
+            self.server_slots[server_slot] = None;
         }
-        for (i, (dear, kb)) in steps.iter().enumerate() {
-            let step = Step { dear: *dear, kb: *kb, viewing_id, rung: floor + i + 1, stand, slot };
-            if let Ok(at) = self.steps.binary_search_by(Rack::order(&step)) {
+        for (i, (value_per_kb, kb)) in steps.iter().enumerate() {
+            let step = RungStep {
+                value_per_kb: *value_per_kb,
+                kb: *kb,
+                viewing_id,
+                rung: floor_rung + i + 1,
+                server_slot,
+                viewing_slot,
+            };
+            if let Ok(at) = self.steps.binary_search_by(Rack::compare_steps(&step)) {
                 self.steps.remove(at);
             }
         }
     }
 }
 
-/// A session manager; what it does is in `policy`.
+/// A session manager. Its behaviour is in `policy`.
 pub struct Manager {
-    pub(crate) started: Duration,
-    pub(crate) chance: Pcg,
-    pub(crate) siblings: f64,
+    pub(crate) start_time: Duration,
+    pub(crate) rng: Pcg32,
+    pub(crate) manager_count: f64,
     pub(crate) zone: ZoneId,
     pub(crate) prices: Prices,
     pub(crate) ladder: Ladder,
@@ -414,45 +493,48 @@
     pub(crate) limits: Limits,
     pub(crate) retry_budget: Option<RetryBudget>,
     pub(crate) packages: Vec<Package>,
-    pub(crate) looks: u32,
-    /// When holders were sought.
-    pub(crate) sought: VecDeque<Duration>,
-    pub(crate) viewings: BTreeMap<ViewingId, Viewing<Next>>,
-    /// What our viewings ask in kB, by the server that they are at and by their ids; those that wait for probes.
-    pub(crate) at: BTreeMap<ServerId, Vec<(ViewingId, f64)>>,
-    pub(crate) asking: BTreeSet<ViewingId>,
-    /// Our viewings that are at a server, by package and title.
-    pub(crate) held: BTreeMap<(usize, TitleId), usize>,
+    pub(crate) replan_count: u32,
+    /// Times of the last placements.
+    pub(crate) placement_times: VecDeque<Duration>,
+    pub(crate) viewings: BTreeMap<ViewingId, Viewing<Continuation>>,
+    /// Demand of our viewings in kB, by server and sorted by viewing id.
+    pub(crate) demand_by_server: BTreeMap<ServerId, Vec<(ViewingId, f64)>>,
+    /// Viewings that wait for probes.
+    pub(crate) awaiting_probes: BTreeSet<ViewingId>,
+    /// Number of our viewings that are at a server, by package and title.
+    pub(crate) placed_by_title: BTreeMap<(usize, TitleId), usize>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// By rack its servers, and what our viewings there ask.
+    /// The racks, each with its servers and the demand of our viewings there.
     pub(crate) racks: Vec<Rack>,
-    /// Servers by cell, and how many the list doesn't tell to be gone.
-    pub(crate) places: Vec<Vec<ServerId>>,
-    pub(crate) living: usize,
-    /// By zone the tune-ins that came to nothing since one played there, and where.
-    pub(crate) zones: BTreeMap<ZoneId, VecDeque<(Duration, ServerId)>>,
-    /// How many of our viewings are of a package at a rung with a top.
-    pub(crate) alike: BTreeMap<(usize, usize, usize), usize>,
+    /// Servers by cell.
+    pub(crate) servers_by_cell: Vec<Vec<ServerId>>,
+    /// Number of servers that are not marked as gone in the list.
+    pub(crate) live_server_count: usize,
+    /// By zone, time and server of the tune-ins that got no answer since a viewing last played there.
+    pub(crate) zone_failures: BTreeMap<ZoneId, VecDeque<(Duration, ServerId)>>,
+    /// Number of our viewings by package, rung and top rung.
+    pub(crate) class_counts: BTreeMap<(usize, usize, usize), usize>,
     pub(crate) uplinks: Vec<Link>,
-    pub(crate) view: View,
-    walked: Cell<usize>,
+    pub(crate) context: EstimateContext,
+    visited: Cell<usize>,
 }
 
 impl Manager {
     pub fn new(
-        (seed, siblings, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
+        (seed, manager_count, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
         slow_start: SlowStart, limits: Limits, retry_budget: Option<RetryBudget>, packages: Vec<Package>,
     ) -> Self {
-        let (now, siblings) = (Duration::ZERO, f64::from(siblings.max(1)));
+        let (now, manager_count) = (Duration::ZERO, f64::from(manager_count.max(1)));
         let uplinks: Vec<_> = (0..network.racks.max(1)).map(|_| Link::new(network.uplink_kb, 1)).collect();
         let racks = vec![Rack::default(); uplinks.len()];
-        let (looks, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
-        let places = vec![vec![]; network.places.max(1) as usize];
-        let (started, chance, view) = (now, Pcg(seed), View::new(network.report_interval(), siblings));
+        let (replan_count, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
+        let servers_by_cell = vec![vec![]; network.places.max(1) as usize];
+        let (start_time, rng, context) =
+            (now, Pcg32(seed), EstimateContext::new(network.report_interval(), manager_count));
         Manager {
-            started,
-            chance,
-            siblings,
+            start_time,
+            rng,
+            manager_count,
             zone,
             prices,
             ladder,
@@ -461,220 +543,252 @@
             limits,
             retry_budget,
             packages,
-            looks,
-            sought: VecDeque::new(),
+            replan_count,
+            placement_times: VecDeque::new(),
             viewings,
-            at: BTreeMap::new(),
-            asking: BTreeSet::new(),
-            held: BTreeMap::new(),
+            demand_by_server: BTreeMap::new(),
+            awaiting_probes: BTreeSet::new(),
+            placed_by_title: BTreeMap::new(),
             servers,
             racks,
-            places,
-            living: 0,
-            zones: BTreeMap::new(),
-            alike: BTreeMap::new(),
+            servers_by_cell,
+            live_server_count: 0,
+            zone_failures: BTreeMap::new(),
+            class_counts: BTreeMap::new(),
             uplinks,
-            view,
-            walked: Cell::new(0),
+            context,
+            visited: Cell::new(0),
         }
     }
 
     /// The servers of the cells that hold a title.
     pub(crate) fn holders(&self, cells: Cells) -> impl Iterator<Item = ServerId> + use<'_> {
-        let places = self.places.len();
-        let cell = move |i| (cells.first as usize + i) % places;
-        (0..places.min(cells.spread as usize)).flat_map(move |i| self.places[cell(i)].iter().copied())
+        let cell_count = self.servers_by_cell.len();
+        let cell_index = move |i| (cells.first as usize + i) % cell_count;
+        (0..cell_count.min(cells.spread as usize))
+            .flat_map(move |i| self.servers_by_cell[cell_index(i)].iter().copied())
     }
 
-    /// The rack of a server that was listed.
-    fn shelf(&self, server: ServerId) -> Option<usize> {
-        Some(self.network.rack(self.servers.get(&server)?.list_entry.cell))
+    /// The rack of a server, if it is known.
+    fn rack_of_server(&self, server: ServerId) -> Option<usize> {
+        Some(self.network.rack_of_cell(self.servers.get(&server)?.list_entry.cell))
     }
 
-    /// Worth a kB and kB of each step above a viewing's floor.
-    fn steps(&self, v: &Viewing<Next>) -> Vec<(f64, f64)> {
-        let floor = self.packages[v.package].floor;
-        let step = |rung| self.between(v.package, rung, rung + 1);
-        (floor..v.top).map(step).map(|(kb, value)| (value / kb, kb)).collect()
+    /// Value per kB and kB of each step above a viewing's floor.
+    fn rung_steps(&self, viewing: &Viewing<Continuation>) -> Vec<(f64, f64)> {
+        let floor = self.packages[viewing.package].floor;
+        let step = |rung| self.rung_difference(viewing.package, rung, rung + 1);
+        (floor..viewing.top_rung).map(step).map(|(kb, value)| (value / kb, kb)).collect()
     }
 
-    /// Books what a viewing asks at the server that it is at, and in its rack; nothing any more where `there` is false.
-    fn book(&mut self, viewing_id: ViewingId, there: bool) {
-        let Some((server, v)) = self.viewings.get(&viewing_id).and_then(|v| Some((v.server?, v))) else {
+    /// Updates a viewing's demand at its server and in its rack; removes it if `is_present` is false.
+    fn update_demand(&mut self, viewing_id: ViewingId, is_present: bool) {
+        let Some((server, viewing)) =
+            self.viewings.get(&viewing_id).and_then(|viewing| Some((viewing.server?, viewing)))
+        else {
             return;
         };
-        let (kb, floor) = (self.kb(v, v.rung), self.packages[v.package].floor);
-        let asks = self.at.entry(server).or_default();
-        match (asks.binary_search_by_key(&viewing_id, |ask| ask.0), there) {
-            (Ok(i), true) => asks[i].1 = kb,
-            (Err(i), true) => asks.insert(i, (viewing_id, kb)),
-            (Ok(i), false) => drop(asks.remove(i)),
+        let (kb, floor) = (self.rung_kb(viewing, viewing.rung), self.packages[viewing.package].floor);
+        let demands = self.demand_by_server.entry(server).or_default();
+        match (demands.binary_search_by_key(&viewing_id, |demand| demand.0), is_present) {
+            (Ok(i), true) => demands[i].1 = kb,
+            (Err(i), true) => demands.insert(i, (viewing_id, kb)),
+            (Ok(i), false) => drop(demands.remove(i)),
             (Err(_), false) => {}
         }
-        if asks.is_empty() {
-            self.at.remove(&server);
+        if demands.is_empty() {
+            self.demand_by_server.remove(&server);
         }
-        let Some(rack) = self.shelf(server) else { return };
-        match (self.racks[rack].asks.binary_search_by_key(&viewing_id, |ask| ask.viewing_id), there) {
-            (Ok(i), true) => self.racks[rack].asks[i].kb = kb,
+        let Some(rack) = self.rack_of_server(server) else { return };
+        match (
+            self.racks[rack].demands.binary_search_by_key(&viewing_id, |demand| demand.viewing_id),
+            is_present,
+        ) {
+            (Ok(i), true) => self.racks[rack].demands[i].kb = kb,
             (Err(i), true) => {
-                let (steps, floor) = (self.steps(v), (floor, self.kb(v, floor)));
+                let (steps, floor) = (self.rung_steps(viewing), (floor, self.rung_kb(viewing, floor)));
                 self.racks[rack].add(i, viewing_id, server, floor, kb, &steps);
             }
             (Ok(_), false) => {
-                let steps = self.steps(v);
+                let steps = self.rung_steps(viewing);
                 self.racks[rack].remove(viewing_id, &steps);
             }
             (Err(_), false) => {}
         }
     }
 
-    /// Puts a viewing to a server, or takes it off the one that it is at.
-    pub(crate) fn place(&mut self, viewing_id: ViewingId, server: Option<ServerId>) {
-        self.book(viewing_id, false);
+    /// Assigns a viewing to a server, or removes it from its present one.
+    pub(crate) fn assign_server(&mut self, viewing_id: ViewingId, server: Option<ServerId>) {
+        self.update_demand(viewing_id, false);
         if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
-            let (was, about) = (viewing.server.is_some(), (viewing.package, viewing.title));
+            let (was_placed, title_key) = (viewing.server.is_some(), (viewing.package, viewing.title));
             viewing.server = server;
-            let held = self.held.entry(about).or_default();
-            *held = *held + usize::from(server.is_some()) - usize::from(was);
-            if *held == 0 {
-                self.held.remove(&about);
+            let placed_count = self.placed_by_title.entry(title_key).or_default();
+            *placed_count = *placed_count + usize::from(server.is_some()) - usize::from(was_placed);
+            if *placed_count == 0 {
+                self.placed_by_title.remove(&title_key);
             }
         }
-        self.book(viewing_id, true);
+        self.update_demand(viewing_id, true);
     }
 
-    /// Counts a viewing among those of its package, rung and top, or (by -1) no more.
-    pub(crate) fn alike(&mut self, of: (usize, usize, usize), by: isize) {
-        let n = self.alike.entry(of).or_default();
-        *n = n.saturating_add_signed(by);
-        if *n == 0 {
-            self.alike.remove(&of);
+    /// Changes by `change` the number of viewings of a package, rung and top rung.
+    pub(crate) fn adjust_class_count(&mut self, class: (usize, usize, usize), change: isize) {
+        let count = self.class_counts.entry(class).or_default();
+        *count = count.saturating_add_signed(change);
+        if *count == 0 {
+            self.class_counts.remove(&class);
         }
     }
 
-    /// Puts a viewing to a rung.
-    pub(crate) fn turn(&mut self, viewing_id: ViewingId, rung: usize) {
+    /// Sets the rung of a viewing and updates its demand.
+    pub(crate) fn assign_rung(&mut self, viewing_id: ViewingId, rung: usize) {
         if let Some(viewing) = self.viewings.get_mut(&viewing_id) {
-            let was = viewing.alike();
+            let old_class = viewing.price_class();
             viewing.rung = rung;
-            let is = viewing.alike();
-            self.alike(was, -1);
-            self.alike(is, 1);
+            let new_class = viewing.price_class();
+            self.adjust_class_count(old_class, -1);
+            self.adjust_class_count(new_class, 1);
         }
-        self.book(viewing_id, true);
+        self.update_demand(viewing_id, true);
     }
 
-    pub(crate) fn forget(&mut self, viewing_id: ViewingId) {
-        self.place(viewing_id, None);
-        self.asking.remove(&viewing_id);
+    /// Removes a viewing with its demand.
+    pub(crate) fn remove_viewing(&mut self, viewing_id: ViewingId) {
+        self.assign_server(viewing_id, None);
+        self.awaiting_probes.remove(&viewing_id);
         if let Some(viewing) = self.viewings.remove(&viewing_id) {
-            self.alike(viewing.alike(), -1);
+            self.adjust_class_count(viewing.price_class(), -1);
         }
     }
 
-    /// Takes a server that has nothing of ours out of all that is held.
-    pub(crate) fn drop_server(&mut self, server: ServerId) {
-        let rack = self.shelf(server);
-        let Some(s) = self.servers.remove(&server) else { return };
-        let place = s.list_entry.cell as usize % self.places.len();
-        self.places[place].retain(|id| *id != server);
+    /// Removes a server that has no viewings of ours.
+    pub(crate) fn remove_server(&mut self, server: ServerId) {
+        let rack = self.rack_of_server(server);
+        let Some(entry) = self.servers.remove(&server) else { return };
+        let cell = entry.list_entry.cell as usize % self.servers_by_cell.len();
+        self.servers_by_cell[cell].retain(|id| *id != server);
         if let Some(rack) = rack {
             self.racks[rack].servers.remove(&server);
         }
     }
 
-    /// Holds a server as the list has it, in its cell, and in its rack with all that is there.
-    pub(crate) fn list(&mut self, list_entry: ServerEntry) {
-        let (was, server) = (self.shelf(list_entry.server), list_entry.server);
-        let place = |cell: u32| cell as usize % self.places.len();
-        let (from, to) =
-            (self.servers.get(&server).map(|s| place(s.list_entry.cell)), place(list_entry.cell));
-        if from != Some(to) || !self.places[to].contains(&server) {
-            from.into_iter().for_each(|from| self.places[from].retain(|id| *id != server));
-            self.places[to].push(server);
+    /// Stores a server's list entry and moves it, with the demand there, to the entry's cell and rack.
+    pub(crate) fn update_listing(&mut self, list_entry: ServerEntry) {
+        let (old_rack, server) = (self.rack_of_server(list_entry.server), list_entry.server);
+        let cell_index = |cell: u32| cell as usize % self.servers_by_cell.len();
+        let (old_cell, new_cell) = (
+            self.servers.get(&server).map(|entry| cell_index(entry.list_entry.cell)),
+            cell_index(list_entry.cell),
+        );
+        if old_cell != Some(new_cell) || !self.servers_by_cell[new_cell].contains(&server) {
+            old_cell
+                .into_iter()
+                .for_each(|old_cell| self.servers_by_cell[old_cell].retain(|id| *id != server));
+            self.servers_by_cell[new_cell].push(server);
         }
-        self.servers.entry(server).and_modify(|s| s.list_entry = list_entry);
-        if was.is_some_and(|rack| self.shelf(server) == was && self.racks[rack].servers.contains(&server)) {
+        self.servers.entry(server).and_modify(|entry| entry.list_entry = list_entry);
+        if old_rack.is_some_and(|rack| {
+            self.rack_of_server(server) == old_rack && self.racks[rack].servers.contains(&server)
+        }) {
             return;
         }
-        let ids: Vec<_> = self.at.get(&server).into_iter().flatten().map(|ask| ask.0).collect();
-        if let Some(rack) = was {
+        let ids: Vec<_> =
+            self.demand_by_server.get(&server).into_iter().flatten().map(|demand| demand.0).collect();
+        if let Some(rack) = old_rack {
             self.racks[rack].servers.remove(&server);
             for viewing_id in &ids {
-                let steps = self.steps(&self.viewings[viewing_id]);
+                let steps = self.rung_steps(&self.viewings[viewing_id]);
                 self.racks[rack].remove(*viewing_id, &steps);
             }
         }
-        if let Some(rack) = self.shelf(server) {
+        if let Some(rack) = self.rack_of_server(server) {
             self.racks[rack].servers.insert(server);
         }
-        ids.into_iter().for_each(|viewing_id| self.book(viewing_id, true));
+        ids.into_iter().for_each(|viewing_id| self.update_demand(viewing_id, true));
     }
 
-    /// Our viewings at a server, by their ids.
-    pub(crate) fn there(&self, server: ServerId) -> impl Iterator<Item = &Viewing<Next>> {
-        self.at.get(&server).into_iter().flatten().map(|(viewing_id, _)| &self.viewings[viewing_id])
+    /// Our viewings at a server, sorted by viewing id.
+    pub(crate) fn viewings_at(&self, server: ServerId) -> impl Iterator<Item = &Viewing<Continuation>> {
+        self.demand_by_server
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .map(|(viewing_id, _)| &self.viewings[viewing_id])
     }
 
-    /// The servers of a rack that we have viewings at.
-    pub(crate) fn ours(&self, rack: usize) -> impl Iterator<Item = &ServerId> {
+    /// The servers of a rack that have viewings of ours.
+    pub(crate) fn servers_in_use(&self, rack: usize) -> impl Iterator<Item = &ServerId> {
         self.racks[rack]
             .servers
             .iter()
-            .filter(|server| self.at.get(server).is_some_and(|asks| !asks.is_empty()))
+            .filter(|server| self.demand_by_server.get(server).is_some_and(|demands| !demands.is_empty()))
     }
 
-    pub(crate) fn kb(&self, viewing: &Viewing<Next>, rung: usize) -> f64 {
+    /// The kB per second of a viewing at a rung.
+    pub(crate) fn rung_kb(&self, viewing: &Viewing<Continuation>, rung: usize) -> f64 {
         self.ladder.rates[rung] * self.packages[viewing.package].scale
     }
 
-    /// kB and value between two rungs of a viewing of a package.
-    pub(crate) fn between(&self, package: usize, from: usize, to: usize) -> (f64, f64) {
-        let p = &self.packages[package];
-        let (kb, worth) = self.ladder.between(from, to);
-        ((kb * p.scale).max(1e-6), worth * p.value)
+    /// Differences in kB and in value between two rungs of a package.
+    pub(crate) fn rung_difference(&self, package: usize, from: usize, to: usize) -> (f64, f64) {
+        let package_settings = &self.packages[package];
+        let (kb, worth) = self.ladder.rung_difference(from, to);
+        ((kb * package_settings.scale).max(1e-6), worth * package_settings.value)
     }
 
-    /// Everything that is held by server, viewing or tune-in.
+    /// Number of entries held by server, viewing or tune-in; shows whether memory stays bounded.
     pub fn entry_count(&self) -> usize {
-        let rack = |r: &Rack| r.servers.len() + r.stands.len() + r.slots + r.asks.len() + r.steps.len();
-        let racks = self.racks.iter().map(rack).sum::<usize>();
-        let places = self.places.iter().map(Vec::len).sum::<usize>();
-        let retry_budget = self.retry_budget.iter().map(|r| r.taken.len() + r.further.len()).sum::<usize>();
-        self.servers.len() + self.at.len() + racks + places + retry_budget + self.viewings.len()
-    }
-
-    /// What is held of a server: what is asked of its link and its rack's uplink over what they give, our viewings there,
-    /// and how many of the last tune-ins and viewings there ended badly.
+        let rack_entry_count = |r: &Rack| {
+            r.servers.len() + r.server_slots.len() + r.viewing_slot_count + r.demands.len() + r.steps.len()
+        };
+        let rack_entries = self.racks.iter().map(rack_entry_count).sum::<usize>();
+        let cell_entries = self.servers_by_cell.iter().map(Vec::len).sum::<usize>();
+        let retry_entries =
+            self.retry_budget.iter().map(|r| r.viewing_times.len() + r.retry_times.len()).sum::<usize>();
+        self.servers.len()
+            + self.demand_by_server.len()
+            + rack_entries
+            + cell_entries
+            + retry_entries
+            + self.viewings.len()
+    }
+
+    /// Our estimate of a server: the utilization of its link and of its rack's uplink, the number of our
+    /// viewings there, and how many of the last tune-ins and viewings there failed.
     pub fn server_estimate(&self, server: ServerId) -> Option<([f64; 2], usize, usize)> {
-        let s = self.servers.get(&server)?;
-        let uplink = &self.uplinks[self.network.rack(s.list_entry.cell)];
-        let bad = s.health.tries.iter().filter(|tried| !tried.1).count();
-        Some(([s.link.full(&self.view), uplink.full(&self.view)], self.there(server).count(), bad))
+        let entry = self.servers.get(&server)?;
+        let uplink = &self.uplinks[self.network.rack_of_cell(entry.list_entry.cell)];
+        let failure_count = entry.health.outcomes.iter().filter(|outcome| !outcome.1).count();
+        Some((
+            [entry.link.utilization(&self.context), uplink.utilization(&self.context)],
+            self.viewings_at(server).count(),
+            failure_count,
+        ))
     }
 
-    /// Entries that decisions have gone through so far.
+    /// Number of entries that decisions have visited so far.
     pub fn visited_entries(&self) -> usize {
-        self.walked.get()
+        self.visited.get()
     }
 
-    pub(crate) fn walk(&self, entries: usize) {
-        self.walked.set(self.walked.get().wrapping_add(entries));
+    /// Counts entries that a decision visits.
+    pub(crate) fn add_visited(&self, entries: usize) {
+        self.visited.set(self.visited.get().wrapping_add(entries));
     }
 
-    /// Marks what we ask of a server's link and its rack's uplink: added up anew each time in the order of ids, so
-    /// that no sum drifts.
-    pub(crate) fn mark(&mut self, server: ServerId) {
-        let Some(rack) = self.shelf(server) else { return };
-        let there = self.at.get(&server).map(Vec::as_slice).unwrap_or_default();
-        let (held, kb) = (there.len(), there.iter().map(|ask| ask.1).sum());
-        let kb_up = self.racks[rack].asks.iter().map(|ask| ask.kb).sum();
-        self.walk(held + self.racks[rack].asks.len());
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.link.held = held;
-            s.link.mark(self.view.now, kb, 1.0);
+    /// Records our demand on a server's link and its rack's uplink. The sums are computed anew each time
+    /// in the order of ids, so that they accumulate no rounding error.
+    pub(crate) fn record_demand(&mut self, server: ServerId) {
+        let Some(rack) = self.rack_of_server(server) else { return };
+        let demands = self.demand_by_server.get(&server).map(Vec::as_slice).unwrap_or_default();
+        let (viewing_count, link_kb) = (demands.len(), demands.iter().map(|demand| demand.1).sum());
+        let uplink_kb = self.racks[rack].demands.iter().map(|demand| demand.kb).sum();
+        self.add_visited(viewing_count + self.racks[rack].demands.len());
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.link.viewing_count = viewing_count;
+            entry.link.record_demand(self.context.now, link_kb, 1.0);
         }
-        self.uplinks[rack].mark(self.view.now, kb_up, 1.0);
+        self.uplinks[rack].record_demand(self.context.now, uplink_kb, 1.0);
     }
 }
