--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -1,6 +1,8 @@
-//! One connection, whatever is spoken on it. What comes is read by the core's task in its turn, piece by piece, so that
-//! nobody's flood waits before others, and so that the core can look at what a socket holds before it acts; what is to be
-//! written goes out at once where nothing waits before it, else in order.
+//! A single connection, independent of the protocol on it.
+//!
+//! Input is read by the event loop's task, one chunk for each event. A flood on one connection therefore
+//! doesn't delay the others, and the core can check what a socket holds before it acts. Output is written
+//! at once if nothing is queued before it, else in order.
 
 use futures_util::FutureExt;
 use ivyward_edge::ClientLimits;
@@ -14,57 +16,61 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// What was sent before a connection is to be closed as unused is known after so long.
+/// Time after which input that the other end sent before a close as unused is known here.
 const CLOSE_CHECK_DELAY: Duration = Duration::from_millis(2);
-/// What is read in one turn.
+/// The maximum number of bytes read for one event.
 const CHUNK_BYTES: usize = 4096;
-/// What is read at most by one look.
+/// The maximum number of bytes read by one call of [`read_available`].
 const MAX_READ_BYTES: usize = 4 * MAX_MESSAGE_BYTES;
-/// What may lie unsent in the socket of a connection: what is there can't be recalled any more.
+/// The size of a socket's send buffer. What is in the buffer can't be withdrawn any more.
 const SEND_BUFFER_BYTES: usize = 2 * MAX_MESSAGE_BYTES;
 
-/// What is to be done on a connection, in order.
+/// What the connection's task does, in order.
 enum Command {
-    /// `end`: of a session that is over, which is owed to its viewer on any connection.
+    /// Write bytes. `end`: the session's end that they report, which must reach the viewer on some
+    /// connection.
     Bytes { bytes: Vec<u8>, end: Option<SessionEnd> },
-    /// Close as unused, so decided when so many pieces had had their turn.
+    /// Close the connection as unused, if no more chunks arrived than were processed at the decision.
     CloseIfUnused { processed_chunks: u64 },
 }
 
-/// A session and the cause with which it ended.
+/// A session and the cause of its end.
 pub type SessionEnd = (SessionRef, u8);
 
-/// A connection that stands, read by the core's task.
+/// An established connection, read by the event loop's task.
 pub type SharedStream = Rc<TcpStream>;
 
-/// What a reading brought.
+/// The result of a read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
+    /// All bytes that were available.
     Bytes(Vec<u8>),
-    /// So much that there may be more.
+    /// Bytes, after which more may be available.
     MaybeMore(Vec<u8>),
-    /// The other end has closed; what it sent before.
+    /// The other end has closed the connection, after these bytes.
     Closed(Vec<u8>),
-    /// The connection is broken: what was written last may not have been read. What was sent before.
+    /// The connection is broken, after these bytes. The other end may not have read what was written
+    /// last.
     Reset(Vec<u8>),
 }
 
-/// Writes on a connection; when it is dropped, the connection closes after what was written.
+/// Writes on a connection. When it is dropped, the connection closes after everything is written.
 pub struct Writer {
     commands: mpsc::UnboundedSender<Command>,
     stream: RefCell<Option<SharedStream>>,
     unsent_bytes: Rc<Cell<usize>>,
 }
 
-/// The other end of a writer.
+/// The connection task's side of a [`Writer`].
 pub struct WriteQueue {
     commands: mpsc::UnboundedReceiver<Command>,
-    /// What is being written.
+    /// The bytes that are being written.
     bytes: Vec<u8>,
     end: Option<SessionEnd>,
     unsent_bytes: Rc<Cell<usize>>,
 }
 
+/// Creates a writer and its queue.
 pub fn new_writer() -> (Writer, WriteQueue) {
     let (send, commands) = mpsc::unbounded_channel();
     let unsent = Rc::new(Cell::new(0));
@@ -73,23 +79,24 @@
 }
 
 impl Writer {
-    /// The connection stands.
+    /// Attaches the connection once it is established.
     pub fn attach(&self, stream: &SharedStream) {
         self.stream.replace(Some(stream.clone()));
     }
 
-    /// Bytes that were taken and are not in the socket yet.
+    /// The number of bytes that were accepted and are not in the socket yet.
     pub fn unsent_bytes(&self) -> usize {
         self.unsent_bytes.get()
     }
 
-    /// Whether what is written now begins to go out now.
+    /// Whether bytes that are written now start to go out immediately.
     pub fn is_clear(&self) -> bool {
         let writable = |stream: &SharedStream| stream.writable().now_or_never().is_some();
         self.unsent_bytes.get() == 0 && self.stream.borrow().as_ref().is_some_and(writable)
     }
 
-    /// What of it goes out at once; none where the connection is broken.
+    /// Writes what the socket accepts now and returns the number of bytes; `None` if the connection is
+    /// broken.
     fn write_now(&self, bytes: &[u8]) -> Option<usize> {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref().filter(|_| self.unsent_bytes.get() == 0) else { return Some(0) };
@@ -99,12 +106,14 @@
         }
     }
 
-    /// Whether it could be taken: not where the other end reads too slowly, or is gone.
+    /// Writes or queues bytes. Returns false if the other end reads too slowly or the connection is
+    /// closed.
     pub fn write(&self, bytes: Vec<u8>) -> bool {
         self.write_end(bytes, None)
     }
 
-    /// The same for the end of a session. Taken and not put out, it comes back from [`converse`].
+    /// Writes or queues a session's end. If it is queued and not written completely, [`run_connection`]
+    /// returns it.
     pub fn write_end(&self, bytes: Vec<u8>, end: Option<SessionEnd>) -> bool {
         if self.commands.is_closed() {
             return false;
@@ -112,13 +121,17 @@
         self.write_now(&bytes).is_some_and(|written| self.queue_rest(bytes, written, end))
     }
 
-    /// Writes it if a part of it at least goes out at once. Guards against a message that goes out when a connection that
-    /// stalls moves again, and nobody wants it any more: where none of it goes out, none ever does.
+    /// Writes bytes only if the socket accepts a part of them at once. Returns whether it did.
+    ///
+    /// A message that can't start at once is never sent. Otherwise it could go out when a stalled
+    /// connection recovers and nobody wants it any more.
     pub fn write_if_started(&self, bytes: Vec<u8>) -> bool {
         let written = if self.is_clear() { self.write_now(&bytes).unwrap_or_default() } else { 0 };
         written > 0 && self.queue_rest(bytes, written, None)
     }
 
+    /// Queues the bytes after the first `written` ones. Returns false if too many are queued or the
+    /// connection is closed.
     fn queue_rest(&self, mut bytes: Vec<u8>, written: usize, end: Option<SessionEnd>) -> bool {
         bytes.drain(..written);
         let unsent = self.unsent_bytes.get() + bytes.len();
@@ -129,20 +142,21 @@
         self.commands.send(Command::Bytes { bytes, end }).is_ok()
     }
 
-    /// Closes the connection unless something comes on it beyond the first `had` pieces, or is to be written on it.
+    /// Closes the connection, unless input arrives beyond the first `processed_chunks` chunks or
+    /// something is to be written on it.
     pub fn close_if_unused(&self, processed_chunks: u64) {
         self.commands.send(Command::CloseIfUnused { processed_chunks }).ok();
     }
 }
 
 impl WriteQueue {
-    /// `chunk_count`: pieces that chunk_count so far.
+    /// Executes the queued commands. `chunk_count`: the number of chunks that were received so far.
     async fn run(&mut self, stream: &TcpStream, chunk_count: &Cell<u64>) {
         while let Some(command) = self.commands.recv().await {
             match command {
                 Command::CloseIfUnused { processed_chunks } => {
-                    // Guards against a request that crosses the close: what was sent before is read first, and one that
-                    // waited for its turn as the close was decided counts as well.
+                    // A request may cross the close. What the other end has sent before is read first,
+                    // and a chunk that still waited for its event at the decision counts as input.
                     sleep(CLOSE_CHECK_DELAY).await;
                     if chunk_count.get() == processed_chunks
                         && self.commands.is_empty()
@@ -168,7 +182,7 @@
         SockRef::from(stream).shutdown(std::net::Shutdown::Write).ok();
     }
 
-    /// The ends that were taken and not put out whole. Nothing is taken any more.
+    /// The ends that were accepted and not written completely. The queue accepts nothing more.
     fn into_undelivered(mut self) -> Vec<SessionEnd> {
         self.commands.close();
         let queued =
@@ -180,6 +194,7 @@
     }
 }
 
+/// Writes all bytes, waiting for the socket as needed.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
@@ -192,13 +207,13 @@
     Ok(())
 }
 
-/// Whether bytes wait in a socket that were not read.
+/// Whether a socket holds unread bytes.
 fn has_unread(stream: &TcpStream) -> bool {
     let mut one = [std::mem::MaybeUninit::uninit()];
     SockRef::from(stream).peek(&mut one).is_ok_and(|unread| unread > 0)
 }
 
-/// One piece of what has come, as far as the runtime knows of it.
+/// Reads one chunk, as far as the runtime knows of available input.
 pub fn read_chunk(stream: &TcpStream) -> ReadResult {
     let mut chunk = [0; CHUNK_BYTES];
     match stream.try_read(&mut chunk) {
@@ -209,7 +224,8 @@
     }
 }
 
-/// The other end closed; where it answered what was written after that with a reset, that shows as an error beside it.
+/// The result of a read that found the connection closed. If the other end also reset it because of what
+/// was written later, the socket has a pending error.
 fn close_result(stream: &TcpStream, bytes: Vec<u8>) -> ReadResult {
     match stream.take_error() {
         Ok(None) => ReadResult::Closed(bytes),
@@ -217,8 +233,8 @@
     }
 }
 
-/// All that a socket holds now, its end included, whether the runtime knows of it or not. Guards against acting for somebody
-/// whose close or word lies unread.
+/// Reads all that a socket holds now, including its end, even if the runtime does not know of it yet.
+/// Checking this first avoids acting for a client whose close or message is not read yet.
 pub fn read_available(stream: &TcpStream) -> ReadResult {
     let (socket, mut chunk, mut bytes) = (SockRef::from(stream), [0; CHUNK_BYTES], vec![]);
     while bytes.len() < MAX_READ_BYTES {
@@ -233,13 +249,15 @@
     ReadResult::MaybeMore(bytes)
 }
 
-/// Little is to lie unsent in the socket: see [`Writer::begin`].
+/// Keeps the socket's send buffer small; see [`Writer::write_if_started`].
 pub fn limit_send_buffer(stream: &TcpStream) {
     SockRef::from(stream).set_send_buffer_size(SEND_BUFFER_BYTES).ok();
 }
 
-/// Until either end closes. `heard`: something has come, and is to be read in its turn; told afterwards whether more is
-/// wanted, dropped where not. The ends that could not be told.
+/// Runs a connection until either end closes it, and returns the ends that were not delivered.
+///
+/// Calls `on_readable` when there is input. The callee reads it in its turn and then sends on the given
+/// channel if more input is wanted, or drops the channel if not.
 pub async fn run_connection(
     stream: SharedStream, mut write_queue: WriteQueue, on_readable: impl Fn(oneshot::Sender<()>),
 ) -> Vec<SessionEnd> {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -80,7 +80,7 @@
         if position.last_number > number_before || started_at.elapsed() >= SILENCE_TIMEOUT {
             pause = Duration::ZERO;
         }
-        tracing::debug!(at = %address, last = position.last_number, "discovery stream ended");
+        tracing::debug!(at = %address, last = position.last_number, "the event bus broke off");
         tokio::select! {
             () = sleep(pause.mul_f64(0.5 + 0.5 * rng.random::<f64>())) => {}
             changed = addresses.changed() => if changed.is_err() { return },
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -1,4 +1,4 @@
-//! Servers' side: connections, the set-ups open on them, and what provably became of each.
+//! The servers' side: connections, the set-ups that are open on them, and what provably happened to each.
 
 mod attempts;
 mod connections;
@@ -16,13 +16,15 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// Causes as the protocol has them: a session that ended well, and one that was lost.
+/// The session ended normally.
 const CAUSE_COMPLETED: u8 = 16;
+/// The session was lost.
 const CAUSE_LOST: u8 = 41;
 
+/// Identifies an attempt: the viewing and its tune-in.
 pub type AttemptKey = (ViewingId, TuneIn);
 
-/// A tune-in that is out, and the connection that it was written on.
+/// A tune-in at a server, and the connection on which it was written.
 struct Attempt {
     session_ref: SessionRef,
     server: ServerId,
@@ -31,41 +33,48 @@
     link_id: Option<u64>,
 }
 
+/// A connection to a server.
 struct ServerLink {
     server: ServerId,
     writer: Writer,
     stream: Option<SharedStream>,
     task: AbortHandle,
     messages: Messages,
-    /// Whether it stands; until then set-ups and tests wait for it.
+    /// Whether the connection is established. Until then, set-ups and probes wait for it.
     established: bool,
-    /// Since when nothing more is written on it, and what still comes is read until the server closes it.
+    /// Since when nothing more is written on it. What still arrives is read until the server closes it.
     retiring_since: Option<Duration>,
+    /// Attempts that wait until the connection is established.
     queued: Vec<AttemptKey>,
+    /// Set-ups that were written and have no answer yet.
     open_set_ups: BTreeMap<SessionRef, AttemptKey>,
+    /// Set-ups that were written and then abandoned; see `NodeHost::abandon_attempt`.
     abandoned: VecDeque<SessionRef>,
+    /// Load probes without a reply.
     pending_probes: BTreeSet<SessionRef>,
     upstream: UpstreamState,
 }
 
-/// A server to which no connection comes about.
+/// A server to which no connection could be established.
 #[derive(Clone, Copy)]
 struct Unreachable {
     since: Duration,
     last_tried_at: Duration,
-    /// Nobody listened there while no other connection stood: whatever process comes up at its address is another.
+    /// The server refused a connection while no other one was established: no process listens there, so
+    /// any process that starts at its address is a new one.
     refused: bool,
 }
 
+/// The connections to servers and the attempts at them.
 pub struct Servers {
     links: BTreeMap<u64, ServerLink>,
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Sessions to be ended at servers that could not be reached, and since when.
+    /// Sessions to be released at servers that could not be reached, with the times of the requests.
     pending_releases: BTreeMap<ServerId, BTreeMap<SessionRef, Duration>>,
     unreachable: BTreeMap<ServerId, Unreachable>,
     policy: UpstreamPolicy,
     connect_timeout: Duration,
-    /// Connections at most.
+    /// The maximum number of connections.
     max_links: usize,
     incarnation: Incarnation,
     rng: Pcg64Mcg,
@@ -73,6 +82,7 @@
 }
 
 impl Servers {
+    /// `max_links`: the maximum number of connections to servers.
     pub fn new(
         policy: UpstreamPolicy, (connect_timeout, max_links): (Duration, usize), incarnation: Incarnation,
         rng: Pcg64Mcg,
@@ -91,6 +101,7 @@
         }
     }
 
+    /// Records an attempt that is to be dispatched.
     pub fn add_attempt(
         &mut self, key: AttemptKey, session_ref: SessionRef, server: ServerId, rung: usize,
         deadline: Duration,
@@ -98,13 +109,15 @@
         self.attempts.insert(key, Attempt { session_ref, server, rung, deadline, link_id: None });
     }
 
-    /// Nobody waits for it any more; what was written is given up by `NodeHost::give_up`.
+    /// Drops an attempt that was not written yet. A written one is handled by
+    /// `NodeHost::abandon_attempt`.
     pub fn drop_attempt(&mut self, key: AttemptKey) {
         if self.attempts.get(&key).is_some_and(|attempt| attempt.link_id.is_none()) {
             self.attempts.remove(&key);
         }
     }
 
+    /// The connections to a server, with their ids.
     fn links_to(&self, server: ServerId) -> impl Iterator<Item = (u64, &ServerLink)> {
         self.links
             .iter()
@@ -112,7 +125,7 @@
             .map(|(link_id, link)| (*link_id, link))
     }
 
-    /// The connection for something to a server: one that stands and isn't suspect before one that doesn't yet.
+    /// The connection on which something new may be sent to a server. Prefers established connections.
     fn usable_link(&self, server: ServerId, session_ref: Option<SessionRef>) -> Option<u64> {
         let fits = |link: &ServerLink| {
             let abandoned = session_ref.is_some_and(|session_ref| link.abandoned.contains(&session_ref));
@@ -126,7 +139,7 @@
             .map(|(link_id, _)| link_id)
     }
 
-    /// Any connection that stands, the one that was heard last.
+    /// The established connection that received something most recently, even a suspect one.
     fn latest_link(&self, server: ServerId) -> Option<u64> {
         let live =
             self.links_to(server).filter(|(_, link)| link.established && link.retiring_since.is_none());
@@ -134,16 +147,19 @@
             .map(|(link_id, _)| link_id)
     }
 
+    /// Writes an encoded message on a connection. Returns whether it was accepted.
     fn write_to_link(&self, link_id: u64, bytes: Result<Vec<u8>, String>) -> bool {
         let link = self.links.get(&link_id);
         bytes.is_ok_and(|bytes| link.is_some_and(|link| link.writer.write(bytes)))
     }
 
+    /// Whether there is a connection to a server, or a release is pending for it.
     pub fn has_links(&self, server: ServerId) -> bool {
         self.links_to(server).next().is_some() || self.pending_releases.contains_key(&server)
     }
 }
 
+/// Encodes the release of a session.
 fn encode_release(session_ref: SessionRef) -> Result<Vec<u8>, String> {
     binary::write(Kind::Release, session_ref, &[], Some(CAUSE_COMPLETED), None)
 }
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: sent on a connection with room, given up, and what they left there ended.
+//! Attempts at servers: dispatching, abandoning, and releasing what they left there.
 
 use super::{AttemptKey, encode_release};
 use crate::host::NodeHost;
@@ -8,18 +8,19 @@
 use ivyward_signal::{Field, Kind, SessionRef};
 use std::time::Duration;
 
-/// The last so many set-ups given up on a connection: what still comes of them is nobody's.
+/// The number of abandoned set-ups remembered for each connection. Late answers to them are ignored.
 const MAX_ABANDONED_SET_UPS: usize = 64;
 
 impl NodeHost {
-    /// A set-up is to go out: on a connection that has room for it, or on a new one once that stands.
+    /// Sends a set-up on a connection that has capacity for it, or on a new one once that is established.
     pub fn dispatch_set_up(&mut self, core: &mut SessionCore, now: Duration, key: AttemptKey) {
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
         let (server, session_ref) = (attempt.server, attempt.session_ref);
         let existing_link = self.servers.usable_link(server, Some(session_ref));
         let Some(link_id) = existing_link.or_else(|| self.new_link(core, now, server)) else {
             self.servers.attempts.remove(&key);
-            // Where it is listed nothing is known against it: no descriptor was to be had.
+            // If the server is listed, the attempt failed only because no connection was available here,
+            // so it does not count against the server.
             let listed = self.server_list.row(server).is_some();
             let result = if listed { AttemptResult::NotWritten } else { AttemptResult::NotConnected };
             return core.on_attempt_result(self, now, key.0, key.1, result, LoadReport::default());
@@ -31,6 +32,7 @@
         self.write_set_up(core, now, link_id, key);
     }
 
+    /// Writes a set-up on an established connection, after the last checks.
     pub(super) fn write_set_up(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64, key: AttemptKey,
     ) {
@@ -41,7 +43,7 @@
             return self.deferred_set_ups.get_or_insert_default().push(key);
         }
         if !self.check_viewer_socket(core, now, session_ref) {
-            // Others have their turn before the rest is read.
+            // Other events are handled before the rest is read.
             return self.events.send(move |core, host, now| host.dispatch_set_up(core, now, key));
         }
         let Some(attempt) = self.servers.attempts.get(&key) else { return };
@@ -71,11 +73,11 @@
         }
         let link = self.servers.links.get_mut(&link_id);
         let Some(link) = link.filter(|link| link.writer.write_if_started(bytes)) else {
-            // Nothing of it went out, and nothing will.
+            // No byte was written, and none will be.
             tracing::debug!(
                 of = format!("{:016x}", session_ref.0),
                 server = self.server_name(server),
-                "a connection takes nothing"
+                "connection accepts no data"
             );
             self.servers.attempts.remove(&key);
             return core.on_attempt_result(
@@ -96,11 +98,12 @@
             server = self.server_name(server),
             connection = link_id,
             left = ?time_left,
-            "a set-up goes out"
+            "set-up sent"
         );
     }
 
-    /// Nobody waits any more for what was written.
+    /// Abandons an attempt for which nobody waits any more, and releases it at the server if it was
+    /// written.
     pub fn abandon_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.servers.attempts.remove(&key) else { return };
         let (server, session_ref) = (attempt.server, attempt.session_ref);
@@ -121,29 +124,24 @@
             connection = attempt.link_id,
             written,
             unsent,
-            "an attempt is given up"
+            "attempt abandoned"
         );
     }
 
-    /// Ends a session at its server, now or once that can be reached.
+    /// Ends a session at its server, now or as soon as the server can be reached.
     pub fn release_session(&mut self, server: ServerId, session_ref: SessionRef) {
         let latest_link_id = self.servers.latest_link(server);
         let written = latest_link_id
             .is_some_and(|link_id| self.servers.write_to_link(link_id, encode_release(session_ref)));
         let (ref_text, name) = (format!("{:016x}", session_ref.0), self.server_name(server));
-        tracing::debug!(
-            of = ref_text,
-            server = name,
-            connection = latest_link_id,
-            written,
-            "a release goes out"
-        );
+        tracing::debug!(of = ref_text, server = name, connection = latest_link_id, written, "release sent");
         if !written && self.server_list.row(server).is_some() {
             self.servers.pending_releases.entry(server).or_default().insert(session_ref, self.events.now());
             self.ensure_link(server);
         }
     }
 
+    /// Requests a change of a session's rung at its server.
     pub fn send_rung(&mut self, server: ServerId, session_ref: SessionRef, rung: usize) {
         let bytes = binary::write(Kind::Rung, session_ref, &[(Field::Rung, &rung.to_string())], None, None);
         if let Some(link_id) = self.servers.latest_link(server) {
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: opened, looked after, retired and lost.
+//! Connections to servers: opening, maintenance, retirement and loss.
 
 use super::{ServerLink, Unreachable, encode_release};
 use crate::connection::{
@@ -22,17 +22,19 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// What a test asks: a report, or only whether anybody answers.
+/// The heartbeat's cause value that requests a load report.
 pub(super) const HEARTBEAT_WITH_REPORT: u8 = 1;
+/// The heartbeat's cause value that only tests whether the server responds.
 const HEARTBEAT_ONLY: u8 = 0;
 
+/// Connects to a server within a time limit.
 async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<TcpStream> {
     timeout(connect_timeout, TcpStream::connect(address)).await?
 }
 
 impl NodeHost {
-    /// A new connection to a server, for which the one unused for longest gives evicted where there are too many; none where
-    /// the server is not listed, or none can give evicted.
+    /// Opens a connection to a server. At the limit, it closes the connection that was unused for
+    /// longest. Returns `None` if the server is not listed or no connection can be closed.
     pub(super) fn new_link(
         &mut self, core: &mut SessionCore, now: Duration, server: ServerId,
     ) -> Option<u64> {
@@ -52,7 +54,7 @@
         self.open_link(now, server)
     }
 
-    /// The same where there is room.
+    /// Opens a connection to a server if the limit permits it.
     pub(super) fn open_link(&mut self, now: Duration, server: ServerId) -> Option<u64> {
         if self.servers.links.len() >= self.servers.max_links {
             return None;
@@ -84,7 +86,7 @@
             };
             run_connection(stream, write_queue, on_readable).await;
             events.send(move |core, host, now| {
-                // What came before the connection broke still counts.
+                // Input that arrived before the connection broke still counts.
                 host.read_server_chunk(core, now, link_id, read_available);
                 host.on_link_lost(core, now, link_id, "closed");
             });
@@ -107,6 +109,7 @@
         Some(link_id)
     }
 
+    /// A connection is established: sends what waited for it.
     pub(super) fn on_link_established(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64, stream: SharedStream,
     ) {
@@ -128,13 +131,13 @@
             connection = link_id,
             set_ups,
             tests = probes,
-            "a connection stands"
+            "connection established"
         );
         if self.servers.unreachable.remove(&server).is_some_and(|unreachable| unreachable.refused) {
             self.lose_all_sessions(core, now, server);
         }
         for session_ref in self.servers.pending_releases.remove(&server).unwrap_or_default().into_keys() {
-            // What was set up there anew meanwhile is another.
+            // If the session was set up again there meanwhile, this release would end the new one.
             let set_up_again =
                 self.servers.attempts.values().any(|a| (a.server, a.session_ref) == (server, session_ref));
             let has_session =
@@ -150,7 +153,7 @@
                 anew = set_up_again,
                 stands = has_session,
                 written,
-                "an owed release"
+                "pending release handled"
             );
         }
         for key in queued {
@@ -158,8 +161,8 @@
         }
     }
 
-    /// A connection didn't come about: nothing that waited for it ran. Refused, the process there is dead, and what
-    /// played there is over.
+    /// A connection could not be established, so nothing that waited for it ran. If the server refused
+    /// it, its process has ended, and so have its sessions.
     pub(super) fn on_connect_failed(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64, error: &io::Error,
     ) {
@@ -172,7 +175,7 @@
                 attempts.map(|attempt| format!("{:016x}", attempt.session_ref.0)).collect();
             let state = self.server_list.state_of(server);
             let server = self.server_name(server);
-            tracing::debug!(server, ?address, standing = ?state, %error, waited = ?waiting_refs, "a connection doesn't come about");
+            tracing::debug!(server, ?address, standing = ?state, %error, waited = ?waiting_refs, "connection can't be established");
         }
         for key in link.queued {
             if self.servers.attempts.remove(&key).is_some() {
@@ -206,7 +209,7 @@
         }
     }
 
-    /// A connection is over: what was open on it may have run.
+    /// A connection is lost. The set-ups that were open on it may have run.
     pub(super) fn on_link_lost(&mut self, core: &mut SessionCore, now: Duration, link_id: u64, reason: &str) {
         let Some(link) = self.servers.links.remove(&link_id) else { return };
         link.task.abort();
@@ -218,7 +221,7 @@
             connection = link_id,
             ?open,
             why = reason,
-            "a connection is lost"
+            "connection lost"
         );
         for key in link.queued {
             if self.servers.attempts.remove(&key).is_some() {
@@ -245,14 +248,15 @@
         }
         self.fail_probes(core, now, server, link.pending_probes);
         if link.established && self.sessions.any_on_link(server, link_id) {
-            // An end that was lost with it is sender again on the next connection opened, whatever others there are.
+            // The server may have reported an end on the lost connection. It reports it again on the next
+            // connection that is opened, even if others exist.
             self.open_link(now, server);
         }
         self.ensure_link(server);
     }
 
-    /// Closes a connection of no further use. Guards against an end of a session that is on its evicted: all that the server
-    /// wrote before it closes as well is still read.
+    /// Closes the sending side of a connection that is no longer needed. The connection is still read
+    /// until the server closes it too, so that a session's end that is under way is not lost.
     pub(super) fn retire(&mut self, now: Duration, link_id: u64) {
         let Some(link) = self.servers.links.get_mut(&link_id) else { return };
         link.retiring_since = Some(now);
@@ -260,10 +264,10 @@
             SockRef::from(&**stream).shutdown(Shutdown::Write).ok();
         }
         let server = link.server;
-        tracing::debug!(server = self.server_name(server), connection = link_id, "a connection is retired");
+        tracing::debug!(server = self.server_name(server), connection = link_id, "connection retired");
     }
 
-    /// Sees to a connection to a server at which something stands or is to be ended.
+    /// Opens a connection to a server that has sessions or pending releases, unless there is one.
     pub fn ensure_link(&mut self, server: ServerId) {
         let wanted =
             self.sessions.any_at_server(server) || self.servers.pending_releases.contains_key(&server);
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Looks after connections to servers.
+    /// Maintains the connections to servers.
     pub fn sweep_servers(&mut self, core: &mut SessionCore, now: Duration) {
         self.drop_expired_releases(now);
         let all: BTreeSet<_> = self.servers.links.values().map(|link| link.server).collect();
@@ -293,6 +297,7 @@
         servers.into_iter().for_each(|server| self.ensure_link(server));
     }
 
+    /// Drops releases that were pending for too long.
     fn drop_expired_releases(&mut self, now: Duration) {
         let pending_releases = &mut self.servers.pending_releases;
         for releases in pending_releases.values_mut() {
@@ -301,6 +306,7 @@
         pending_releases.retain(|_, releases| !releases.is_empty());
     }
 
+    /// Maintains the connections to one server, and declares it lost if it is silent.
     fn sweep_server(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let has_sessions = self.sessions.any_at_server(server);
         let links: Vec<_> = self
@@ -321,20 +327,22 @@
         }
         let all_up = self.servers.links_to(server).all(|(_, link)| link.established);
         if has_sessions && all_up && self.servers.policy.is_server_silent(now, last_received_at) {
-            // Guards against a machine that has vanished: its connections stay and say nothing, new ones don't stand.
+            // If a machine has vanished, its established connections stay silent and new ones can't be
+            // established. A new attempt detects this.
             self.open_link(now, server);
         }
     }
 
-    /// Closes a connection that is of no use, or tests it. `heard`: when its server last was on any; `left`: how many to it
-    /// are in use.
+    /// Closes a connection that is not needed, or tests it. `last_received_at`: when the server last sent
+    /// anything on any connection; `live_links`: the number of connections to it that are not retiring.
     fn sweep_link(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId),
         last_received_at: Duration, live_links: &mut usize,
     ) {
         let Some(link) = self.servers.links.get_mut(&link_id) else { return };
         if let Some(since) = link.retiring_since {
-            // A server that hangs, or is cut off, may tell ends on it when it goes on.
+            // A server that hangs or is cut off may still report ends on this connection when it
+            // recovers.
             if now >= since + UpstreamPolicy::RELEASE_TIMEOUT {
                 self.on_link_lost(core, now, link_id, "retired and not closed");
             }
@@ -342,7 +350,12 @@
         }
         if self.servers.policy.is_partial_overdue(now, &link.upstream) {
             *live_links -= 1;
-            return self.on_invalid_message(core, now, link_id, "the rest of a message doesn't come");
+            return self.on_invalid_message(
+                core,
+                now,
+                link_id,
+                "the rest of a message did not arrive in time",
+            );
         }
         self.servers.policy.check_test(now, &mut link.upstream);
         let idle = link.open_set_ups.is_empty() && link.pending_probes.is_empty();
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -1,4 +1,4 @@
-//! Servers' messages: read from a connection, and handed to the core.
+//! Messages from servers: reading, and passing them to the core.
 
 use super::connections::HEARTBEAT_WITH_REPORT;
 use super::sessions::CAUSE_CANCELLED;
@@ -16,13 +16,15 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Causes with which a server ends a set-up.
+/// The server refused the set-up; it did not run.
 const CAUSE_FULL: u8 = 34;
+/// The server failed.
 const CAUSE_ERROR: u8 = 47;
+/// The set-up did not run, for a reason that does not count as a refusal.
 const CAUSE_NOT_STARTED: u8 = 102;
 
 impl NodeHost {
-    /// Asks a server for its load.
+    /// Requests a server's load report.
     pub fn probe_server(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let session_ref = SessionRef(self.servers.rng.random());
         let existing_link = self.servers.usable_link(server, None);
@@ -49,6 +51,7 @@
         });
     }
 
+    /// Reports probes as failed.
     pub(super) fn fail_probes(
         &mut self, core: &mut SessionCore, now: Duration, server: ServerId, probes: BTreeSet<SessionRef>,
     ) {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// What a server's connection has brought. Whether more may come.
+    /// Reads and handles input of a server's connection. Returns whether more may follow.
     pub(super) fn read_server_chunk(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64,
         read_socket: fn(&TcpStream) -> ReadResult,
@@ -74,7 +77,7 @@
         !closed && self.servers.links.contains_key(&link_id)
     }
 
-    /// Reads what the connections hold on which set-ups are open.
+    /// Reads the input of all connections with open set-ups.
     pub fn read_open_links(&mut self, core: &mut SessionCore, now: Duration) {
         let busy = self
             .servers
@@ -87,6 +90,7 @@
         }
     }
 
+    /// Parses input and handles each complete message.
     pub(super) fn handle_server_bytes(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64, chunk: &[u8],
     ) {
@@ -111,16 +115,20 @@
         }
     }
 
-    /// What came can't be read: nothing more on this connection can be believed.
+    /// Closes a connection after an invalid message, because nothing that follows can be trusted.
     pub(super) fn on_invalid_message(
         &mut self, core: &mut SessionCore, now: Duration, link_id: u64, error: &str,
     ) {
         if let Some(left_out) = self.log_limiter.check(now, "a server's message") {
             tracing::info!(wrong = error, left_out, "a server's message can't be read");
         }
-        self.on_link_lost(core, now, link_id, "spoilt");
+        self.on_link_lost(core, now, link_id, "invalid message");
     }
 
+    /// Handles one message.
+    ///
+    /// # Errors
+    /// Returns an error if the message is invalid.
     pub(super) fn handle_message(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId), signal: &Signal,
     ) -> Result<(), String> {
@@ -134,7 +142,7 @@
         match signal.kind {
             Kind::Answer => self.handle_answer(core, now, (link_id, server), signal, load)?,
             Kind::Release => {
-                let cause = signal.cause.ok_or("a release without a cause")?;
+                let cause = signal.cause.ok_or("release without a cause")?;
                 self.handle_release(core, now, (link_id, server), (session_ref, cause), load);
             }
             Kind::HeartbeatAck => {
@@ -151,43 +159,39 @@
             Kind::Note => self.handle_note(core, now, (link_id, server), signal),
             Kind::Ack => {
                 let (session_ref, server) = (format!("{:016x}", session_ref.0), self.server_name(server));
-                tracing::debug!(of = session_ref, server, connection = link_id, "a release is acknowledged");
+                tracing::debug!(of = session_ref, server, connection = link_id, "release acknowledged");
             }
             Kind::SetUp | Kind::Progress | Kind::Move | Kind::Rung => {}
         }
         Ok(())
     }
 
-    /// Beside what the module believes: what passed on the sockets here.
+    /// Logs the policy's estimate of the server next to the figures that were counted on the sockets
+    /// here.
     fn log_report(&self, core: &SessionCore, server: ServerId, load: LoadReport) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let attempt_count = self.servers.attempts.values().filter(|attempt| attempt.server == server).count();
         let (session_count, estimate) = (self.sessions.at_server(server).len(), core.server_estimate(server));
-        tracing::debug!(server = self.server_name(server), ?load, believed = ?estimate, there = session_count, out = attempt_count, "a report");
+        tracing::debug!(server = self.server_name(server), ?load, believed = ?estimate, there = session_count, out = attempt_count, "load report");
     }
 
-    /// The session stands: its answer is passed on.
+    /// Handles an answer: the session plays, and the answer is passed on to the viewer.
     fn handle_answer(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId),
         signal: &Signal, load: LoadReport,
     ) -> Result<(), String> {
         let session_ref = signal.session;
         let Some(link) = self.servers.links.get_mut(&link_id) else { return Ok(()) };
-        // A second copy, or one for what is nobody's any more, is left alone.
+        // A duplicate answer, or one to an abandoned set-up, is ignored.
         let Some(key) = link.open_set_ups.get(&session_ref).copied() else {
             let (session_ref, server) = (format!("{:016x}", session_ref.0), self.server_name(server));
-            tracing::debug!(
-                of = session_ref,
-                server,
-                connection = link_id,
-                "an answer that nobody waits for"
-            );
+            tracing::debug!(of = session_ref, server, connection = link_id, "answer without an open set-up");
             return Ok(());
         };
         let text = signal.description.as_deref().and_then(|d| std::str::from_utf8(d).ok());
-        let text = text.ok_or("an answer without a description that can be passed on")?;
+        let text = text.ok_or("answer without a UTF-8 description")?;
         let line = line::write(Kind::Answer, session_ref, &[], None, Some(text))?;
         link.open_set_ups.remove(&session_ref);
         self.servers.attempts.remove(&key);
@@ -206,7 +210,7 @@
         Ok(())
     }
 
-    /// A server ended a set-up, or what stood.
+    /// Handles a release: the server ended a set-up or a session.
     fn handle_release(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId),
         (session_ref, cause): (SessionRef, u8), load: LoadReport,
@@ -220,14 +224,15 @@
                 CAUSE_ERROR => AttemptResult::ServerError,
                 _ => AttemptResult::ConnectionBroken,
             };
-            tracing::debug!(server = self.server_name(server), cause, what = ?result, "a set-up ended");
+            tracing::debug!(server = self.server_name(server), cause, what = ?result, "server ended a set-up");
             return core.on_attempt_result(self, now, key.0, key.1, result, load);
         }
         core.on_load_report(now, server, load);
         let is_active =
             self.sessions.get(session_ref).is_some_and(|active_session| active_session.server == server);
         if ![CAUSE_COMPLETED, CAUSE_CANCELLED, CAUSE_LOST].contains(&cause) && is_active {
-            // Guards against a second answer that takes back the first: what may play there ends there too.
+            // The server answered the set-up and then withdrew the answer with an unexpected cause. It
+            // may still play the session, so it is released there too.
             self.release_session(server, session_ref);
         }
         let reason = match cause {
@@ -238,7 +243,7 @@
         self.end_session(core, now, server, session_ref, cause, reason);
     }
 
-    /// News of a session that is being set up, or stands.
+    /// Handles a notification about a session that plays or is being set up.
     fn handle_note(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId), signal: &Signal,
     ) {
@@ -259,7 +264,7 @@
             Some("rack") => ServerUpdate::Uplink(value),
             _ => return,
         };
-        tracing::debug!(server = self.server_name(server), news = ?update, fresh = pending_viewing.is_some(), "a note");
+        tracing::debug!(server = self.server_name(server), news = ?update, fresh = pending_viewing.is_some(), "notification received");
         viewing_id.into_iter().for_each(|viewing_id| core.on_server_update(now, server, viewing_id, update));
     }
 }
--- a/crates/node/src/servers/sessions.rs
+++ b/crates/node/src/servers/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that stand at servers, and how they come to their end.
+//! Sessions at servers, and how they end.
 
 use super::CAUSE_LOST;
 use crate::host::NodeHost;
@@ -7,10 +7,11 @@
 use ivyward_signal::SessionRef;
 use std::time::Duration;
 
-/// The cause with which a viewer's own end of a session is told.
+/// The viewer ended the session.
 pub(super) const CAUSE_CANCELLED: u8 = 31;
 
 impl NodeHost {
+    /// Ends all sessions at a server that is lost.
     pub(super) fn lose_all_sessions(&mut self, core: &mut SessionCore, now: Duration, server: ServerId) {
         let session_refs: Vec<_> = self.sessions.at_server(server).collect();
         if !session_refs.is_empty() {
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Ends what stood at servers whose process is known from the list to have ended.
+    /// Ends the sessions whose server process has ended according to the server list: another server has
+    /// its address, or it started after the session was set up.
     pub fn end_replaced_sessions(&mut self, core: &mut SessionCore, now: Duration) {
         let servers: Vec<_> = self.sessions.servers().collect();
         for server in servers {
@@ -46,11 +48,12 @@
         }
     }
 
+    /// A server's name for log lines; empty if the server is not listed.
     pub(super) fn server_name(&self, server: ServerId) -> &str {
         self.server_list.row(server).map_or("", |row| &row.name)
     }
 
-    /// A session that stood there is over.
+    /// Ends a session that plays at a server, and notifies its viewer.
     pub(super) fn end_session(
         &mut self, core: &mut SessionCore, now: Duration, server: ServerId, session_ref: SessionRef,
         cause: u8, reason: EndReason,
@@ -63,10 +66,10 @@
             of = format!("{:016x}", session_ref.0),
             server = self.server_name(server),
             cause,
-            "a session is over"
+            "session ended"
         );
-        // Guards against an end that overtakes the answer: whoever ended it itself is owed none, and may not have read
-        // yet that it stood.
+        // A viewer that ended the session itself expects no notification. It would also be wrong if the
+        // viewer has not read the answer yet, because the end would overtake it.
         if cause != CAUSE_CANCELLED {
             self.notify_viewer(now, session_ref, active_session.client_id, cause);
         }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -527,7 +527,7 @@
                 });
             }
             (Answer::Blocked { why, .. }, _) => {
-                tracing::debug!(of = format!("{:016x}", session_ref.0), ?why, "set-up blocked");
+                tracing::debug!(of = format!("{:016x}", session_ref.0), ?why, "blocked");
                 self.viewers.refuse(set_up.client_id, session_ref, CAUSE_REFUSED);
             }
             (answer, _) => {
