--- a/crates/edge/src/client.rs
+++ b/crates/edge/src/client.rs
@@ -1,62 +1,72 @@
-//! Which connections of viewers are kept, and how much one may ask at once.
+//! Limits for viewer connections: which ones are kept, and how many set-ups may be open.
 
 use std::time::Duration;
 
-/// A connection that nothing was answered on for so long after it stood is closed, unless a set-up is open on it. Whoever
-/// can't be answered is owed that within 3 s.
+/// A new connection on which nothing was answered after this time is closed, unless a set-up is open on
+/// it. A request that can't be answered must be ended within 3 s.
 const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(2000);
-/// One that nothing is open or stands on is closed after so long without a word. Viewers close theirs after 4 s.
+/// A connection without open set-ups and sessions is closed after this time without a message. Viewers
+/// close theirs after 4 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// The part of the descriptors that viewers' connections may take. They hold a third; strangers come beside them. What is
-/// left has to do for one connection to each of some hundred servers ([`ClientLimits::server_connection_limit`]).
+/// The fraction of the file descriptors that viewer connections may keep. Viewers need a third; the rest
+/// is for connections of other clients. What remains has to suffice for one connection to each of several
+/// hundred servers ([`ClientLimits::server_connection_limit`]).
 const VIEWER_FRACTION: f64 = 0.4;
-/// The part that they may take for the moment in which some are being closed.
+/// The fraction that viewer connections may use for a moment, while some of them are being closed.
 const VIEWER_PEAK_FRACTION: f64 = 0.45;
-/// What the process holds beside connections of viewers and to servers: three standard streams, six of the runtime and its
-/// signals, the listener, the bus and its next connection, a file; and as many again as are just being closed.
+/// The file descriptors that the process needs besides connections of viewers and to servers: three
+/// standard streams, six of the runtime and its signals, the listener, the discovery connection and its
+/// successor, and a file; and as many again that are just being closed.
 const OWN_DESCRIPTOR_COUNT: usize = 20;
-/// Whoever connects has so long to say something before it may give way.
+/// A new connection may not be evicted for this time, so that it can send its first message.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Set-ups that may be open on one connection, as a part of its descriptors.
+/// The maximum number of open set-ups on one connection, as a fraction of the file descriptors.
 const OPEN_PER_CONNECTION_FRACTION: f64 = 0.125;
-/// The same on all connections together.
+/// The maximum number of open set-ups on all connections, as a multiple of the file descriptors.
 const OPEN_IN_TOTAL_FACTOR: f64 = 2.0;
 
-/// What is known of a connection.
+/// The state of a viewer connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientState {
+    /// When the connection was accepted.
     pub connected_at: Duration,
-    /// When it last said anything that could be read.
+    /// When the last readable message arrived.
     pub last_message_at: Duration,
-    /// Set-ups open on it, and sessions that it asked for and that stand.
+    /// The number of open set-ups.
     pub open_set_ups: usize,
+    /// The number of active sessions that were requested on this connection.
     pub active_sessions: usize,
-    /// Whether anything was answered on it, and whether a session stood that was: only viewers have that.
+    /// Whether anything was answered on this connection.
     pub answered: bool,
+    /// Whether a session was set up on this connection. Only viewers have that.
     pub had_session: bool,
 }
 
-/// Connections of viewers, within a number of descriptors.
+/// Limits for viewer connections, derived from the number of file descriptors.
 pub struct ClientLimits {
     descriptors: usize,
+    /// More connections than this lead to evictions.
     kept_connections: usize,
+    /// More connections than this wait in the listener's queue.
     connection_limit: usize,
     max_open_per_connection: usize,
     max_open_in_total: usize,
 }
 
 impl ClientLimits {
-    /// Bytes that may wait to be written on one connection.
+    /// The maximum number of bytes that may be queued for writing on one connection.
     pub const MAX_UNSENT_BYTES: usize = 128 << 10;
-    /// Whoever takes nothing for so long reads no more, and is closed.
+    /// A connection that accepts no bytes for this time counts as not being read any more, and is closed.
     pub const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-    /// What was told so shortly before a client closed its connection may lie unread there.
+    /// An end that was written within this time before a reset may not have been read.
     pub const END_UNREAD_TIMEOUT: Duration = Duration::from_millis(150);
-    /// A session that is over is told to its viewer within so long, or not at all.
+    /// A session's end is delivered to its viewer within this time, or not at all.
     pub const END_DELIVERY_TIMEOUT: Duration = Duration::from_secs(8);
-    /// No viewer waits for so many of the longest patience: more is no number of milliseconds.
+    /// A set-up's time limit may be at most this multiple of the longest patience. A larger value is
+    /// taken for an error in the field.
     pub const MAX_PATIENCE_FACTOR: u32 = 2;
 
+    /// `descriptors`: the number of file descriptors that the process may hold.
     pub fn new(descriptors: usize) -> Self {
         let share_of = |share: f64| ((descriptors as f64 * share) as usize).max(1);
         ClientLimits {
@@ -68,23 +78,25 @@
         }
     }
 
-    /// Connections to servers that may stand at any time. Guards against descriptors of which none is left for the bus, its
-    /// next connection or the configuration, whoever holds the others.
+    /// The maximum number of connections to servers. It leaves enough file descriptors for the discovery
+    /// connection, its successor and the configuration file, whatever viewers use.
     pub fn server_connection_limit(&self) -> usize {
         self.descriptors.saturating_sub(self.connection_limit + OWN_DESCRIPTOR_COUNT).max(1)
     }
 
-    /// Connections that may stand at any time; further ones wait to be taken.
+    /// The maximum number of viewer connections. Further ones wait in the listener's queue.
     pub fn connection_limit(&self) -> usize {
         self.connection_limit
     }
 
-    /// Whether one more set-up may be open on it, with so many on all. Guards against memory that long descriptions hold.
+    /// Whether one more set-up may be open on a connection, with `open_in_total` on all. This limits the
+    /// memory that long descriptions take.
     pub fn may_open(&self, client: &ClientState, open_in_total: usize) -> bool {
         client.open_set_ups < self.max_open_per_connection && open_in_total < self.max_open_in_total
     }
 
-    /// Whether it is closed now. Guards against clients that connect and say nothing, or nothing that can be answered.
+    /// Whether a connection is to be closed. This removes clients that connect and send nothing, or
+    /// nothing that can be answered.
     pub fn is_expired(&self, now: Duration, client: &ClientState) -> bool {
         let silent = !client.answered && now >= client.connected_at + UNANSWERED_TIMEOUT;
         let idle = client.active_sessions == 0
@@ -92,8 +104,10 @@
         client.open_set_ups == 0 && (silent && client.active_sessions == 0 || idle)
     }
 
-    /// With so many connections, which of them gives way; none where there is room, or where all are of use. Guards
-    /// against descriptors that strangers hold: who was never answered goes first, then who has been idle for longest.
+    /// The connection to close if there are too many; `None` if there are not, or if all are needed.
+    ///
+    /// Connections on which nothing was answered go first, then those without sessions, then those idle
+    /// for longest. This keeps clients that are not viewers from using up the file descriptors.
     pub fn eviction_candidate<T: Copy + Ord>(
         &self, now: Duration, clients: impl Iterator<Item = (T, ClientState)> + Clone,
     ) -> Option<T> {
--- a/crates/edge/src/clock_consensus.rs
+++ b/crates/edge/src/clock_consensus.rs
@@ -1,36 +1,42 @@
-//! What date it is, by our own clock and those of the servers. A clock that jumps is found out by the others: no date is
-//! believed that lies further from theirs than the settings allow.
+//! Determines the current date from our own clock and the servers' clocks.
+//!
+//! Our clock is outvoted if it differs from the servers' median by more than the settings allow, for
+//! example after a jump.
 
 use crate::MAX_SAMPLE_COUNT;
 use ivyward::interface::ServerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Servers' dates come in whole seconds (RFC 9110, 5.6.7).
+/// The resolution of servers' dates, which are whole seconds (RFC 9110, section 5.6.7).
 const DATE_RESOLUTION_MS: i64 = 1000;
-/// Fewer servers than this outvote nobody.
+/// The minimum number of servers that can outvote our clock.
 const QUORUM: usize = 3;
 
-/// When a clock would have shown the epoch, in milliseconds from our start: the same for all clocks that go right.
+/// The time at which a clock would have shown the Unix epoch, in milliseconds from our start. All correct
+/// clocks have the same value.
 type Epoch = i64;
 
+/// The epoch of a clock that shows `date` at the time `now`.
 fn epoch(now: Duration, date: Duration) -> Epoch {
     let ms = |max_age: Duration| i64::try_from(max_age.as_millis()).unwrap_or(i64::MAX / 4);
     ms(now) - ms(date)
 }
 
-/// The clocks heard of.
+/// The clocks of all servers that reported a date recently.
 pub struct ClockConsensus {
+    /// The allowed difference between two clocks.
     max_skew_ms: i64,
+    /// When each server last reported a date, and its epoch.
     clocks: BTreeMap<ServerId, (Duration, Epoch)>,
-    /// All that were heard in their order, so that a date costs no more with many servers.
+    /// The epochs of all servers in order, so that the median costs the same with many servers.
     epochs: Vec<Epoch>,
-    /// The last date told.
+    /// The last date that was returned.
     last_date: Duration,
 }
 
 impl ClockConsensus {
-    /// `skew`: how far clocks may be apart.
+    /// `max_skew_ms` is set from `skew`, the allowed difference between two clocks.
     pub fn new(max_skew_ms: Duration) -> Self {
         ClockConsensus {
             max_skew_ms: i64::try_from(max_skew_ms.as_millis()).unwrap_or(i64::MAX / 4),
@@ -40,7 +46,7 @@
         }
     }
 
-    /// A server answered with its date.
+    /// Records a server's date.
     pub fn record(&mut self, now: Duration, server: ServerId, date: Duration) {
         self.forget(server);
         let epoch = epoch(now, date);
@@ -49,6 +55,7 @@
         self.epochs.insert(index, epoch);
     }
 
+    /// Removes a server's clock.
     pub fn forget(&mut self, server: ServerId) {
         let Some((_, epoch)) = self.clocks.remove(&server) else { return };
         if let Ok(index) = self.epochs.binary_search(&epoch) {
@@ -56,34 +63,39 @@
         }
     }
 
-    /// Only some are still of use.
+    /// Keeps only the servers that are in use.
     pub fn retain(&mut self, in_use: impl Fn(ServerId) -> bool) {
         let gone: Vec<_> = self.clocks.keys().copied().filter(|server| !in_use(*server)).collect();
         gone.into_iter().for_each(|server| self.forget(server));
     }
 
-    /// Servers whose clocks are known.
+    /// The number of servers whose clocks are known.
     pub fn len(&self) -> usize {
         self.clocks.len()
     }
 
+    /// Whether no server's clock is known.
     pub fn is_empty(&self) -> bool {
         self.clocks.is_empty()
     }
 
-    /// When a server's date was last heard.
+    /// When a server last reported a date.
     pub fn last_heard_at(&self, server: ServerId) -> Option<Duration> {
         self.clocks.get(&server).map(|(at, _)| *at)
     }
 
-    /// What most servers say. Their whole seconds lag by half of one on average.
+    /// The median of the servers' epochs, if there are enough servers. Corrected by half a second, since
+    /// dates in whole seconds lag by that on average.
     fn median_epoch(&self) -> Option<Epoch> {
         let median = self.epochs.get(self.epochs.len() / 2).filter(|_| self.epochs.len() >= QUORUM);
         median.map(|epoch| epoch - DATE_RESOLUTION_MS / 2)
     }
 
-    /// The date to go by, where our own clock says `own`; and whether that clock is believed. It goes back only where it
-    /// has to by more than clocks may differ: the servers' dates and ours take turns within that.
+    /// The current date, and whether our own clock, which shows `own_date`, is trusted.
+    ///
+    /// The date goes back only if the correction exceeds the allowed difference. Otherwise it stays
+    /// constant until the clock catches up, so that switching between our clock and the servers' does not
+    /// make it jump.
     pub fn date(&mut self, now: Duration, own_date: Duration) -> (Duration, bool) {
         let (date, believed) = match self.median_epoch() {
             Some(median_epoch)
@@ -101,7 +113,8 @@
         (self.last_date, believed)
     }
 
-    /// Whether a server's clock lies too far from the others' for its players' tokens to be taken there.
+    /// Whether a server's clock differs so much from the others' that the server would reject its
+    /// players' tokens.
     pub fn is_skewed(&self, server: ServerId) -> bool {
         let Some((median_epoch, (_, epoch))) = self.median_epoch().zip(self.clocks.get(&server)) else {
             return false;
@@ -109,7 +122,7 @@
         (epoch - DATE_RESOLUTION_MS / 2 - median_epoch).abs() > self.max_skew_ms + DATE_RESOLUTION_MS
     }
 
-    /// Servers whose dates were not heard for longer than `span`, the longest first, a few at a time.
+    /// Servers whose last date is older than `max_age`, the oldest first, a few at a time.
     pub fn stale_servers(&self, now: Duration, max_age: Duration) -> Vec<ServerId> {
         let mut stale: Vec<_> = self
             .clocks
--- a/crates/edge/src/connection_limits.rs
+++ b/crates/edge/src/connection_limits.rs
@@ -1,48 +1,52 @@
-//! How many connections a server may have from us, and how much may wait for one.
+//! Limits the connections to each server and the queues for them.
 
 use crate::{median, push_sample};
 use ivyward::interface::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What a connection is wanted for. Each kind has places of its own, so that what is hopeless of one kind doesn't hold
-/// up the other: releases to a server that stands still wait until it goes on.
+/// What a connection is used for. Each purpose has its own slots, so that one can't block the other:
+/// releases to a server that hangs wait until it recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     /// A tune-in.
     SetUp,
-    /// A release, a rung, a probe.
+    /// A release, a change of rung or a probe.
     Control,
 }
 
-/// One that asked for a place.
+/// Identifies a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
+/// The result of a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a place, which `release_slot` gives back.
+    /// The request has a slot, which must be returned with `release_slot`.
     Granted,
-    /// It waits: `release_slot` of another names it, or it gives up by `cancel`.
+    /// The request waits until another `release_slot` returns its id, or until it is cancelled.
     Queued,
-    /// Its turn would come too late, or too many wait: it is told so at once.
+    /// The slot would come too late, or too many requests wait.
     Rejected,
 }
 
-/// So many may wait for each place, whatever the times say.
+/// The maximum number of waiting requests for each slot, whatever their deadlines are.
 const MAX_WAITERS_PER_SLOT: usize = 4;
-/// The part of a server's places that is for anything but set-ups.
+/// The fraction of a server's slots that is reserved for [`Purpose::Control`].
 const CONTROL_FRACTION: f64 = 0.25;
 
+/// The slots for one purpose at one server.
 #[derive(Default)]
 struct Pool {
+    /// The number of slots in use.
     held: usize,
+    /// The waiting requests with their deadlines, in order.
     waiting: VecDeque<(WaiterId, Duration)>,
-    /// How long the last few held their places.
+    /// How long the most recent slots were held.
     hold_times: VecDeque<Duration>,
 }
 
-/// The doors of all servers.
+/// The slots of all servers.
 pub struct ConnectionLimits {
     max_connections: usize,
     pools: BTreeMap<(ServerId, Purpose), Pool>,
@@ -50,11 +54,12 @@
 }
 
 impl ConnectionLimits {
-    /// `most`: connections to one server at once.
+    /// `max_connections`: the maximum number of connections to one server.
     pub fn new(max_connections: usize) -> Self {
         ConnectionLimits { max_connections, pools: BTreeMap::new(), last_waiter_id: 0 }
     }
 
+    /// The number of slots for a purpose at each server.
     fn slot_count(&self, purpose: Purpose) -> usize {
         let control_slots = ((self.max_connections as f64 * CONTROL_FRACTION) as usize).max(1);
         match purpose {
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Asks for a place that is of use until `until`.
+    /// Requests a slot, which is useful until `deadline`.
     pub fn acquire_slot(
         &mut self, now: Duration, server: ServerId, purpose: Purpose, deadline: Duration,
     ) -> (WaiterId, Admission) {
@@ -76,7 +81,7 @@
             return (waiter_id, Admission::Granted);
         }
         pool.waiting.retain(|(_, deadline)| *deadline > now);
-        // Those before it and itself, as many at a time as there are places.
+        // The requests ahead and this one are served in rounds of as many as there are slots.
         let round_count = (pool.waiting.len() + 1).div_ceil(slot_count) as u32;
         let wait = median(pool.hold_times.iter().copied()).unwrap_or_default() * round_count;
         if pool.waiting.len() >= slot_count * MAX_WAITERS_PER_SLOT || now + wait >= deadline {
@@ -86,14 +91,15 @@
         (waiter_id, Admission::Queued)
     }
 
-    /// A place is given back after `took`; it passes to whom is named.
+    /// Releases a slot that was held for `held_for`, and returns the waiting request that receives it, if
+    /// any.
     pub fn release_slot(
         &mut self, now: Duration, server: ServerId, purpose: Purpose, held_for: Duration,
     ) -> Option<WaiterId> {
         let pool = self.pools.get_mut(&(server, purpose))?;
         push_sample(&mut pool.hold_times, held_for);
         while let Some((waiter_id, deadline)) = pool.waiting.pop_front() {
-            // What would come too late waits no more; it has its own end.
+            // A request past its deadline is dropped; the requester handles its own timeout.
             if deadline > now {
                 return Some(waiter_id);
             }
@@ -102,19 +108,19 @@
         None
     }
 
-    /// One that waited gives up.
+    /// Cancels a waiting request.
     pub fn cancel(&mut self, server: ServerId, purpose: Purpose, waiter_id: WaiterId) {
         if let Some(pool) = self.pools.get_mut(&(server, purpose)) {
             pool.waiting.retain(|(other, _)| *other != waiter_id);
         }
     }
 
-    /// Servers of no use any more that have nothing here are forgotten.
+    /// Forgets servers that are neither in use nor have slots in use or waiting requests.
     pub fn retain(&mut self, in_use: impl Fn(ServerId) -> bool) {
         self.pools.retain(|(server, _), pool| in_use(*server) || pool.held > 0 || !pool.waiting.is_empty());
     }
 
-    /// Places held and tickets that wait, in all.
+    /// The total numbers of slots in use and of waiting requests.
     pub fn count(&self) -> (usize, usize) {
         self.pools
             .values()
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,16 @@
-//! What is decided at a manager's edges: how much may wait at servers and at the listener ([`ConnectionLimits`], [`OverloadGate`]), which
-//! tokens of a viewing are still taken ([`TokenChain`]), which clock is believed ([`ClockConsensus`]), and when players ask again
-//! ([`RefreshSchedule`]), which lines of a flood are written ([`LogRateLimiter`]),
-//! which connections of viewers are kept ([`ClientLimits`]) and which to servers are used ([`UpstreamPolicy`]). Who is served and where is the module's; nothing here has sockets, clocks or tasks: each call says
-//! what time it is, as a span since the start. Options weighed: `docs/session-path.md`.
+//! Decides about connections, queues, clocks and tokens, without I/O.
+//!
+//! - How much may wait at servers and at the listener: [`ConnectionLimits`], [`OverloadGate`].
+//! - Which tokens of a viewing are still accepted: [`TokenChain`].
+//! - Which date is used: [`ClockConsensus`].
+//! - When players fetch their manifests again: [`RefreshSchedule`].
+//! - Which repeated log lines are written: [`LogRateLimiter`].
+//! - Which connections of viewers are kept: [`ClientLimits`]; which connections to servers are used:
+//!   [`UpstreamPolicy`].
+//!
+//! Who is served, and by which server, is decided by the policy in `ivyward`. Nothing here has sockets,
+//! clocks or tasks: the caller passes the current time, as the span since the start.
+//! `docs/session-path.md` describes the options that were considered.
 
 mod client;
 mod clock_consensus;
@@ -24,9 +32,10 @@
 
 use std::collections::VecDeque;
 
-/// Samples kept of anything.
+/// The maximum number of samples that a queue of measurements keeps.
 const MAX_SAMPLE_COUNT: usize = 16;
 
+/// Appends a sample and drops the oldest one if there are too many.
 fn push_sample<T>(samples: &mut VecDeque<T>, sample: T) {
     if samples.len() == MAX_SAMPLE_COUNT {
         samples.pop_front();
@@ -34,7 +43,7 @@
     samples.push_back(sample);
 }
 
-/// The middle of some samples, the upper of two.
+/// The median of some samples; of an even number, the upper one.
 fn median<T: Ord + Copy>(samples: impl Iterator<Item = T>) -> Option<T> {
     let mut sorted: Vec<_> = samples.collect();
     sorted.sort_unstable();
--- a/crates/edge/src/log_rate_limiter.rs
+++ b/crates/edge/src/log_rate_limiter.rs
@@ -1,13 +1,13 @@
-//! Which lines are written of what may come in floods.
+//! Limits log lines that may be repeated very often.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One line of a kind in this span.
+/// At most one line of each kind is written in this interval.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When each kind of line was last written, and how many were left out since. Kinds are names in the text of the
-/// program: nothing from outside makes a new one.
+/// When a line of each kind was last written, and how many were suppressed since. Kinds are literals in
+/// the code, so their number is bounded whatever input arrives.
 #[derive(Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<&'static str, (Duration, u64)>,
@@ -15,7 +15,8 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a line of this kind is written now: then how many were left out before it.
+    /// Returns the number of lines of this kind that were suppressed since the last one if a line is to
+    /// be written now, else `None`.
     pub fn check(&mut self, now: Duration, kind: &'static str) -> Option<u64> {
         match self.kinds.get_mut(kind) {
             Some((last_written_at, left_out)) if now < *last_written_at + LOG_INTERVAL => {
@@ -31,16 +32,16 @@
         }
     }
 
-    /// Lines left out so far, of any kind.
+    /// The total number of suppressed lines.
     pub fn suppressed(&self) -> u64 {
         self.suppressed
     }
 }
 
-/// The longest text from outside in a line.
+/// The maximum length of external text in a log line, in characters.
 const MAX_TEXT_CHARS: usize = 120;
 
-/// A text from outside as it may stand in a line: cut short, and told so.
+/// Shortens external text for a log line; a shortened text ends with its original length.
 pub fn truncate_for_log(text: &str) -> String {
     match text.char_indices().nth(MAX_TEXT_CHARS) {
         Some((at, _)) => format!("{}... ({} bytes)", &text[..at], text.len()),
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -35,7 +35,7 @@
         assert_eq!(
             limits.acquire_slot(ms(0), server(2), purpose, ms(500)).1,
             Admission::Granted,
-            "another server's door"
+            "another server has its own slots"
         );
     }
     assert_eq!(limits.count(), (10, 2));
@@ -43,7 +43,8 @@
 
 #[test]
 fn a_waiter_whose_slot_would_come_too_late_is_rejected_at_once() {
-    // How long the last few held their place, how many wait before, how long the next can wait, and its turn.
+    // How long recent slots were held, the number of waiting requests, the patience, and the expected
+    // result.
     let cases = [
         (100, 0, 101, Admission::Queued),
         (100, 0, 100, Admission::Rejected),
@@ -52,18 +53,18 @@
         (0, 3, 1, Admission::Queued),
         (0, 4, 1000, Admission::Rejected),
     ];
-    for (took, before, patience, turn) in cases {
+    for (held_for, waiters_before, patience, expected) in cases {
         let mut limits = ConnectionLimits::new(2);
         assert_eq!(limits.acquire_slot(ms(0), server(1), Purpose::SetUp, ms(9000)).1, Admission::Granted);
         for _ in 0..5 {
-            assert_eq!(limits.release_slot(ms(0), server(1), Purpose::SetUp, ms(took)), None);
+            assert_eq!(limits.release_slot(ms(0), server(1), Purpose::SetUp, ms(held_for)), None);
             assert_eq!(limits.acquire_slot(ms(0), server(1), Purpose::SetUp, ms(9000)).1, Admission::Granted);
         }
-        for _ in 0..before {
+        for _ in 0..waiters_before {
             assert_eq!(limits.acquire_slot(ms(0), server(1), Purpose::SetUp, ms(9000)).1, Admission::Queued);
         }
         let (_, result) = limits.acquire_slot(ms(0), server(1), Purpose::SetUp, ms(patience));
-        assert_eq!(result, turn, "{before} before, each {took} ms, patience {patience} ms");
+        assert_eq!(result, expected, "{waiters_before} waiting, each {held_for} ms, patience {patience} ms");
     }
 }
 
@@ -76,7 +77,7 @@
     let (_, second, third, fourth) =
         (ask(&mut limits, 9000), ask(&mut limits, 50), ask(&mut limits, 9000), ask(&mut limits, 9000));
     limits.cancel(server(1), Purpose::SetUp, third);
-    // The second's time is over by now, the third gave up.
+    // The second request is past its deadline, and the third was cancelled.
     assert_ne!(second, fourth);
     assert_eq!(limits.release_slot(ms(100), server(1), Purpose::SetUp, ms(100)), Some(fourth));
     assert_eq!(limits.release_slot(ms(200), server(1), Purpose::SetUp, ms(100)), None);
@@ -85,7 +86,8 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order, no more hold a place than there are, and each that waits is named once or quits.
+    /// Whatever happens in whatever order, no more slots are held than exist, and each waiting request is
+    /// served at most once or cancelled.
     #[test]
     fn no_slot_is_lost_or_granted_twice(steps in prop::collection::vec((0_u8..4, 0_u64..400), 0..300)) {
         let (mut limits, mut now) = (ConnectionLimits::new(4), ms(0));
@@ -115,7 +117,7 @@
 
 #[test]
 fn a_viewing_is_admitted_only_if_it_can_be_answered_in_time() {
-    // How long a turn at the core takes, what answers take, the patience, and whether it is taken.
+    // The queue delay, the answer time, the patience, and whether the viewing is admitted.
     let cases = [
         (0, 0, 1, true),
         (10, 4000, 1000, true),
@@ -123,26 +125,30 @@
         (200, 400, 1000, false),
         (400, 0, 1000, false),
     ];
-    for (turn, answer, patience, taken) in cases {
+    for (queue_delay, answer_time, patience, admitted) in cases {
         let mut gate = OverloadGate::new(ms(1000));
-        gate.record_queue_delay(ms(5000), ms(turn));
-        (0..20).for_each(|_| gate.record_answer(ms(answer)));
+        gate.record_queue_delay(ms(5000), ms(queue_delay));
+        (0..20).for_each(|_| gate.record_answer(ms(answer_time)));
         let result = gate.admit(ms(5000), ms(patience));
-        assert_eq!(result.is_ok(), taken, "turn {turn} ms, answers {answer} ms, patience {patience} ms");
+        assert_eq!(
+            result.is_ok(),
+            admitted,
+            "queue delay {queue_delay} ms, answers {answer_time} ms, patience {patience} ms"
+        );
         assert!(
             result.is_ok_and(|()| true) || gate.admit(ms(6001), ms(patience)).is_ok(),
-            "the flood has gone"
+            "old queue delays are ignored"
         );
     }
 }
 
 #[test]
 fn new_connections_wait_while_the_core_lags() {
-    for (turn, open, opens) in [(0, 9, true), (0, 10, false), (124, 9, true), (125, 9, false)] {
+    for (queue_delay, open, accepts) in [(0, 9, true), (0, 10, false), (124, 9, true), (125, 9, false)] {
         let mut gate = OverloadGate::new(ms(1000));
-        gate.record_queue_delay(ms(100), ms(turn));
+        gate.record_queue_delay(ms(100), ms(queue_delay));
         gate.record_queue_delay(ms(100), ms(0));
-        assert_eq!(gate.may_accept(ms(200), open, 10), opens, "turn {turn} ms, {open} open");
+        assert_eq!(gate.may_accept(ms(200), open, 10), accepts, "queue delay {queue_delay} ms, {open} open");
     }
 }
 
@@ -156,10 +162,11 @@
 
 #[test]
 fn a_token_is_invalidated_by_later_tokens() {
-    // What begins it, what is shown then and whether that is taken; each that is taken is given the next turn.
+    // The first token, then the tokens that are presented and whether each is accepted. A new token is
+    // issued after each that is.
     type Case<'a> = (TokenOrigin, &'a [(TokenOrigin, bool)]);
     let cases: [Case; 6] = [
-        // A player that goes on; one whose answer was lost shows the same again.
+        // A player that continues; one whose answer was lost presents the same token again.
         (
             app_token(5),
             &[
@@ -170,7 +177,7 @@
                 (manager_token(2), false),
             ],
         ),
-        // The app's resend, until the player has gone on.
+        // The app's token is accepted again until the player has used a later one.
         (
             app_token(5),
             &[
@@ -181,7 +188,7 @@
                 (manager_token(1), false),
             ],
         ),
-        // A newer one of the app ends all before it; an older one is none.
+        // A newer token of the app invalidates all before it; an older one is rejected.
         (
             app_token(5),
             &[
@@ -192,7 +199,7 @@
                 (manager_token(3), true),
             ],
         ),
-        // Of two branches the first to go on stays.
+        // Of two branches, the first to continue stays.
         (
             app_token(5),
             &[
@@ -203,7 +210,7 @@
                 (manager_token(4), true),
             ],
         ),
-        // Turns that were never given out.
+        // Sequence numbers that were never issued.
         (app_token(5), &[(manager_token(9), false), (manager_token(0), false), (manager_token(1), true)]),
         // A viewing that began with a manager's token of another tune-in.
         (
@@ -217,11 +224,11 @@
             ],
         ),
     ];
-    for (begins, origin) in cases {
-        let mut chain = TokenChain::new(begins);
+    for (first, presented) in cases {
+        let mut chain = TokenChain::new(first);
         chain.next_sequence();
-        for (i, (origin, taken)) in origin.iter().enumerate() {
-            assert_eq!(chain.accept(*origin), *taken, "{begins:?}, step {i}: {origin:?}");
+        for (i, (origin, taken)) in presented.iter().enumerate() {
+            assert_eq!(chain.accept(*origin), *taken, "{first:?}, step {i}: {origin:?}");
             if *taken {
                 chain.next_sequence();
             }
@@ -237,7 +244,8 @@
 }
 
 proptest! {
-    /// Two players with copies of one token: once one has gone on from its next, the other's tokens are dead for good.
+    /// Two players have copies of one token. Once one has used its next token, all tokens of the other
+    /// are invalid.
     #[test]
     fn only_one_of_two_players_with_the_same_token_continues(order in prop::collection::vec(any::<bool>(), 2..60)) {
         let mut chain = TokenChain::new(app_token(5));
@@ -245,16 +253,16 @@
         let mut tokens = [first, first];
         let mut taken = [0, 0];
         let mut dead = [false, false];
-        for who in order.into_iter().map(usize::from) {
-            if chain.accept(manager_token(tokens[who])) {
-                prop_assert!(!dead[who], "a dead copy came alive");
-                tokens[who] = chain.next_sequence();
-                taken[who] += 1;
+        for player in order.into_iter().map(usize::from) {
+            if chain.accept(manager_token(tokens[player])) {
+                prop_assert!(!dead[player], "an invalid copy was accepted");
+                tokens[player] = chain.next_sequence();
+                taken[player] += 1;
             } else {
-                dead[who] = true;
+                dead[player] = true;
             }
         }
-        prop_assert!(!(dead[0] && dead[1]), "both were turned away");
+        prop_assert!(!(dead[0] && dead[1]), "both were rejected");
         prop_assert!(taken[0] < 2 || taken[1] < 2 || dead[0] || dead[1]);
     }
 }
@@ -263,7 +271,8 @@
 fn a_clock_that_jumps_is_outvoted() {
     let right = |now: u64| Duration::from_secs(1_000_000) + ms(now);
     let hour = Duration::from_secs(3600);
-    // Servers heard, of which one is an hour off; whether our own clock is; whether that is believed.
+    // The number of servers, whether one of them is an hour off, whether our own clock is, and whether
+    // ours is trusted.
     let cases = [
         (5, None, 0, true),
         (5, Some(true), 0, true),
@@ -273,11 +282,11 @@
         (3, Some(true), 1, false),
         (2, None, 1, true),
     ];
-    for (servers, off, own, believed) in cases {
+    for (servers, off, own, expected_trust) in cases {
         let mut consensus = ClockConsensus::new(ms(1000));
         for i in 0..servers {
             let now = 700 * u64::from(i);
-            // Whole seconds, as they come.
+            // Dates are whole seconds.
             let date = Duration::from_secs(right(now).as_secs());
             let date = match off.filter(|_| i == 1) {
                 None => date,
@@ -287,15 +296,15 @@
             consensus.record(ms(now), server(i), date);
         }
         let now = 60_000;
-        let ours = if own > 0 {
+        let own_date = if own > 0 {
             right(now) + hour
         } else if own < 0 {
             right(now) - hour
         } else {
             right(now)
         };
-        let (date, held) = consensus.date(ms(now), ours);
-        assert_eq!(held, believed, "{servers} servers, {off:?}, own {own}");
+        let (date, trusted) = consensus.date(ms(now), own_date);
+        assert_eq!(trusted, expected_trust, "{servers} servers, {off:?}, own {own}");
         if servers >= 3 {
             assert!(date.abs_diff(right(now)) < ms(1000), "{date:?}");
         }
@@ -309,18 +318,18 @@
 fn the_date_goes_back_only_by_more_than_the_allowed_skew() {
     let mut consensus = ClockConsensus::new(ms(1000));
     let date = Duration::from_secs(1_000_000);
-    // What our clock says next, in milliseconds from the first, and what is gone by.
-    for (own, gone_by) in
+    // What our clock shows, in milliseconds from its first date, and the expected date.
+    for (own, expected) in
         [(0, 0), (500, 500), (400, 500), (-1400, 500), (600, 600), (-1500, -1500), (-1000, -1000)]
     {
         let at = |ms: i64| date + Duration::from_millis((ms + 5000) as u64);
-        assert_eq!(consensus.date(ms(10_000), at(own)).0, at(gone_by), "{own}");
+        assert_eq!(consensus.date(ms(10_000), at(own)).0, at(expected), "{own}");
     }
 }
 
 #[test]
 fn the_sorted_epochs_match_a_recount() {
-    // Servers are heard again with other dates, and forgotten; what counts is the middle of those heard last.
+    // Servers report new dates and are forgotten; the result must be the median of the latest ones.
     let mut consensus = ClockConsensus::new(ms(1000));
     let mut last = std::collections::BTreeMap::new();
     for i in 0..500_u64 {
@@ -346,7 +355,7 @@
 #[test]
 fn one_line_per_kind_and_second_is_logged_and_the_rest_are_counted() {
     let mut log_limiter = LogRateLimiter::default();
-    // When a line of which kind comes, and how many were left out before it where it is written.
+    // When a line of which kind occurs, and the number suppressed before it if it is written.
     let cases = [
         (0, "a", Some(0)),
         (10, "a", None),
@@ -388,26 +397,26 @@
 fn players_that_start_together_do_not_refresh_together_for_long() {
     let (usual, step) = (ms(2000), ms(100));
     let mut refresh = RefreshSchedule::new(7, usual, Duration::from_secs(600), ms(7000));
-    let mut asks = vec![0_usize; 400];
+    let mut refreshes = vec![0_usize; 400];
     for _ in 0..1000 {
         let mut at = Duration::ZERO;
         while at < step * 400 {
-            asks[(at.as_millis() / step.as_millis()) as usize] += 1;
+            refreshes[(at.as_millis() / step.as_millis()) as usize] += 1;
             let span = refresh.span();
             assert!(usual.mul_f64(0.75) <= span && span <= usual, "{span:?}");
             at += span;
         }
     }
     let highest = |of: &[usize]| of.iter().max().copied().unwrap_or_default() as f64;
-    let mean = asks.iter().sum::<usize>() as f64 / asks.len() as f64;
-    assert!(asks[0] == 1000, "all at once at first");
-    let later = highest(&asks[300..]) / mean;
-    assert!(later < 1.5, "thirty seconds later the fullest moment has {later:.2} times the mean");
+    let mean = refreshes.iter().sum::<usize>() as f64 / refreshes.len() as f64;
+    assert!(refreshes[0] == 1000, "all players refresh together at first");
+    let later = highest(&refreshes[300..]) / mean;
+    assert!(later < 1.5, "thirty seconds later the peak is {later:.2} times the mean");
 }
 
 #[test]
 fn tokens_are_renewed_before_they_expire() {
-    // Usual span, life, and the longest that a player may wait.
+    // The interval, the lifetime of tokens, and the longest expected refresh interval.
     for (usual, life, longest) in
         [(2000, 600_000, 2000), (2000, 8000, 1000), (9000, 10_000, 3000), (2000, 1000, 1)]
     {
@@ -422,17 +431,17 @@
 #[test]
 fn which_client_connections_expire_and_which_are_evicted() {
     let clients = ClientLimits::new(10);
-    // Viewers' connections and those to servers of so many descriptors, with what is left beside them.
-    for (descriptors, room, servers) in [(256, 115, 121), (1024, 460, 544), (20, 9, 1)] {
+    // The limits of viewer connections and of connections to servers for a number of descriptors.
+    for (descriptors, viewer_limit, server_limit) in [(256, 115, 121), (1024, 460, 544), (20, 9, 1)] {
         let clients = ClientLimits::new(descriptors);
         assert_eq!(
             (clients.connection_limit(), clients.server_connection_limit()),
-            (room, servers),
+            (viewer_limit, server_limit),
             "{descriptors}"
         );
     }
-    // Since when it stands, when it last spoke, set-ups open, sessions that stand, whether anything was answered; whether
-    // it is closed at 10 s.
+    // When it connected, its last message, open set-ups, active sessions, whether anything was answered;
+    // whether it is expired at 10 s.
     let cases = [
         ((9000, 9000, 0, 0, false), false),
         ((8000, 8000, 0, 0, false), true),
@@ -455,12 +464,12 @@
     for (of, closed) in cases {
         assert_eq!(clients.is_expired(ms(10_000), &client(of)), closed, "{of:?}");
     }
-    // Set-ups open on one connection of 64 descriptors and on all: whether one more may be.
+    // Open set-ups on one connection and on all, with 64 descriptors; whether one more is allowed.
     let clients_64 = ClientLimits::new(64);
-    for (open, all, takes) in [(7, 127, true), (8, 8, false), (0, 128, false)] {
-        assert_eq!(clients_64.may_open(&client((0, 0, open, 0, true)), all), takes, "{open} of {all}");
+    for (open, all, allowed) in [(7, 127, true), (8, 8, false), (0, 128, false)] {
+        assert_eq!(clients_64.may_open(&client((0, 0, open, 0, true)), all), allowed, "{open} of {all}");
     }
-    // Five where four may stay: which of them gives way at 10 s.
+    // Five connections where four may stay; the one evicted at 10 s.
     let busy = (1000, 1000, 1, 0, true);
     let cases = [
         ([busy, busy, busy, busy, (9950, 9950, 0, 0, false)], None),
@@ -473,13 +482,13 @@
         ([busy, busy, busy, busy, (2000, 2000, 0, 1, true)], Some(4)),
         ([busy, busy, busy, busy, busy], None),
     ];
-    for (all, way) in cases {
+    for (all, evicted) in cases {
         let all = all.map(client);
-        assert_eq!(clients.eviction_candidate(ms(10_000), all.into_iter().enumerate()), way, "{all:?}");
+        assert_eq!(clients.eviction_candidate(ms(10_000), all.into_iter().enumerate()), evicted, "{all:?}");
         assert_eq!(
             clients.eviction_candidate(ms(10_000), all.into_iter().take(4).enumerate()),
             None,
-            "room for four"
+            "four connections may stay"
         );
     }
 }
@@ -489,15 +498,15 @@
     let upstreams = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(2000));
     let mut upstream = UpstreamState::new(ms(0));
     assert!(upstreams.may_send(&upstream, 1) && !upstreams.may_send(&upstream, 2));
-    // A set-up that ran out of time: heard since it was asked or not.
-    for (heard, takes) in [(50, false), (150, true)] {
-        upstream = UpstreamState { last_sent_at: ms(100), ..UpstreamState::new(ms(heard)) };
+    // A set-up timed out; when something last arrived, and whether the connection is still used.
+    for (received_at, usable) in [(50, false), (150, true)] {
+        upstream = UpstreamState { last_sent_at: ms(100), ..UpstreamState::new(ms(received_at)) };
         upstream.record_timeout();
-        assert_eq!(upstreams.may_send(&upstream, 0), takes, "heard at {heard}");
+        assert_eq!(upstreams.may_send(&upstream, 0), usable, "received at {received_at}");
         upstream.record_received(ms(200));
-        assert!(upstreams.may_send(&upstream, 0), "it has spoken since");
+        assert!(upstreams.may_send(&upstream, 0), "something has arrived since");
     }
-    // A part of a message since 100 ms, and the rest.
+    // An incomplete message since 100 ms, and its rest.
     upstream.set_partial(ms(100), true);
     upstream.set_partial(ms(300), true);
     assert!(
@@ -505,12 +514,15 @@
     );
     upstream.set_partial(ms(350), false);
     assert!(!upstreams.is_partial_overdue(ms(900), &upstream));
-    // Servers that tell nothing unasked: they are tested once in so long, not at every look.
-    let untold = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(0));
-    let asks = |at| untold.needs_test(ms(at), ms(1000), &UpstreamState::new(ms(1000)));
-    assert!(!asks(1100) && !asks(6499) && asks(6500));
-    assert!(untold.is_server_silent(ms(7000), ms(1000)), "and known as lost within eight seconds");
-    // Silence: tested, doubted, another connection.
+    // Servers without unsolicited reports are tested once in this interval, not at every sweep.
+    let without_reports = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(0));
+    let needs_test_at = |at| without_reports.needs_test(ms(at), ms(1000), &UpstreamState::new(ms(1000)));
+    assert!(!needs_test_at(1100) && !needs_test_at(6499) && needs_test_at(6500));
+    assert!(
+        without_reports.is_server_silent(ms(7000), ms(1000)),
+        "a silent server must be known within eight seconds"
+    );
+    // A silent server: tested, then suspect, then another connection.
     let mut upstream = UpstreamState::new(ms(1000));
     assert!(
         !upstreams.needs_test(ms(3399), ms(1000), &upstream)
@@ -525,7 +537,7 @@
     assert!(
         !upstreams.is_server_silent(ms(3899), ms(1000)) && upstreams.is_server_silent(ms(3900), ms(1000))
     );
-    // Failures to reach a server: since when they count, as one follows another.
+    // Failed attempts to reach a server, and since when it counts as unreachable.
     for (before, since) in [(None, 9000), (Some((5000, 7500)), 5000), (Some((5000, 7000)), 9000)] {
         let before = before.map(|(first, last)| (ms(first), ms(last)));
         assert_eq!(upstreams.unreachable_since(ms(9000), before), ms(since), "{before:?}");
--- a/crates/edge/src/token_chain.rs
+++ b/crates/edge/src/token_chain.rs
@@ -1,31 +1,39 @@
-//! Which tokens of a viewing are still taken. Each manifest carries a token of the next turn; showing one spends those
-//! before it and those given out beside it. A player whose answer was lost shows the same one again and is given
-//! another; of two players with copies of one token the first to ask again goes on, and the other is turned away.
+//! Decides which tokens of a viewing are still accepted.
+//!
+//! Each manifest carries a token with the next sequence number. Using a token invalidates all earlier
+//! ones, and those that were issued in the same step. A player whose answer was lost uses the same token
+//! again and receives a new one. If two players have copies of one token, the first to use its next token
+//! continues; the other is rejected.
 
 use ivyward::interface::ServerId;
 use std::time::Duration;
 
-/// Who gave a token that is shown.
+/// The issuer of a token that is presented.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenOrigin {
     /// The app, at that date.
     App { issued: Duration },
-    /// A manager: its start, the server that it sent the player to, and the token's turn.
+    /// A manager: the incarnation and server that it issued the token for, and the token's sequence
+    /// number.
     Manager { incarnation: u64, server: ServerId, sequence: u32 },
 }
 
-/// A viewing's tokens from the first to the last.
+/// The token state of a viewing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenChain {
-    /// When the app gave the token that began it; none where that was another start of the manager.
+    /// When the app issued the token that began the chain; `None` if a token of another incarnation of
+    /// the manager began it.
     app_issued_at: Option<Duration>,
-    /// The turn last shown, 0 for the app's token, and the last one given out before that was shown.
+    /// The sequence number of the token used last; 0 for the app's token.
     last_used: u32,
+    /// The last number that was issued before that token was used. Tokens up to this number are invalid.
     floor: u32,
+    /// The last number that was issued.
     last_issued: u32,
 }
 
 impl TokenChain {
+    /// Starts a chain with the token that began the viewing.
     pub fn new(origin: TokenOrigin) -> Self {
         match origin {
             TokenOrigin::App { issued } => {
@@ -40,18 +48,19 @@
         }
     }
 
-    /// The line of a viewing that began before this manager did: the first token shown tells where it stands.
+    /// The chain of a viewing that began before this manager started. The first token that is presented
+    /// determines its state.
     pub fn unknown() -> Self {
         TokenChain { app_issued_at: None, last_used: 0, floor: 0, last_issued: 0 }
     }
 
-    /// The turn of the next token.
+    /// Issues the next sequence number.
     pub fn next_sequence(&mut self) -> u32 {
         self.last_issued = self.last_issued.saturating_add(1);
         self.last_issued
     }
 
-    /// A token is shown: whether it is still taken.
+    /// Whether a presented token is accepted; updates the state if so.
     pub fn accept(&mut self, origin: TokenOrigin) -> bool {
         let has_state = (self.app_issued_at.is_some(), self.last_issued) != (false, 0);
         match origin {
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -1,59 +1,63 @@
-//! Which connections to servers are used, mistrusted, tested and closed.
+//! Decides which connections to servers are used, tested and closed.
 
 use std::time::Duration;
 
-/// A connection without use is closed after this part of the time after which servers close theirs, so that no set-up
-/// crosses such a close.
+/// An unused connection is closed after this fraction of the server's idle timeout, so that no set-up
+/// crosses the server's close.
 const IDLE_FRACTION: f64 = 0.5;
-/// The part of a message may wait so long for its rest, in times that a connection may take to stand.
+/// How long an incomplete message may wait for its rest, as a multiple of the connect timeout.
 const PARTIAL_TIMEOUT_FACTOR: u32 = 1;
-/// A server at which something stands and of which nothing was heard for so many of the spans in which it tells of itself
-/// at least is tested; the answer is waited for as long as a connection may take to stand, so many times.
+/// A server with sessions is tested if nothing arrived from it for this multiple of its report interval.
 const SILENCE_FACTOR: f64 = 1.2;
+/// How long the reply to a test may take, as a multiple of the connect timeout.
 const TEST_TIMEOUT_FACTOR: u32 = 2;
-/// A server that no connection stands to for so many times that is lost.
+/// A server to which no connection could be established for this multiple of the connect timeout is lost.
 const LOST_FACTOR: u32 = 8;
 
-/// What is known of a connection to a server.
+/// The state of a connection to a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpstreamState {
-    /// When it last brought anything, and when something was last asked on it.
+    /// When it last received anything.
     pub last_received_at: Duration,
+    /// When a set-up was last sent on it.
     pub last_sent_at: Duration,
-    /// Since when the part of a message waits for its rest.
+    /// Since when an incomplete message waits for its rest.
     pub(crate) partial_since: Option<Duration>,
-    /// A set-up ran out of time on it, and nothing has come since.
+    /// A set-up timed out on it, or a test got no reply, and nothing has arrived since.
     pub(crate) suspect: bool,
+    /// When a test was sent that has no reply yet.
     pub test_sent_at: Option<Duration>,
 }
 
 impl UpstreamState {
+    /// The state of a new connection.
     pub fn new(now: Duration) -> Self {
         UpstreamState { last_received_at: now, ..UpstreamState::default() }
     }
 
+    /// Records that something arrived.
     pub fn record_received(&mut self, now: Duration) {
         (self.last_received_at, self.suspect, self.test_sent_at) = (now, false, None);
     }
 
-    /// Whether it may carry nothing any more.
+    /// Whether the connection may be dead although it is still established.
     pub fn is_suspect(&self) -> bool {
         self.suspect
     }
 
-    /// Whether a part of a message is left of what was said.
+    /// Records whether an incomplete message is left after the input so far.
     pub fn set_partial(&mut self, now: Duration, has_partial: bool) {
         self.partial_since = has_partial.then(|| self.partial_since.unwrap_or(now));
     }
 
-    /// A set-up was given up on it. Guards against a connection that still stands and carries nothing any more: where
-    /// nothing was heard since the last was asked, nothing new goes there.
+    /// Records that a set-up was abandoned on it. If nothing arrived since the last set-up was sent, the
+    /// connection may be dead although it is still established, so no more set-ups are sent on it.
     pub fn record_timeout(&mut self) {
         self.suspect = self.last_received_at < self.last_sent_at;
     }
 }
 
-/// Connections to servers.
+/// The rules for connections to servers.
 pub struct UpstreamPolicy {
     max_streams: usize,
     connect_timeout: Duration,
@@ -62,12 +66,14 @@
 }
 
 impl UpstreamPolicy {
-    /// What is to be ended at a server that can't be reached is ended when it can, but not after so long.
+    /// A release that can't be delivered to its server is dropped after this time.
     pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
-    /// `streams`: set-ups on one connection; `connect`: how long one may take to stand; `keep`: after how long servers
-    /// close an idle one; `told`: the spans in which servers tell of themselves, none where they don't unasked: then they
-    /// are tested as late as still lets a server be known as lost while what stood there is owed its end.
+    /// `max_streams`: open set-ups on one connection; `server_idle_timeout`: the time after which servers
+    /// close an idle connection; `report_interval`: the interval of servers' unsolicited reports.
+    ///
+    /// If servers send no unsolicited reports (zero), they are tested as late as possible: a lost server
+    /// must still be detected while the ends of its sessions can be delivered.
     pub fn new(
         max_streams: usize, connect_timeout: Duration, server_idle_timeout: Duration,
         report_interval: Duration,
@@ -80,17 +86,20 @@
         UpstreamPolicy { max_streams, connect_timeout, server_idle_timeout, report_interval: test_interval }
     }
 
+    /// Whether a connection may carry another set-up besides the `open_set_ups` on it.
     pub fn may_send(&self, upstream: &UpstreamState, open_set_ups: usize) -> bool {
         open_set_ups < self.max_streams && !upstream.suspect
     }
 
-    /// Guards against an answer that says it is longer than it is: what comes after it would be taken for its rest.
+    /// Whether an incomplete message is overdue. If a message declares a length that is too large, the
+    /// messages after it would be taken for its rest.
     pub fn is_partial_overdue(&self, now: Duration, upstream: &UpstreamState) -> bool {
         upstream
             .partial_since
             .is_some_and(|since| now >= since + self.connect_timeout * PARTIAL_TIMEOUT_FACTOR)
     }
 
+    /// Whether the connection is unused for too long, or suspect.
     pub fn is_idle(&self, now: Duration, upstream: &UpstreamState) -> bool {
         upstream.suspect
             || now
@@ -98,36 +107,38 @@
                     + self.server_idle_timeout.mul_f64(IDLE_FRACTION)
     }
 
-    /// `heard`: when anything of the server was.
+    /// Whether to test a connection. `last_received_at`: when anything last arrived from the server.
     pub fn needs_test(&self, now: Duration, last_received_at: Duration, upstream: &UpstreamState) -> bool {
         upstream.test_sent_at.is_none()
             && now >= last_received_at + self.report_interval.mul_f64(SILENCE_FACTOR)
     }
 
+    /// Whether the server has not replied to a test either.
     pub fn is_server_silent(&self, now: Duration, last_received_at: Duration) -> bool {
         now >= last_received_at
             + self.report_interval.mul_f64(SILENCE_FACTOR)
             + self.connect_timeout * TEST_TIMEOUT_FACTOR
     }
 
-    /// A test that nobody answered: whoever is there doesn't read this connection.
+    /// Marks the connection as suspect if a test got no reply in time: the server does not read it any
+    /// more.
     pub fn check_test(&self, now: Duration, upstream: &mut UpstreamState) {
         upstream.suspect |=
             upstream.test_sent_at.is_some_and(|at| now >= at + self.connect_timeout * TEST_TIMEOUT_FACTOR);
     }
 
-    /// Whether a failure to reach a server, first and last, still counts when another comes. Guards against failures far
-    /// apart that would be taken for one.
+    /// Whether the last failed attempt to reach a server still counts when another one fails. The pair
+    /// holds the times of the first and the last failure. Failures far apart are unrelated.
     pub fn is_recent_failure(&self, now: Duration, (_, last): (Duration, Duration)) -> bool {
         now < last + self.connect_timeout * LOST_FACTOR
     }
 
-    /// Since when a server is not reached, now that it has failed again.
+    /// Since when a server is unreachable, given that an attempt has failed now.
     pub fn unreachable_since(&self, now: Duration, before: Option<(Duration, Duration)>) -> Duration {
         before.filter(|before| self.is_recent_failure(now, *before)).map_or(now, |before| before.0)
     }
 
-    /// Whether a server to which no connection stood for so long is lost.
+    /// Whether a server that was unreachable for this long is lost.
     pub fn is_server_lost(&self, unreachable_for: Duration) -> bool {
         unreachable_for >= self.connect_timeout * LOST_FACTOR
     }
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,5 +1,7 @@
-//! The one task that holds a session core, whatever the protocol round it: its clock, the queue of what happened, and the
-//! timers. Nothing here decides.
+//! The event loop of a session core, independent of the protocol around it: its clock, its event queue
+//! and its timers.
+//!
+//! A single task owns the core. It makes no decisions itself.
 
 use ivyward_session::{Effects, SessionCore, Timer};
 use std::cell::Cell;
@@ -10,69 +12,79 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// The clock's first moment: what began before this process still has a time above zero.
+/// The clock's value at the start of the process. It is large enough that times before the start are
+/// above zero.
 const CLOCK_START: Duration = Duration::from_secs(86_400);
-/// With no timer set, the queue's task looks again after so long.
+/// If no timer is set, the loop wakes up after this time.
 const IDLE_INTERVAL: Duration = Duration::from_secs(500_000);
 
-/// Spans since the start.
+/// The clock of the event loop. Its times are spans that begin with `CLOCK_START`.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
+    /// Starts a clock.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
+    /// The current time.
     pub fn now(&self) -> Duration {
         CLOCK_START + self.0.elapsed()
     }
 
+    /// Converts a time to the runtime's instants.
     fn instant(&self, at: Duration) -> Instant {
         self.0 + at.saturating_sub(CLOCK_START)
     }
 }
 
-/// What waits for its time.
+/// The timers that are set, by due time.
 #[derive(Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
-    /// Timers due at one time fire in the order in which they were set.
+    /// Timers that are due at the same time fire in the order in which they were set.
     next_order: u64,
 }
 
 impl Timers {
+    /// Sets a timer.
     pub fn set(&mut self, at: Duration, timer: Timer) {
         self.next_order += 1;
         self.heap.push(Reverse((at, self.next_order, timer)));
     }
 
+    /// The number of timers that are set.
     pub fn count(&self) -> usize {
         self.heap.len()
     }
 
+    /// When the next timer is due.
     fn next_due_at(&self) -> Option<Duration> {
         self.heap.peek().map(|next| next.0.0)
     }
 
+    /// Removes a timer that is due.
     fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         self.next_due_at().filter(|at| *at <= now)?;
         self.heap.pop().map(|due| due.0.2)
     }
 }
 
-/// The effects of a core, with its timers among them.
+/// What drives a core: its effects and its timers.
 pub trait Host: Effects {
+    /// The timers that the core has set.
     fn timers(&mut self) -> &mut Timers;
 
-    /// Timers are due: what came before them and may lie unread is told first.
+    /// Called before timers fire, so that input that arrived earlier and is still unread can be handled
+    /// first.
     fn before_timers(&mut self, _: &mut SessionCore, _: Duration) {}
 }
 
-/// Something that happened, handed to the core in its turn.
+/// An event, which runs with exclusive access to the core and its host.
 type Event<H> = Box<dyn FnOnce(&mut SessionCore, &mut H, Duration)>;
 
-/// The queue into the core.
+/// The sending side of the event queue.
 pub struct EventSender<H> {
     clock: Clock,
     events: mpsc::UnboundedSender<(Duration, Event<H>)>,
@@ -85,13 +97,14 @@
     }
 }
 
-/// The other end of a queue.
+/// The receiving side of the event queue.
 pub struct EventLoop<H> {
     clock: Clock,
     events: mpsc::UnboundedReceiver<(Duration, Event<H>)>,
     waiting: Rc<Cell<usize>>,
 }
 
+/// Creates an event queue.
 pub fn channel<H: Host>(clock: Clock) -> (EventSender<H>, EventLoop<H>) {
     let (events, receiver) = mpsc::unbounded_channel();
     let waiting = Rc::new(Cell::new(0));
@@ -99,25 +112,26 @@
 }
 
 impl<H: Host> EventSender<H> {
-    /// Puts something that happened into the queue.
+    /// Queues an event.
     pub fn send(&self, event: impl FnOnce(&mut SessionCore, &mut H, Duration) + 'static) {
         self.waiting.set(self.waiting.get() + 1);
         self.events.send((self.clock.now(), Box::new(event))).ok();
     }
 
+    /// The current time of the event loop's clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// How many wait for their turn.
+    /// The number of queued events.
     pub fn waiting(&self) -> usize {
         self.waiting.get()
     }
 }
 
 impl<H: Host> EventLoop<H> {
-    /// Hands the core what comes, until nobody can put anything into the queue. `on_dispatch` is told when something had its
-    /// turn, and how long it waited.
+    /// Passes events and due timers to the core until all senders are dropped. Calls `on_dispatch` for
+    /// each event, with the current time and the time for which the event was queued.
     pub async fn run(
         mut self, core: &mut SessionCore, host: &mut H, on_dispatch: impl Fn(Duration, Duration),
     ) {
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -8,7 +8,8 @@
 use ivyward_signal::{Field, Kind, SessionRef};
 use std::time::Duration;
 
-/// The number of abandoned set-ups remembered for each connection. Late answers to them are ignored.
+/// The number of abandoned set-ups remembered for each connection. Late answers to them are ignored, and
+/// a new set-up of the same session uses another connection.
 const MAX_ABANDONED_SET_UPS: usize = 64;
 
 impl NodeHost {
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -548,8 +548,8 @@
         {
             return;
         }
-        // Only connections that had a session belong to viewers. Others, whose requests were at most
-        // refused, must not learn of other clients' sessions.
+        // Only connections that had a session belong to viewers. An end that is written to another
+        // client, whose requests were refused at most, would not reach the viewer.
         let notified = self
             .viewers
             .connections
