--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -256,7 +256,7 @@
 
 /// Runs a connection until either end closes it, and returns the ends that were not delivered.
 ///
-/// Calls `on_readable` when there is input. The callee reads it in its turn and then sends on the given
+/// Calls `on_readable` when there is input. The callee reads it in a later event and then sends on the given
 /// channel if more input is wanted, or drops the channel if not.
 pub async fn run_connection(
     stream: SharedStream, mut write_queue: WriteQueue, on_readable: impl Fn(oneshot::Sender<()>),
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -64,7 +64,7 @@
         let address = *addresses.borrow_and_update();
         let (number_before, started_at) = (position.last_number, Instant::now());
         tokio::select! {
-            () = read_stream(&sender, address,&mut position) => {}
+            () = read_stream(&sender, address, &mut position) => {}
             changed = addresses.changed() => {
                 if changed.is_err() {
                     return;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -44,8 +44,8 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// A server that is gone is forgotten after this many times the span in which a start counts as cold.
 const FORGET_AFTER_COLD_TIMES: u32 = 2;
-/// The incarnation of every start. This manager keeps no state, so nothing of an earlier start is left to
-/// tell apart.
+/// The incarnation of every start. This manager keeps no state, so there is nothing of an earlier start
+/// to distinguish.
 const INCARNATION: Incarnation = Incarnation(1);
 
 /// Runs a viewing manager until it is asked to stop and no work is left.
@@ -150,7 +150,7 @@
                 reread_at = new_address.is_err().then(|| Instant::now() + CONFIG_RETRY_INTERVAL);
                 match new_address {
                     Ok(address) => drop(address_sender.send(address)),
-                    Err(error) => tracing::error!(error, "configuration can't be read; the old one stays in use and the file is read again"),
+                    Err(error) => tracing::error!(error, "configuration can't be read; keeping the old one and retrying"),
                 }
             }
             _ = terminate.recv() => shutdown.begin(),
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -175,7 +175,14 @@
                 attempts.map(|attempt| format!("{:016x}", attempt.session_ref.0)).collect();
             let state = self.server_list.state_of(server);
             let server = self.server_name(server);
-            tracing::debug!(server, ?address, standing = ?state, %error, waited = ?waiting_refs, "connection can't be established");
+            tracing::debug!(
+                server,
+                ?address,
+                standing = ?state,
+                %error,
+                waited = ?waiting_refs,
+                "connection can't be established"
+            );
         }
         for key in link.queued {
             if self.servers.attempts.remove(&key).is_some() {
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -174,7 +174,14 @@
         }
         let attempt_count = self.servers.attempts.values().filter(|attempt| attempt.server == server).count();
         let (session_count, estimate) = (self.sessions.at_server(server).len(), core.server_estimate(server));
-        tracing::debug!(server = self.server_name(server), ?load, believed = ?estimate, there = session_count, out = attempt_count, "load report");
+        tracing::debug!(
+            server = self.server_name(server),
+            ?load,
+            believed = ?estimate,
+            there = session_count,
+            out = attempt_count,
+            "load report"
+        );
     }
 
     /// Handles an answer: the session plays, and the answer is passed on to the viewer.
@@ -264,7 +271,12 @@
             Some("rack") => ServerUpdate::Uplink(value),
             _ => return,
         };
-        tracing::debug!(server = self.server_name(server), news = ?update, fresh = pending_viewing.is_some(), "notification received");
+        tracing::debug!(
+            server = self.server_name(server),
+            news = ?update,
+            fresh = pending_viewing.is_some(),
+            "notification received"
+        );
         viewing_id.into_iter().for_each(|viewing_id| core.on_server_update(now, server, viewing_id, update));
     }
 }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -174,7 +174,7 @@
             ("description", plays_already || fits),
         ]
         .into_iter()
-        .find(|(_, right)| !right)
+        .find(|(_, is_valid)| !is_valid)
         .map(|(field, _)| field)
     }
 }
@@ -210,7 +210,7 @@
         &mut self, now: Duration, stream: TcpStream, viewer_ip: IpAddr, slot: OwnedSemaphorePermit,
     ) {
         self.viewers.last_client_id += 1;
-        let (client_id, (writer, outgoing), stream) =
+        let (client_id, (writer, write_queue), stream) =
             (self.viewers.last_client_id, new_writer(), Rc::new(stream));
         writer.attach(&stream);
         let state = ClientState { connected_at: now, last_message_at: now, ..ClientState::default() };
@@ -236,7 +236,7 @@
                     }
                 });
             };
-            let undelivered = run_connection(task_stream, outgoing, on_readable).await;
+            let undelivered = run_connection(task_stream, write_queue, on_readable).await;
             events.send(move |core, host, now| {
                 host.close_viewer_connection(core, now, client_id);
                 // The slot is released only now that the file descriptor is closed.
@@ -264,7 +264,14 @@
     fn close_viewer_connection(&mut self, core: &mut SessionCore, now: Duration, client_id: u64) {
         let Some(connection) = self.viewers.connections.remove(&client_id) else { return };
         let ClientState { open_set_ups, active_sessions, had_session, .. } = connection.state;
-        tracing::debug!(client = client_id, open = open_set_ups, stand = active_sessions, served = had_session, from = %connection.viewer_ip, "viewer connection closed");
+        tracing::debug!(
+            client = client_id,
+            open = open_set_ups,
+            stand = active_sessions,
+            served = had_session,
+            from = %connection.viewer_ip,
+            "viewer connection closed"
+        );
         let abandoned = self
             .viewers
             .pending
@@ -368,7 +375,12 @@
                 Err(error) => {
                     if let Some(left_out) = self.log_limiter.check(now, "a viewer's line") {
                         let (viewer_ip, error) = (connection.viewer_ip, truncate_for_log(&error));
-                        tracing::info!(from = %viewer_ip, wrong = error, left_out, "a viewer's line can't be read");
+                        tracing::info!(
+                            from = %viewer_ip,
+                            wrong = error,
+                            left_out,
+                            "a viewer's line can't be read"
+                        );
                     }
                     return self.close_viewer_connection(core, now, client_id);
                 }
@@ -432,7 +444,12 @@
         let cells = |name| signal.extra(name).and_then(|text| text.parse().ok()).unwrap_or_default();
         let request_details = (package, title, Cells { first: cells("home"), spread: cells("copies") }, top);
         let time_left = Duration::from_millis(signal.integer(Field::TimeLeft).unwrap_or_default());
-        tracing::debug!(of = format!("{:016x}", session_ref.0), left = ?time_left, package = set_up.package, "set-up requested");
+        tracing::debug!(
+            of = format!("{:016x}", session_ref.0),
+            left = ?time_left,
+            package = set_up.package,
+            "set-up requested"
+        );
         self.viewers.pending.insert(session_ref, set_up);
         self.viewers.requests.insert(request, session_ref);
         self.viewers.connections.entry(client_id).and_modify(|c| c.state.open_set_ups += 1);
