--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -36,7 +36,7 @@
     /// The maximum number of segments until a change of rung reaches the player's manifest: the one that
     /// is played at the change, those of the longest refresh interval, and one while the manifest is
     /// fetched.
-    pub fn segments(refresh_interval: Duration, segment: Duration) -> u32 {
+    pub fn max_segments_to_rung_change(refresh_interval: Duration, segment: Duration) -> u32 {
         2 + (refresh_interval.as_secs_f64() / segment.as_secs_f64().max(1e-3)).ceil() as u32
     }
 }
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -425,7 +425,10 @@
         let most = (0..500).map(|_| refresh.span()).max().unwrap_or_default();
         assert!(most <= ms(longest) && most >= ms(longest).mul_f64(0.98), "{most:?} of {longest} ms");
     }
-    assert_eq!([(2, 2), (2, 1), (4, 2)].map(|(r, s)| RefreshSchedule::segments(ms(r), ms(s))), [3, 4, 4]);
+    assert_eq!(
+        [(2, 2), (2, 1), (4, 2)].map(|(r, s)| RefreshSchedule::max_segments_to_rung_change(ms(r), ms(s))),
+        [3, 4, 4]
+    );
 }
 
 #[test]
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -150,7 +150,9 @@
                 reread_at = new_address.is_err().then(|| Instant::now() + CONFIG_RETRY_INTERVAL);
                 match new_address {
                     Ok(address) => drop(address_sender.send(address)),
-                    Err(error) => tracing::error!(error, "configuration can't be read; keeping the old one and retrying"),
+                    Err(error) => {
+                        tracing::error!(error, "configuration can't be read; keeping the old one and retrying")
+                    }
                 }
             }
             _ = terminate.recv() => shutdown.begin(),
