--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -1,4 +1,5 @@
-//! One member's claims: asked of the keepers, decided by their majority, taken back where the set-up never ran.
+//! The proposer of one member: sends claims to the acceptors, decides by their majority, and withdraws
+//! claims whose set-up never ran.
 
 use crate::{Claim, ClaimNo, Effects, Group, Member};
 use ivyward_session::{Incarnation, SessionId};
@@ -6,50 +7,54 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-/// Claims to be taken back that a member has not confirmed; of more the oldest are left to their span. Guards against
-/// memory that a member away for long would take.
+/// Withdrawals that acceptors have not confirmed; beyond that the oldest are dropped and their claims
+/// expire with their retention. Bounds the memory that a member costs while it is away for long.
 const MAX_UNCONFIRMED_COUNT: usize = 4096;
-/// Of those so many are asked again at once, the others in their turn: what a zone that is away costs is bounded.
+/// Unconfirmed withdrawals resent in one retry, in round-robin order. Bounds what an unreachable zone
+/// costs.
 const RETRY_BATCH_COUNT: usize = 64;
 
-/// What became of a claim.
+/// The outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimOutcome {
-    /// A majority keeps it: the set-up may go out, once.
+    /// A majority accepted it: the set-up may be sent, once.
     Granted,
     /// The set-up of another claim may have run.
     Taken,
-    /// No majority could be reached in time.
+    /// No majority answered before the deadline.
     NoMajority,
 }
 
+/// A claim that is not decided yet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Proposal {
     session: SessionId,
     acceptors: BTreeSet<Member>,
-    /// Who keeps it, and the start that said so.
+    /// Acceptors that accepted it, each with the incarnation that said so.
     accepted: BTreeMap<Member, Incarnation>,
-    /// Who does not, and whether since another is kept.
+    /// Acceptors that rejected it, and whether they did since another claim is accepted there.
     rejected: BTreeMap<Member, bool>,
     deadline: Duration,
 }
 
+/// The proposer of one member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     group: Group,
     me: Member,
     incarnation: Incarnation,
     proposals: BTreeMap<ClaimNo, Proposal>,
-    /// Starts without memory, as keepers tell of each other.
+    /// The latest start without stable storage of each acceptor, as acceptors report it of each other.
     starts: BTreeMap<Member, Incarnation>,
+    /// Withdrawals that an acceptor has not confirmed, with their sessions.
     unconfirmed: BTreeMap<(Member, ClaimNo), SessionId>,
-    /// Behind which those owed are asked again.
+    /// The unconfirmed withdrawal resent last; the next retry starts after it.
     last_retried: Option<(Member, ClaimNo)>,
     last_claim_no: u64,
 }
 
 impl Proposer {
-    /// `incarnation`: this start, above all before.
+    /// Creates a proposer. `incarnation`: this start's number, greater than all earlier ones.
     pub fn new(group: Group, me: Member, incarnation: Incarnation) -> Proposer {
         let (proposals, starts, unconfirmed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Proposer {
@@ -64,7 +69,7 @@
         }
     }
 
-    /// Claims that wait for their word, and those that members have still to take back.
+    /// Number of undecided claims, and of withdrawals that acceptors have not confirmed.
     pub fn open_counts(&self) -> (usize, usize) {
         (self.proposals.len(), self.unconfirmed.len())
     }
@@ -73,7 +78,8 @@
         Claim { by: self.me, incarnation: self.incarnation, no }
     }
 
-    /// A paid session is to be set up, if its keepers' majority says so until then.
+    /// Proposes a claim: a paid session is to be set up if a majority of its acceptors accepts the claim
+    /// before the deadline.
     pub fn propose(&mut self, out: &mut impl Effects, session: SessionId, deadline: Duration) -> ClaimNo {
         self.last_claim_no += 1;
         let (no, acceptors) = (ClaimNo(self.last_claim_no), self.group.acceptors(session));
@@ -83,6 +89,7 @@
         no
     }
 
+    /// Handles an acceptance by the incarnation `incarnation` of an acceptor.
     pub fn on_accepted(
         &mut self, out: &mut impl Effects, from: Member, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
@@ -103,6 +110,7 @@
         self.decide(out, claim.no);
     }
 
+    /// Handles a rejection.
     pub fn on_rejected(&mut self, out: &mut impl Effects, from: Member, claim: Claim, taken: bool) {
         if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
             return;
@@ -115,7 +123,8 @@
         self.decide(out, claim.no);
     }
 
-    /// Whether that one keeps it. Guards against the word of a keeper that has forgotten it since, and may keep another.
+    /// Whether an acceptor counts as having accepted. Guards against the reply of an acceptor that has
+    /// lost its storage since, and may have accepted another claim.
     fn counts_as_accepted(&self, proposal: &Proposal, acceptor: &Member) -> bool {
         let start = self.starts.get(acceptor);
         proposal
@@ -124,11 +133,13 @@
             .is_some_and(|incarnation| start.is_none_or(|start| incarnation >= start))
     }
 
+    /// Decides a claim if its replies suffice.
     fn decide(&mut self, out: &mut impl Effects, no: ClaimNo) {
         let Some(proposal) = self.proposals.get(&no) else { return };
         let accepted =
             proposal.acceptors.iter().filter(|acceptor| self.counts_as_accepted(proposal, acceptor)).count();
-        // One that abstained may keep it yet; one that keeps another does so for long.
+        // An acceptor that abstained may still accept; one that holds another claim will hold it for
+        // long.
         let taken = proposal
             .rejected
             .iter()
@@ -142,13 +153,14 @@
         }
     }
 
+    /// Reports a claim as not granted and withdraws it.
     fn abandon(&mut self, out: &mut impl Effects, no: ClaimNo, outcome: ClaimOutcome) {
         let Some(proposal) = self.proposals.remove(&no) else { return };
         out.claim_decided(no, outcome);
         self.withdraw(out, proposal.session, no);
     }
 
-    /// Nothing of a claim ran, and nothing will.
+    /// Withdraws a claim of which nothing ran and nothing will.
     pub fn withdraw(&mut self, out: &mut impl Effects, session: SessionId, no: ClaimNo) {
         self.proposals.remove(&no);
         for acceptor in self.group.acceptors(session) {
@@ -161,33 +173,35 @@
         }
     }
 
+    /// Handles the confirmation of a withdrawal.
     pub fn on_withdrawn(&mut self, from: Member, claim: Claim) {
         if (claim.by, claim.incarnation) == (self.me, self.incarnation) {
             self.unconfirmed.remove(&(from, claim.no));
         }
     }
 
-    /// What was not answered is asked again, and what is over in time is told so. How often is for the driver.
+    /// Resends what has no reply, and decides claims whose deadline has passed. The driver chooses how
+    /// often.
     pub fn retry(&mut self, out: &mut impl Effects, now: Duration) {
-        let over: Vec<_> = self
+        let expired_claims: Vec<_> = self
             .proposals
             .iter()
             .filter(|(_, proposal)| now >= proposal.deadline)
             .map(|(no, _)| *no)
             .collect();
-        over.into_iter().for_each(|no| self.abandon(out, no, ClaimOutcome::NoMajority));
+        expired_claims.into_iter().for_each(|no| self.abandon(out, no, ClaimOutcome::NoMajority));
         for (no, proposal) in &self.proposals {
-            let silent =
+            let unanswered =
                 proposal.acceptors.iter().filter(|acceptor| !self.counts_as_accepted(proposal, acceptor));
-            silent.for_each(|acceptor| out.claim(*acceptor, proposal.session, self.claim(*no)));
+            unanswered.for_each(|acceptor| out.claim(*acceptor, proposal.session, self.claim(*no)));
         }
         let after_last = self.last_retried.map_or(Unbounded, Excluded);
-        let due = self
+        let due_withdrawals = self
             .unconfirmed
             .range((after_last, Unbounded))
             .chain(&self.unconfirmed)
             .take(RETRY_BATCH_COUNT.min(self.unconfirmed.len()));
-        for ((member, no), session) in due {
+        for ((member, no), session) in due_withdrawals {
             out.withdraw(*member, *session, self.claim(*no));
             self.last_retried = Some((*member, *no));
         }
--- a/crates/replica/src/replicated_set.rs
+++ b/crates/replica/src/replicated_set.rs
@@ -1,11 +1,14 @@
-//! What all members are to know: records that each start of a member numbers on its own, and copies of them everywhere.
+//! A set of records replicated to all members by anti-entropy.
 //!
-//! A record is known by its member, that one's start and its number there. Copies hold of each start all records from the
-//! first to some number, but for those that are over, so a copy's state is one number a start: two copies compare one
-//! digest, and only where that differs the numbers, and then move what one of them lacks and no more. A record carries
-//! how long it is still to be held, never a date: that span only shrinks from copy to copy, so that one which is told on
-//! and on is over everywhere at last, and none comes back for longer than it had left and was
-//! on its way.
+//! Each start of a member numbers the records that it adds; a record is identified by member,
+//! incarnation and number. A copy holds, for each start, all records from the first up to some number,
+//! except those that have expired. A copy's state is therefore one number per start. Two copies compare
+//! one digest; only if it differs do they compare the numbers, and then transfer just the records that
+//! one of them lacks.
+//!
+//! A record carries its remaining lifetime, never a date. The remaining lifetime only shrinks from copy
+//! to copy, so a record that is passed on again and again still expires everywhere, and no record
+//! returns for longer than it had left plus its time in transit.
 
 use crate::Member;
 use ivyward_session::Incarnation;
@@ -15,17 +18,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Records told in one message, and in answer to one account; what is behind by more asks again.
+/// Records in one message.
 const MESSAGE_RECORD_COUNT: usize = 256;
+/// Records in the reply to one `heads` message; a copy that lacks more asks again.
 const ANSWER_RECORD_COUNT: usize = 16 * MESSAGE_RECORD_COUNT;
-/// The records of one start of a member.
+/// Identifies the log of records that one start of a member adds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
+    /// The member that adds the records.
     pub of: Member,
     pub incarnation: Incarnation,
 }
 
-/// A record with its number, and how long it is still to be held.
+/// A record with its number and its remaining lifetime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record<R> {
     pub no: u64,
@@ -33,122 +38,134 @@
     pub value: R,
 }
 
-/// What is told to members; any of it may be lost, doubled, or come late.
+/// The messages that a copy sends, and its notifications to the local user. Messages may be lost,
+/// duplicated or delayed.
 pub trait ReplicationEffects<R> {
-    /// All that is held here, in one number.
+    /// Sends the digest of everything held here.
     fn digest(&mut self, to: Member, digest: u64);
-    /// In answer to such a number: the same is held here.
+    /// Replies to a digest: the same records are held here.
     fn in_sync(&mut self, to: Member);
-    /// What is held here: of each log the number after the last. `back`: in answer to such an account.
+    /// Sends what is held here: for each log the number after its last record. `is_reply`: whether it
+    /// answers such a message.
     fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool);
-    /// All that is held of a log between two numbers.
-    fn records(&mut self, to: Member, log: Log, between: Range<u64>, records: &[Record<R>]);
-    /// To whoever uses them here: that is known now, that is over.
+    /// Sends all records held of a log in a range of numbers.
+    fn records(&mut self, to: Member, log: Log, number_range: Range<u64>, records: &[Record<R>]);
+    /// Notifies the local user that a record was added.
     fn added(&mut self, value: &R);
+    /// Notifies the local user that a record expired.
     fn expired(&mut self, value: &R);
 }
 
+/// The records held of one log.
 #[derive(Clone, Debug)]
 struct LogRecords<R> {
-    /// The number after the last.
+    /// The number after the last record.
     head: u64,
-    /// When each is over.
+    /// Each record with the time at which it expires.
     entries: BTreeMap<u64, (Duration, R)>,
-    /// Since when nothing is held.
+    /// The last time at which a record expired, or else when the log was created; while there are no
+    /// records, the time since which the log is empty.
     empty_since: Duration,
 }
 
 impl<R: Clone> LogRecords<R> {
-    fn between(&self, now: Duration, between: &Range<u64>) -> Vec<Record<R>> {
-        let record = |(no, (until, value)): (&u64, &(Duration, R))| Record {
+    /// The records in a range of numbers, with their remaining lifetimes.
+    fn records_in(&self, now: Duration, number_range: &Range<u64>) -> Vec<Record<R>> {
+        let record = |(no, (expires_at, value)): (&u64, &(Duration, R))| Record {
             no: *no,
-            remaining: until.saturating_sub(now),
+            remaining: expires_at.saturating_sub(now),
             value: value.clone(),
         };
-        self.entries.range(between.clone()).map(record).collect()
+        self.entries.range(number_range.clone()).map(record).collect()
     }
 }
 
-/// One member's copy.
+/// One member's copy of the set.
 #[derive(Clone, Debug)]
 pub struct ReplicatedSet<R> {
-    own: Log,
-    span: Duration,
+    own_log: Log,
+    retention: Duration,
     logs: BTreeMap<Log, LogRecords<R>>,
 }
 
 impl<R: Clone + PartialEq> ReplicatedSet<R> {
-    /// How long that is still held at most; none if nobody told it.
+    /// How long a value remains in the set; none if it isn't in it.
     pub fn remaining(&self, now: Duration, value: &R) -> Option<Duration> {
         let held = self.logs.values().flat_map(|log| log.entries.values());
-        let until = held.filter(|(until, held)| held == value && *until > now).map(|(until, _)| *until).max();
-        until.map(|until| until - now)
+        let expires_at = held
+            .filter(|(expires_at, held_value)| held_value == value && *expires_at > now)
+            .map(|(expires_at, _)| *expires_at)
+            .max();
+        expires_at.map(|expires_at| expires_at - now)
     }
 
-    /// `incarnation`: this start, above all before; `span`: how long a record is held at most.
-    pub fn new(me: Member, incarnation: Incarnation, span: Duration) -> ReplicatedSet<R> {
-        ReplicatedSet { own: Log { of: me, incarnation }, span, logs: BTreeMap::new() }
+    /// Creates an empty copy. `incarnation`: this start's number, greater than all earlier ones.
+    /// `retention`: the longest time that a record is held.
+    pub fn new(me: Member, incarnation: Incarnation, retention: Duration) -> ReplicatedSet<R> {
+        ReplicatedSet { own_log: Log { of: me, incarnation }, retention, logs: BTreeMap::new() }
     }
 
-    /// Records held.
+    /// Number of records held.
     pub fn len(&self) -> usize {
         self.logs.values().map(|log| log.entries.len()).sum()
     }
 
+    /// Whether no records are held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Starts of members that anything is known of.
+    /// Number of logs known, one per start of a member.
     pub fn logs(&self) -> usize {
         self.logs.len()
     }
 
-    /// The same on two copies that hold the same.
+    /// Digest of the set; equal on copies that hold the same records.
     pub fn digest(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         self.heads().hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Logs of which nothing is held any more aren't spoken of.
+    /// The number after the last record, for each log that holds any; empty logs are left out.
     fn heads(&self) -> BTreeMap<Log, u64> {
         let held = self.logs.iter().filter(|(_, log)| !log.entries.is_empty());
         held.map(|(log, records)| (*log, records.head)).collect()
     }
 
-    /// This start: asks others for what they hold.
-    pub fn start(&self, out: &mut impl ReplicationEffects<R>, asked: &[Member]) {
-        asked.iter().for_each(|to| out.heads(*to, &self.heads(), false));
+    /// Asks other members for their records at the start of this member.
+    pub fn start(&self, out: &mut impl ReplicationEffects<R>, members: &[Member]) {
+        members.iter().for_each(|to| out.heads(*to, &self.heads(), false));
     }
 
-    /// All are to know that.
+    /// Adds a record and sends it to the neighbours.
     pub fn add(
         &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, value: R, neighbours: &[Member],
     ) {
         self.expire(out, now);
         out.added(&value);
-        let until = now + self.span;
-        let log = self.logs.entry(self.own).or_insert(LogRecords {
+        let expires_at = now + self.retention;
+        let log = self.logs.entry(self.own_log).or_insert(LogRecords {
             head: 0,
             entries: BTreeMap::new(),
             empty_since: now,
         });
         let no = log.head;
-        log.entries.insert(no, (until, value.clone()));
+        log.entries.insert(no, (expires_at, value.clone()));
         log.head += 1;
-        let record = [Record { no, remaining: self.span, value }];
-        neighbours.iter().for_each(|to| out.records(*to, self.own, no..no + 1, &record));
+        let record = [Record { no, remaining: self.retention, value }];
+        neighbours.iter().for_each(|to| out.records(*to, self.own_log, no..no + 1, &record));
     }
 
-    /// A turn, as often as the driver likes: compares with a neighbour, each when it is due. What was lost on the way, or
-    /// told while nobody listened, is found out by it.
+    /// Starts a comparison with one neighbour. The driver chooses how often and passes a different
+    /// neighbour each time. Comparisons find the records that were lost on the way or sent while a
+    /// member was away.
     pub fn tick(&mut self, out: &mut impl ReplicationEffects<R>, now: Duration, to: Member) {
         self.expire(out, now);
         out.digest(to, self.digest());
     }
 
-    /// Another's digest.
+    /// Handles another copy's digest: confirms it, or replies with the heads held here.
     pub fn on_digest(
         &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member, digest: u64,
     ) {
@@ -160,66 +177,69 @@
         }
     }
 
-    /// Another's account of what it holds: told is what it lacks, asked for what is lacked here.
+    /// Handles another copy's heads: sends the records that it lacks and asks for those lacked here.
     pub fn on_heads(
         &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member,
-        theirs: &BTreeMap<Log, u64>, is_reply: bool,
+        their_heads: &BTreeMap<Log, u64>, is_reply: bool,
     ) {
         self.expire(out, now);
         let mut record_budget = ANSWER_RECORD_COUNT;
         for (log, records) in &self.logs {
-            let mut first = theirs.get(log).copied().unwrap_or(0);
+            let mut first = their_heads.get(log).copied().unwrap_or(0);
             while first < records.head && !records.entries.is_empty() && record_budget > 0 {
                 let numbers = records.entries.range(first..).map(|(no, _)| *no);
                 let end = numbers
                     .take(MESSAGE_RECORD_COUNT.min(record_budget) + 1)
                     .nth(MESSAGE_RECORD_COUNT.min(record_budget))
                     .unwrap_or(records.head);
-                let batch = records.between(now, &(first..end));
+                let batch = records.records_in(now, &(first..end));
                 record_budget -= batch.len().max(1);
                 out.records(from, *log, first..end, &batch);
                 first = end;
             }
         }
-        let lacks = |(log, head): (&Log, &u64)| {
-            *log != self.own && self.logs.get(log).map_or(0, |records| records.head) < *head
+        let lacks_records = |(log, head): (&Log, &u64)| {
+            *log != self.own_log && self.logs.get(log).map_or(0, |records| records.head) < *head
         };
-        // Guards against two that ask each other on and on while what they answer is lost.
-        if !is_reply && theirs.iter().any(lacks) {
+        // Guards against two copies that ask each other endlessly while the records they send are lost.
+        if !is_reply && their_heads.iter().any(lacks_records) {
             out.heads(from, &self.heads(), true);
         }
     }
 
-    /// Of a log all that another holds between two numbers; what is new is passed on to the other neighbours.
+    /// Handles all records that another copy holds of a log in a range of numbers; new records are
+    /// passed on to the other neighbours.
     pub fn on_records(
         &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member, log: Log,
-        between: Range<u64>, records: Vec<Record<R>>, neighbours: &[Member],
+        number_range: Range<u64>, records: Vec<Record<R>>, neighbours: &[Member],
     ) {
         self.expire(out, now);
         let head = self.logs.get(&log).map_or(0, |records| records.head);
-        // This start's own are known best here.
-        if log == self.own || between.end <= head {
+        // This start's own log is always complete here.
+        if log == self.own_log || number_range.end <= head {
             return;
         }
-        // Guards against a copy with a hole in it: what came before was lost, or comes yet.
-        if between.start > head {
+        // Guards against a gap in the copy: the earlier records were lost or are still on their way.
+        if number_range.start > head {
             return out.heads(from, &self.heads(), false);
         }
         let held =
             self.logs.entry(log).or_insert(LogRecords { head, entries: BTreeMap::new(), empty_since: now });
         for Record { no, remaining, value } in records {
-            if (head..between.end).contains(&no) && !remaining.is_zero() {
+            if (head..number_range.end).contains(&no) && !remaining.is_zero() {
                 out.added(&value);
-                held.entries.insert(no, (now + remaining.min(self.span), value));
+                held.entries.insert(no, (now + remaining.min(self.retention), value));
             }
         }
-        held.head = between.end;
-        let fresh = held.between(now, &(head..between.end));
-        // Guards against what is over being passed on round and round: that there was something is for turns to find out.
-        let others = neighbours.iter().filter(|to| **to != from && !fresh.is_empty());
-        others.for_each(|to| out.records(*to, log, head..between.end, &fresh));
+        held.head = number_range.end;
+        let new_records = held.records_in(now, &(head..number_range.end));
+        // Guards against expired records circulating endlessly. Nothing is passed on if no record is
+        // left; comparisons find the difference in heads.
+        let others = neighbours.iter().filter(|to| **to != from && !new_records.is_empty());
+        others.for_each(|to| out.records(*to, log, head..number_range.end, &new_records));
     }
 
+    /// Drops expired records and logs that are no longer needed.
     fn expire(&mut self, out: &mut impl ReplicationEffects<R>, now: Duration) {
         for log in self.logs.values_mut() {
             while let Some(first) = log.entries.first_entry().filter(|first| first.get().0 <= now) {
@@ -227,11 +247,15 @@
                 log.empty_since = now;
             }
         }
-        // Of starts before a member's last nothing new comes: what is empty is left out for good, a span later. Guards
-        // against a record that is over here, not yet at others, and is learned again from them, and again from here.
-        let last: BTreeMap<_, _> = self.logs.keys().map(|log| (log.of, log.incarnation)).collect();
-        let (span, is_last) = (self.span, |log: &Log| last[&log.of] == log.incarnation);
-        self.logs
-            .retain(|log, held| !held.entries.is_empty() || is_last(log) || now < held.empty_since + span);
+        // Logs of a member's earlier starts get no new records, so an empty one is dropped after one
+        // more retention. Dropping it earlier would let a record that has expired here but not yet
+        // elsewhere be learned again from other members, and again from here.
+        let latest_incarnations: BTreeMap<_, _> =
+            self.logs.keys().map(|log| (log.of, log.incarnation)).collect();
+        let (retention, is_latest) =
+            (self.retention, |log: &Log| latest_incarnations[&log.of] == log.incarnation);
+        self.logs.retain(|log, held| {
+            !held.entries.is_empty() || is_latest(log) || now < held.empty_since + retention
+        });
     }
 }
