--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Withdrawn claims remembered per session; beyond that the smallest (oldest) are dropped. Remembering
-/// them guards against a claim message that arrives after its withdrawal. If the withdrawal was dropped,
-/// that claim only blocks the session.
+/// Withdrawn claims remembered per session; beyond that the first in order are dropped. Remembering them
+/// guards against a claim message that arrives after its withdrawal. If the withdrawal was dropped, that
+/// claim only blocks the session.
 const MAX_WITHDRAWN_COUNT: usize = 8;
 
 /// The claims an acceptor stores for one session. Two differing copies merge into the union of their
-/// claims, minus every claim that either copy knows to be withdrawn. While it holds more than one claim,
-/// the acceptor accepts no other claim, until withdrawals leave one.
+/// claims, minus every claim that either copy knows to be withdrawn. While the set holds more than one
+/// claim, the acceptor accepts no claim, until withdrawals leave one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimSet {
     /// Claims accepted and not withdrawn.
--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -95,8 +95,8 @@
         starts: &[(Member, Incarnation)],
     ) {
         for (member, incarnation) in starts {
-            let known = self.starts.entry(*member).or_insert(*incarnation);
-            *known = (*known).max(*incarnation);
+            let latest_start = self.starts.entry(*member).or_insert(*incarnation);
+            *latest_start = (*latest_start).max(*incarnation);
         }
         if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
             return;
@@ -104,8 +104,8 @@
         if let Some(proposal) =
             self.proposals.get_mut(&claim.no).filter(|proposal| proposal.acceptors.contains(&from))
         {
-            let before = proposal.accepted.entry(from).or_insert(incarnation);
-            *before = (*before).max(incarnation);
+            let accepted_by = proposal.accepted.entry(from).or_insert(incarnation);
+            *accepted_by = (*accepted_by).max(incarnation);
         }
         self.decide(out, claim.no);
     }
@@ -136,19 +136,19 @@
     /// Decides a claim if its replies suffice.
     fn decide(&mut self, out: &mut impl Effects, no: ClaimNo) {
         let Some(proposal) = self.proposals.get(&no) else { return };
-        let accepted =
+        let accepted_count =
             proposal.acceptors.iter().filter(|acceptor| self.counts_as_accepted(proposal, acceptor)).count();
         // An acceptor that abstained may still accept; one that holds another claim will hold it for
         // long.
-        let taken = proposal
+        let taken_count = proposal
             .rejected
             .iter()
             .filter(|(from, taken)| **taken && !proposal.accepted.contains_key(from))
             .count();
-        if accepted >= self.group.majority() {
+        if accepted_count >= self.group.majority() {
             self.proposals.remove(&no);
             out.claim_decided(no, ClaimOutcome::Granted);
-        } else if taken > proposal.acceptors.len() - self.group.majority() {
+        } else if taken_count > proposal.acceptors.len() - self.group.majority() {
             self.abandon(out, no, ClaimOutcome::Taken);
         }
     }
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -1,4 +1,6 @@
-//! The cores of three members in a small world, through every order of what may happen to them; and tables of their parts.
+//! Model tests of the agreement: the acceptors and proposers of three members through many orders of
+//! events, with crashes and losses of storage; and tests of the replicated set on copies in virtual
+//! time.
 
 use crate::{
     Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
@@ -16,9 +18,9 @@
 
 const SESSION: SessionId = SessionId(7);
 const NOW: Duration = Duration::from_secs(1);
-const SPAN: Duration = Duration::from_secs(100);
-/// When a claim's time is over, which is a step of the world's own.
-const LATE: Duration = Duration::from_secs(2);
+const RETENTION: Duration = Duration::from_secs(100);
+/// A time after the deadline of every claim. Passing it is a step of its own in the model.
+const AFTER_DEADLINE: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
@@ -33,17 +35,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Note {
-    Held(ClaimSet),
+enum Write {
+    Claims(ClaimSet),
     Start(Member, Incarnation),
-    Whole,
+    Recovered,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Disk {
-    held: Option<ClaimSet>,
+    claim_set: Option<ClaimSet>,
     starts: BTreeMap<Member, Incarnation>,
-    whole: bool,
+    is_complete: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -52,101 +54,103 @@
     proposer: Proposer,
     incarnation: Incarnation,
     disk: Disk,
-    unsynced: Vec<Note>,
+    unsynced: Vec<Write>,
 }
 
-/// What was said stays on the wire: it comes at any time, as often as the world likes, or never.
+/// A group of nodes. Messages stay in flight once sent: each may be delivered at any time, any number of
+/// times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Harness {
     nodes: Vec<Node>,
-    wire: BTreeSet<(Member, Member, Message)>,
-    /// Claims granted and neither sent nor given up, and those sent.
+    in_flight: BTreeSet<(Member, Member, Message)>,
+    /// Claims granted and neither set up nor withdrawn.
     granted: BTreeSet<Claim>,
-    sent: BTreeSet<Claim>,
-    asks: Vec<u8>,
-    kills: u8,
-    forgets: u8,
+    /// Claims whose set-up was sent.
+    set_up: BTreeSet<Claim>,
+    proposals_left: Vec<u8>,
+    crashes: u8,
+    storage_losses: u8,
 }
 
-/// What a world does that a program must not.
+/// A defect that is injected to show that the tests find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Defect {
     None,
-    /// It is said to be kept before it is on disk.
-    SaidBeforeSync,
-    /// One that came back without memory is taken for one that never kept anything.
-    ForgetfulCounts,
-    /// Starts without memory aren't told on with what is kept.
-    StartsNotTold,
-    /// Nor are they on disk.
+    /// Replies are sent before the write is on disk.
+    ReplyBeforeSync,
+    /// A member that lost its storage is taken for one that never stored anything.
+    LostStorageCountsAsComplete,
+    /// Starts without storage are not reported to proposers.
+    StartsNotReported,
+    /// Starts without storage are not written to disk.
     StartsNotStored,
 }
 
-/// One step of a world; `Comes`: what stands at that place on the wire.
+/// One step of the model. `Deliver`: the message at this position of those in flight.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    Comes(usize),
-    Sends(Claim),
+enum Step {
+    Deliver(usize),
+    SendSetUp(Claim),
     NeverRan(Claim),
-    Syncs(Member),
-    Asks(Member),
-    GivesUp(Member),
-    Dies(Member),
-    Forgets(Member),
+    Sync(Member),
+    Propose(Member),
+    TimeOut(Member),
+    Crash(Member),
+    LoseStorage(Member),
 }
 
 struct RecordedEffects<'a> {
     me: Member,
     incarnation: Incarnation,
-    wire: &'a mut BTreeSet<(Member, Member, Message)>,
-    notes: &'a mut Vec<Note>,
+    in_flight: &'a mut BTreeSet<(Member, Member, Message)>,
+    writes: &'a mut Vec<Write>,
     granted: &'a mut BTreeSet<Claim>,
     defect: Defect,
 }
 
 impl RecordedEffects<'_> {
-    fn say(&mut self, to: Member, message: Message) {
-        self.wire.insert((self.me, to, message));
+    fn send(&mut self, to: Member, message: Message) {
+        self.in_flight.insert((self.me, to, message));
     }
 }
 
 impl Effects for RecordedEffects<'_> {
     fn claim(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Message::Claim(claim));
+        self.send(to, Message::Claim(claim));
     }
     fn accepted(
         &mut self, to: Member, _: SessionId, claim: Claim, incarnation: Incarnation,
         starts: &[(Member, Incarnation)],
     ) {
-        let reported = if self.defect == Defect::StartsNotTold { &[] } else { starts };
-        self.say(to, Message::Accepted(claim, incarnation, reported.to_vec()));
+        let reported = if self.defect == Defect::StartsNotReported { &[] } else { starts };
+        self.send(to, Message::Accepted(claim, incarnation, reported.to_vec()));
     }
     fn rejected(&mut self, to: Member, _: SessionId, claim: Claim, taken: bool) {
-        self.say(to, Message::Rejected(claim, taken));
+        self.send(to, Message::Rejected(claim, taken));
     }
     fn withdraw(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Message::Withdraw(claim));
+        self.send(to, Message::Withdraw(claim));
     }
     fn withdrawn(&mut self, to: Member, _: SessionId, claim: Claim) {
-        self.say(to, Message::Withdrawn(claim));
+        self.send(to, Message::Withdrawn(claim));
     }
     fn request_recovery(&mut self, to: Member, incarnation: Incarnation) {
-        self.say(to, Message::RequestRecovery(incarnation));
+        self.send(to, Message::RequestRecovery(incarnation));
     }
     fn recovery_entry(&mut self, to: Member, incarnation: Incarnation, _: SessionId, claim_set: &ClaimSet) {
-        self.say(to, Message::RecoveryEntry(incarnation, claim_set.clone()));
+        self.send(to, Message::RecoveryEntry(incarnation, claim_set.clone()));
     }
     fn recovery_done(&mut self, to: Member, incarnation: Incarnation, count: u64) {
-        self.say(to, Message::RecoveryDone(incarnation, count));
+        self.send(to, Message::RecoveryDone(incarnation, count));
     }
-    fn store(&mut self, _: SessionId, held: &ClaimSet) {
-        self.notes.push(Note::Held(held.clone()));
+    fn store(&mut self, _: SessionId, claim_set: &ClaimSet) {
+        self.writes.push(Write::Claims(claim_set.clone()));
     }
     fn store_start(&mut self, member: Member, incarnation: Incarnation) {
-        self.notes.push(Note::Start(member, incarnation));
+        self.writes.push(Write::Start(member, incarnation));
     }
     fn store_recovered(&mut self) {
-        self.notes.push(Note::Whole);
+        self.writes.push(Write::Recovered);
     }
     fn forget(&mut self, _: SessionId) {}
     fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
@@ -161,9 +165,9 @@
 }
 
 fn node(me: Member, members: u16, incarnation: Incarnation, disk: Disk) -> Node {
-    let sessions = disk.held.clone().map(|held| (SESSION, held)).into_iter().collect();
+    let sessions = disk.claim_set.clone().map(|claim_set| (SESSION, claim_set)).into_iter().collect();
     let stored = (sessions, disk.starts.clone());
-    let acceptor = Acceptor::new(group(members), me, incarnation, SPAN, NOW, disk.whole, stored);
+    let acceptor = Acceptor::new(group(members), me, incarnation, RETENTION, NOW, disk.is_complete, stored);
     Node {
         acceptor,
         proposer: Proposer::new(group(members), me, incarnation),
@@ -174,42 +178,44 @@
 }
 
 impl Harness {
-    /// How often each member may ask, how often one may be killed, how often it loses its memory with that.
-    fn new(asks: &[u8], kills: u8, forgets: u8) -> Harness {
-        let whole = Disk { whole: true, ..Disk::default() };
-        let members = asks.len() as u16;
+    /// `proposals_left`: how many claims each member may propose. `crashes`: how often any member may
+    /// crash with its disk intact. `storage_losses`: how often any member may crash and lose its disk.
+    fn new(proposals_left: &[u8], crashes: u8, storage_losses: u8) -> Harness {
+        let complete = Disk { is_complete: true, ..Disk::default() };
+        let members = proposals_left.len() as u16;
         Harness {
-            nodes: (0..members).map(|i| node(Member(i), members, Incarnation(1), whole.clone())).collect(),
-            wire: BTreeSet::new(),
+            nodes: (0..members).map(|i| node(Member(i), members, Incarnation(1), complete.clone())).collect(),
+            in_flight: BTreeSet::new(),
             granted: BTreeSet::new(),
-            sent: BTreeSet::new(),
-            asks: asks.to_vec(),
-            kills,
-            forgets,
+            set_up: BTreeSet::new(),
+            proposals_left: proposals_left.to_vec(),
+            crashes,
+            storage_losses,
         }
     }
 
-    fn at<T>(
-        &mut self, at: Member, defect: Defect, does: impl FnOnce(&mut Node, &mut RecordedEffects) -> T,
+    /// Runs an action on a node and collects its effects.
+    fn with_node<T>(
+        &mut self, target: Member, defect: Defect, action: impl FnOnce(&mut Node, &mut RecordedEffects) -> T,
     ) -> T {
-        let node = &mut self.nodes[usize::from(at.0)];
-        let mut notes = std::mem::take(&mut node.unsynced);
-        let (wire, granted) = (&mut self.wire, &mut self.granted);
+        let node = &mut self.nodes[usize::from(target.0)];
+        let mut writes = std::mem::take(&mut node.unsynced);
+        let (in_flight, granted) = (&mut self.in_flight, &mut self.granted);
         let effects = &mut RecordedEffects {
-            me: at,
+            me: target,
             incarnation: node.incarnation,
-            wire,
-            notes: &mut notes,
+            in_flight,
+            writes: &mut writes,
             granted,
             defect,
         };
-        let came = does(node, effects);
-        node.unsynced = notes;
-        came
+        let result = action(node, effects);
+        node.unsynced = writes;
+        result
     }
 
-    fn comes(&mut self, from: Member, to: Member, message: &Message, defect: Defect) {
-        self.at(to, defect, |node, out| match message {
+    fn deliver(&mut self, from: Member, to: Member, message: &Message, defect: Defect) {
+        self.with_node(to, defect, |node, out| match message {
             Message::Claim(claim) => node.acceptor.on_claim(out, NOW, from, SESSION, *claim),
             Message::Accepted(claim, incarnation, starts) => {
                 node.proposer.on_accepted(out, from, *claim, *incarnation, starts)
@@ -220,520 +226,602 @@
             Message::RequestRecovery(incarnation) => {
                 node.acceptor.on_recovery_request(out, from, *incarnation)
             }
-            Message::RecoveryEntry(incarnation, held) => {
-                node.acceptor.on_recovery_entry(out, NOW, from, *incarnation, SESSION, held)
+            Message::RecoveryEntry(incarnation, claim_set) => {
+                node.acceptor.on_recovery_entry(out, NOW, from, *incarnation, SESSION, claim_set)
             }
             Message::RecoveryDone(incarnation, count) => {
                 node.acceptor.on_recovery_done(out, from, *incarnation, *count)
             }
         });
-        if defect == Defect::SaidBeforeSync {
-            self.at(to, defect, |node, out| node.acceptor.on_stored(out, usize::MAX));
+        if defect == Defect::ReplyBeforeSync {
+            self.with_node(to, defect, |node, out| node.acceptor.on_stored(out, usize::MAX));
         }
     }
 
-    fn syncs(&mut self, at: Member, defect: Defect) {
-        let node = &mut self.nodes[usize::from(at.0)];
-        let notes = std::mem::take(&mut node.unsynced);
-        for note in &notes {
-            match note {
-                Note::Held(held) => node.disk.held = Some(held.clone()),
-                Note::Start(..) if defect == Defect::StartsNotStored => {}
-                Note::Start(member, incarnation) => drop(node.disk.starts.insert(*member, *incarnation)),
-                Note::Whole => node.disk.whole = true,
+    /// Writes what is pending to the node's disk.
+    fn sync(&mut self, target: Member, defect: Defect) {
+        let node = &mut self.nodes[usize::from(target.0)];
+        let writes = std::mem::take(&mut node.unsynced);
+        for write in &writes {
+            match write {
+                Write::Claims(claim_set) => node.disk.claim_set = Some(claim_set.clone()),
+                Write::Start(..) if defect == Defect::StartsNotStored => {}
+                Write::Start(member, incarnation) => drop(node.disk.starts.insert(*member, *incarnation)),
+                Write::Recovered => node.disk.is_complete = true,
             }
         }
-        self.at(at, defect, |node, out| node.acceptor.on_stored(out, notes.len()));
+        self.with_node(target, defect, |node, out| node.acceptor.on_stored(out, writes.len()));
     }
 
-    fn dies(&mut self, at: Member, forgets: bool, defect: Defect) {
+    fn crash(&mut self, target: Member, loses_storage: bool, defect: Defect) {
         let members = self.nodes.len() as u16;
-        let old = &self.nodes[usize::from(at.0)];
-        let disk = match (forgets, defect) {
+        let old = &self.nodes[usize::from(target.0)];
+        let disk = match (loses_storage, defect) {
             (false, _) => old.disk.clone(),
-            (true, Defect::ForgetfulCounts) => Disk { whole: true, ..Disk::default() },
+            (true, Defect::LostStorageCountsAsComplete) => Disk { is_complete: true, ..Disk::default() },
             (true, _) => Disk::default(),
         };
         let incarnation = Incarnation(old.incarnation.0 + 1);
-        self.nodes[usize::from(at.0)] = node(at, members, incarnation, disk);
-        // What it was granted and had not sent goes with it.
-        self.granted.retain(|claim| claim.by != at);
-        self.at(at, defect, |node, out| node.acceptor.retry(out, NOW, usize::MAX));
+        self.nodes[usize::from(target.0)] = node(target, members, incarnation, disk);
+        // Its claims that were granted but not yet set up are lost with it.
+        self.granted.retain(|claim| claim.by != target);
+        self.with_node(target, defect, |node, out| node.acceptor.retry(out, NOW, usize::MAX));
     }
 
-    /// All that may happen next.
-    fn may(&self) -> Vec<Act> {
-        let mut may: Vec<_> = (0..self.wire.len()).map(Act::Comes).collect();
-        may.extend(self.granted.iter().flat_map(|claim| [Act::Sends(*claim), Act::NeverRan(*claim)]));
+    /// All steps that may happen next.
+    fn possible_steps(&self) -> Vec<Step> {
+        let mut steps: Vec<_> = (0..self.in_flight.len()).map(Step::Deliver).collect();
+        steps.extend(self.granted.iter().flat_map(|claim| [Step::SendSetUp(*claim), Step::NeverRan(*claim)]));
         for (i, node) in self.nodes.iter().enumerate() {
-            let at = Member(i as u16);
-            may.extend((!node.unsynced.is_empty()).then_some(Act::Syncs(at)));
-            may.extend((self.asks[i] > 0).then_some(Act::Asks(at)));
-            may.extend((node.proposer.open_counts().0 > 0).then_some(Act::GivesUp(at)));
-            may.extend((self.kills > 0).then_some(Act::Dies(at)));
-            may.extend((self.forgets > 0).then_some(Act::Forgets(at)));
+            let target = Member(i as u16);
+            steps.extend((!node.unsynced.is_empty()).then_some(Step::Sync(target)));
+            steps.extend((self.proposals_left[i] > 0).then_some(Step::Propose(target)));
+            steps.extend((node.proposer.open_counts().0 > 0).then_some(Step::TimeOut(target)));
+            steps.extend((self.crashes > 0).then_some(Step::Crash(target)));
+            steps.extend((self.storage_losses > 0).then_some(Step::LoseStorage(target)));
         }
-        may
+        steps
     }
 
-    fn does(&mut self, act: Act, defect: Defect) {
-        match act {
-            Act::Comes(i) => {
-                let Some((from, to, message)) = self.wire.iter().nth(i).cloned() else { return };
-                self.comes(from, to, &message, defect);
+    fn apply(&mut self, step: Step, defect: Defect) {
+        match step {
+            Step::Deliver(i) => {
+                let Some((from, to, message)) = self.in_flight.iter().nth(i).cloned() else { return };
+                self.deliver(from, to, &message, defect);
             }
-            Act::Sends(claim) => {
+            Step::SendSetUp(claim) => {
                 self.granted.remove(&claim);
-                self.sent.insert(claim);
+                self.set_up.insert(claim);
             }
-            // Its servers turned it away.
-            Act::NeverRan(claim) => {
+            // The servers rejected the set-up.
+            Step::NeverRan(claim) => {
                 self.granted.remove(&claim);
-                self.at(claim.by, defect, |node, out| node.proposer.withdraw(out, SESSION, claim.no));
+                self.with_node(claim.by, defect, |node, out| node.proposer.withdraw(out, SESSION, claim.no));
             }
-            Act::Syncs(at) => self.syncs(at, defect),
-            Act::Asks(at) => {
-                self.asks[usize::from(at.0)] -= 1;
-                self.at(at, defect, |node, out| node.proposer.propose(out, SESSION, LATE));
+            Step::Sync(target) => self.sync(target, defect),
+            Step::Propose(target) => {
+                self.proposals_left[usize::from(target.0)] -= 1;
+                self.with_node(target, defect, |node, out| {
+                    node.proposer.propose(out, SESSION, AFTER_DEADLINE)
+                });
             }
-            Act::GivesUp(at) => self.at(at, defect, |node, out| node.proposer.retry(out, LATE)),
-            Act::Dies(at) => {
-                self.kills -= 1;
-                self.dies(at, false, defect);
+            Step::TimeOut(target) => {
+                self.with_node(target, defect, |node, out| node.proposer.retry(out, AFTER_DEADLINE))
             }
-            Act::Forgets(at) => {
-                self.forgets -= 1;
-                self.dies(at, true, defect);
+            Step::Crash(target) => {
+                self.crashes -= 1;
+                self.crash(target, false, defect);
+            }
+            Step::LoseStorage(target) => {
+                self.storage_losses -= 1;
+                self.crash(target, true, defect);
             }
         }
     }
 
-    fn next(&self, defect: Defect) -> Vec<Harness> {
-        let step = |act| {
-            let mut harness = self.clone();
-            harness.does(act, defect);
-            (harness != *self).then_some(harness)
+    /// All states that one step leads to.
+    fn successors(&self, defect: Defect) -> Vec<Harness> {
+        let apply_step = |step| {
+            let mut successor = self.clone();
+            successor.apply(step, defect);
+            (successor != *self).then_some(successor)
         };
-        self.may().into_iter().filter_map(step).collect()
+        self.possible_steps().into_iter().filter_map(apply_step).collect()
     }
 
-    /// Claims that may be set up, or were.
-    fn live(&self) -> usize {
-        self.granted.union(&self.sent).count()
+    /// Number of claims that may be set up or already were.
+    fn live_claim_count(&self) -> usize {
+        self.granted.union(&self.set_up).count()
     }
 }
 
-/// Goes through all states in order of their distance, up to so many: states and steps gone through, whether that was
-/// all, and the length of the way to one with two live claims.
-fn explore(harness: Harness, defect: Defect, most: usize) -> (usize, usize, bool, Option<usize>) {
-    let print = |harness: &Harness| {
+/// Breadth-first search over all states, up to a limit. Returns the number of states and of steps,
+/// whether the search was exhaustive, and the depth of a state with two live claims.
+fn explore(harness: Harness, defect: Defect, max_states: usize) -> (usize, usize, bool, Option<usize>) {
+    let fingerprint = |harness: &Harness| {
         let mut hasher = DefaultHasher::new();
         harness.hash(&mut hasher);
         hasher.finish()
     };
-    let mut seen = HashSet::from([print(&harness)]);
-    let (mut now, mut steps, mut deep) = (vec![harness], 0, 0);
-    while !now.is_empty() {
-        let mut later = vec![];
-        for harness in now {
-            if harness.live() > 1 {
-                return (seen.len(), steps, false, Some(deep));
+    let mut visited = HashSet::from([fingerprint(&harness)]);
+    let (mut frontier, mut step_count, mut depth) = (vec![harness], 0, 0);
+    while !frontier.is_empty() {
+        let mut next_frontier = vec![];
+        for harness in frontier {
+            if harness.live_claim_count() > 1 {
+                return (visited.len(), step_count, false, Some(depth));
             }
-            for next in harness.next(defect) {
-                steps += 1;
-                if seen.insert(print(&next)) {
-                    later.push(next);
+            for successor in harness.successors(defect) {
+                step_count += 1;
+                if visited.insert(fingerprint(&successor)) {
+                    next_frontier.push(successor);
                 }
             }
-            if seen.len() > most {
-                return (seen.len(), steps, false, None);
+            if visited.len() > max_states {
+                return (visited.len(), step_count, false, None);
             }
         }
-        (now, deep) = (later, deep + 1);
+        (frontier, depth) = (next_frontier, depth + 1);
     }
-    (seen.len(), steps, true, None)
+    (visited.len(), step_count, true, None)
 }
 
-/// One way through a world by chance, of so many steps at most: after how many there were two live claims.
-fn walk(mut harness: Harness, defect: Defect, chance: &mut Pcg64Mcg, most: usize) -> Option<usize> {
-    for step in 1..=most {
-        let may = harness.may();
-        if may.is_empty() {
+/// One random walk of at most `max_steps` steps. Returns the step after which there were two live
+/// claims.
+fn random_walk(mut harness: Harness, defect: Defect, rng: &mut Pcg64Mcg, max_steps: usize) -> Option<usize> {
+    for step in 1..=max_steps {
+        let possible_steps = harness.possible_steps();
+        if possible_steps.is_empty() {
             return None;
         }
-        harness.does(may[chance.random_range(0..may.len())], defect);
-        if harness.live() > 1 {
+        harness.apply(possible_steps[rng.random_range(0..possible_steps.len())], defect);
+        if harness.live_claim_count() > 1 {
             return Some(step);
         }
     }
     None
 }
 
-/// The kills and losses of memory that worlds have, beside two members that ask for one session.
-const WORLDS: [(u8, u8); 4] = [(0, 0), (1, 0), (0, 1), (1, 1)];
-const ASKS: [u8; 3] = [1, 1, 0];
-/// Steps of a way by chance.
-const STEPS: usize = 80;
+/// Crashes and losses of storage per model, while two members propose a claim of the same session.
+const FAULT_COUNTS: [(u8, u8); 4] = [(0, 0), (1, 0), (0, 1), (1, 1)];
+const PROPOSALS_PER_MEMBER: [u8; 3] = [1, 1, 0];
+/// Steps of a random walk.
+const MAX_WALK_STEPS: usize = 80;
 
-/// States or ways that are gone through: more with IVYWARD_SMALL.
-fn size(usual: usize) -> usize {
-    std::env::var("IVYWARD_SMALL").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// Number of states or walks to try; the environment variable IVYWARD_SMALL overrides it.
+fn search_limit(default_limit: usize) -> usize {
+    std::env::var("IVYWARD_SMALL").ok().and_then(|text| text.parse().ok()).unwrap_or(default_limit)
 }
 
 #[test]
 fn no_order_of_events_sets_a_paid_session_up_twice() {
-    for (kills, forgets) in WORLDS {
-        let (states, steps, all, broken) =
-            explore(Harness::new(&ASKS, kills, forgets), Defect::None, size(20_000));
-        println!("kills {kills}, forgets {forgets}: {states} states, {steps} steps, all of them: {all}");
-        assert_eq!(broken, None, "two live claims: kills {kills}, forgets {forgets}");
-        let ways = size(8_000);
-        for seed in 0..ways as u64 {
-            let mut chance = Pcg64Mcg::seed_from_u64(seed);
-            let broken = walk(Harness::new(&[2, 2, 1], kills, forgets), Defect::None, &mut chance, STEPS);
-            assert_eq!(broken, None, "two live claims: kills {kills}, forgets {forgets}, seed {seed}");
+    for (crashes, storage_losses) in FAULT_COUNTS {
+        let (states, steps, is_exhaustive, violation) = explore(
+            Harness::new(&PROPOSALS_PER_MEMBER, crashes, storage_losses),
+            Defect::None,
+            search_limit(20_000),
+        );
+        println!(
+            "crashes {crashes}, storage losses {storage_losses}: {states} states, {steps} steps, exhaustive: {is_exhaustive}"
+        );
+        assert_eq!(violation, None, "two live claims: crashes {crashes}, storage losses {storage_losses}");
+        let walk_count = search_limit(8_000);
+        for seed in 0..walk_count as u64 {
+            let mut rng = Pcg64Mcg::seed_from_u64(seed);
+            let violation = random_walk(
+                Harness::new(&[2, 2, 1], crashes, storage_losses),
+                Defect::None,
+                &mut rng,
+                MAX_WALK_STEPS,
+            );
+            assert_eq!(
+                violation, None,
+                "two live claims: crashes {crashes}, storage losses {storage_losses}, seed {seed}"
+            );
         }
     }
 }
 
 #[test]
-fn each_defect_put_in_is_found() {
-    for (defect, kills, forgets) in [(Defect::SaidBeforeSync, 1, 0), (Defect::ForgetfulCounts, 0, 1)] {
-        let ways = size(300_000) as u64;
-        let found = (0..ways).find_map(|seed| {
-            let mut chance = Pcg64Mcg::seed_from_u64(seed);
-            walk(Harness::new(&ASKS, kills, forgets), defect, &mut chance, STEPS).map(|steps| (seed, steps))
+fn random_walks_find_each_injected_defect() {
+    for (defect, crashes, storage_losses) in
+        [(Defect::ReplyBeforeSync, 1, 0), (Defect::LostStorageCountsAsComplete, 0, 1)]
+    {
+        let walk_count = search_limit(300_000) as u64;
+        let found = (0..walk_count).find_map(|seed| {
+            let mut rng = Pcg64Mcg::seed_from_u64(seed);
+            random_walk(
+                Harness::new(&PROPOSALS_PER_MEMBER, crashes, storage_losses),
+                defect,
+                &mut rng,
+                MAX_WALK_STEPS,
+            )
+            .map(|steps| (seed, steps))
         });
-        println!("{defect:?}: found by way and after steps {found:?}");
-        assert!(found.is_some(), "{defect:?} was not found on {ways} ways");
+        println!("{defect:?}: found with (seed, steps) {found:?}");
+        assert!(found.is_some(), "{defect:?} was not found in {walk_count} random walks");
     }
 }
 
-/// Member 2 keeps a claim, forgets it, and recalls before another keeps it too; then a second claim comes to member 2.
+/// Guards against a majority made of an acceptance from before a loss of storage and one from after it.
+/// Member 2 accepts a claim, loses its storage, and recovers before another member accepts the claim
+/// too; then member 2 receives a second claim.
 #[test]
-fn what_was_kept_before_a_loss_of_memory_is_not_counted_with_what_is_kept_after() {
-    // `dies`: member 0 is killed, with its memory, once it has heard of the loss.
-    for (defect, dies, live) in [
+fn claims_accepted_before_and_after_a_storage_loss_are_not_counted_together() {
+    // `crashes_between`: member 0 crashes, keeping its disk, once it has learned of the storage loss.
+    for (defect, crashes_between, expected_live_count) in [
         (Defect::None, false, 1),
         (Defect::None, true, 1),
-        (Defect::StartsNotTold, false, 2),
+        (Defect::StartsNotReported, false, 2),
         (Defect::StartsNotStored, true, 2),
         (Defect::StartsNotStored, false, 1),
     ] {
         let mut harness = Harness::new(&[1, 1, 0], 1, 1);
         let [zero, one, two] = [0, 1, 2].map(Member);
-        let come = |harness: &mut Harness, from, to, what: fn(&Message) -> bool| {
-            let fits = |m: &&(Member, Member, Message)| m.0 == from && m.1 == to && what(&m.2);
-            let all: Vec<_> = harness.wire.iter().filter(fits).cloned().collect();
-            for (from, to, message) in all {
-                harness.comes(from, to, &message, defect);
-                harness.syncs(to, defect);
+        let deliver_matching = |harness: &mut Harness, from, to, selects: fn(&Message) -> bool| {
+            let is_selected =
+                |sent: &&(Member, Member, Message)| sent.0 == from && sent.1 == to && selects(&sent.2);
+            let selected: Vec<_> = harness.in_flight.iter().filter(is_selected).cloned().collect();
+            for (from, to, message) in selected {
+                harness.deliver(from, to, &message, defect);
+                harness.sync(to, defect);
             }
         };
-        // Whoever dies loses what it was granted, so it asks second.
-        let first = if dies { one } else { zero };
-        let other = if dies { zero } else { one };
+        // A member that crashes loses its granted claim, so it proposes second.
+        let first_proposer = if crashes_between { one } else { zero };
+        let second_proposer = if crashes_between { zero } else { one };
         let claim: fn(&Message) -> bool = |message| matches!(message, Message::Claim(_));
         let accepted: fn(&Message) -> bool = |message| matches!(message, Message::Accepted(..));
-        harness.does(Act::Asks(first), defect);
-        come(&mut harness, first, two, claim);
-        harness.does(Act::Forgets(two), defect);
+        harness.apply(Step::Propose(first_proposer), defect);
+        deliver_matching(&mut harness, first_proposer, two, claim);
+        harness.apply(Step::LoseStorage(two), defect);
         for member in [zero, one] {
-            come(&mut harness, two, member, |message| matches!(message, Message::RequestRecovery(_)));
-            come(&mut harness, member, two, |message| {
+            deliver_matching(&mut harness, two, member, |message| {
+                matches!(message, Message::RequestRecovery(_))
+            });
+            deliver_matching(&mut harness, member, two, |message| {
                 matches!(message, Message::RecoveryEntry(..) | Message::RecoveryDone(..))
             });
         }
-        if dies {
-            // Who keeps the first claim beside member 2 comes back in between.
-            harness.does(Act::Dies(other), defect);
-            come(&mut harness, first, other, claim);
-            come(&mut harness, other, first, accepted);
+        if crashes_between {
+            // The other acceptor of the first claim restarts in between.
+            harness.apply(Step::Crash(second_proposer), defect);
+            deliver_matching(&mut harness, first_proposer, second_proposer, claim);
+            deliver_matching(&mut harness, second_proposer, first_proposer, accepted);
         } else {
-            come(&mut harness, first, first, claim);
-            come(&mut harness, first, first, accepted);
+            deliver_matching(&mut harness, first_proposer, first_proposer, claim);
+            deliver_matching(&mut harness, first_proposer, first_proposer, accepted);
         }
-        come(&mut harness, two, first, accepted);
-        // The other majority: member 2 as it is now, and member 1, which has not heard of the first claim.
-        harness.does(Act::Asks(other), defect);
+        deliver_matching(&mut harness, two, first_proposer, accepted);
+        // The other majority: member 2 after its recovery, and member 1, which has not received the
+        // first claim.
+        harness.apply(Step::Propose(second_proposer), defect);
         for acceptor in [two, one] {
-            come(&mut harness, other, acceptor, claim);
-            come(&mut harness, acceptor, other, accepted);
+            deliver_matching(&mut harness, second_proposer, acceptor, claim);
+            deliver_matching(&mut harness, acceptor, second_proposer, accepted);
         }
-        assert_eq!(harness.live(), live, "{defect:?}, dies {dies}");
+        assert_eq!(
+            harness.live_claim_count(),
+            expected_live_count,
+            "{defect:?}, crash in between {crashes_between}"
+        );
     }
 }
 
-/// What one copy told of, and what it has others told.
+/// What one copy holds according to its notifications, and the messages that it has sent.
 #[derive(Default)]
-struct Said {
-    known: BTreeMap<u32, usize>,
-    wire: Vec<(Member, ReplicationMessage)>,
+struct CopyEffects {
+    /// Values held, each with the number of its records.
+    value_counts: BTreeMap<u32, usize>,
+    outbox: Vec<(Member, ReplicationMessage)>,
 }
 
 #[derive(Clone)]
 enum ReplicationMessage {
     Digest(u64),
-    Same,
+    InSync,
     Heads(BTreeMap<Log, u64>, bool),
     Records(Log, Range<u64>, Vec<Record<u32>>),
 }
 
-impl ReplicationEffects<u32> for Said {
+impl ReplicationEffects<u32> for CopyEffects {
     fn digest(&mut self, to: Member, digest: u64) {
-        self.wire.push((to, ReplicationMessage::Digest(digest)));
+        self.outbox.push((to, ReplicationMessage::Digest(digest)));
     }
 
     fn in_sync(&mut self, to: Member) {
-        self.wire.push((to, ReplicationMessage::Same));
+        self.outbox.push((to, ReplicationMessage::InSync));
     }
 
     fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
-        self.wire.push((to, ReplicationMessage::Heads(heads.clone(), is_reply)));
+        self.outbox.push((to, ReplicationMessage::Heads(heads.clone(), is_reply)));
     }
 
-    fn records(&mut self, to: Member, log: Log, between: Range<u64>, records: &[Record<u32>]) {
-        self.wire.push((to, ReplicationMessage::Records(log, between, records.to_vec())));
+    fn records(&mut self, to: Member, log: Log, number_range: Range<u64>, records: &[Record<u32>]) {
+        self.outbox.push((to, ReplicationMessage::Records(log, number_range, records.to_vec())));
     }
 
     fn added(&mut self, value: &u32) {
-        *self.known.entry(*value).or_default() += 1;
+        *self.value_counts.entry(*value).or_default() += 1;
     }
 
     fn expired(&mut self, value: &u32) {
-        let count = self.known.get_mut(value).expect("it was learned");
+        let count = self.value_counts.get_mut(value).expect("expired without having been added");
         *count -= 1;
         if *count == 0 {
-            self.known.remove(value);
+            self.value_counts.remove(value);
         }
     }
 }
 
-/// Copies in virtual time, a turn of each a step; what is said comes in the same step, or is lost, doubled, or late.
-struct Copies {
-    copies: Vec<(ReplicatedSet<u32>, Said)>,
+/// Copies in virtual time, with one tick of each copy per step. Messages arrive in the same step, or are
+/// lost, or arrive once more later.
+struct Cluster {
+    copies: Vec<(ReplicatedSet<u32>, CopyEffects)>,
     now: Duration,
-    late: Vec<(Member, Member, ReplicationMessage)>,
-    chance: Pcg64Mcg,
+    delayed: Vec<(Member, Member, ReplicationMessage)>,
+    rng: Pcg64Mcg,
     /// Messages, and records in them.
-    sent: [usize; 2],
-    turns: usize,
-    /// Whether all others are neighbours that a record is passed on to.
-    passes_on: bool,
+    sent_counts: [usize; 2],
+    tick_count: usize,
+    /// Whether each copy passes new records on to all others.
+    forwards_records: bool,
 }
 
-impl Copies {
-    fn new(members: u16, seed: u64) -> Copies {
+impl Cluster {
+    fn new(members: u16, seed: u64) -> Cluster {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |of| (ReplicatedSet::new(of, Incarnation(1), SPAN), Said::default());
+        let copy = |of| (ReplicatedSet::new(of, Incarnation(1), RETENTION), CopyEffects::default());
         let copies = group.members().map(copy).collect();
-        let (late, chance) = (vec![], Pcg64Mcg::seed_from_u64(seed));
-        Copies { copies, now: NOW, late, chance, sent: [0; 2], turns: 0, passes_on: false }
+        let (delayed, rng) = (vec![], Pcg64Mcg::seed_from_u64(seed));
+        Cluster {
+            copies,
+            now: NOW,
+            delayed,
+            rng,
+            sent_counts: [0; 2],
+            tick_count: 0,
+            forwards_records: false,
+        }
     }
 
-    fn of(&mut self, at: usize, act: impl FnOnce(&mut ReplicatedSet<u32>, &mut Said, Duration)) {
-        let (copy, said) = &mut self.copies[at];
-        act(copy, said, self.now);
+    fn with_copy(
+        &mut self, index: usize, action: impl FnOnce(&mut ReplicatedSet<u32>, &mut CopyEffects, Duration),
+    ) {
+        let (copy, effects) = &mut self.copies[index];
+        action(copy, effects, self.now);
     }
 
-    /// All others, from the next on: each is everybody's neighbour.
-    fn others(&self, at: usize) -> Vec<Member> {
-        let all = self.copies.len();
-        (1..all).map(|by| Member(((at + by) % all) as u16)).collect()
+    /// All other members, in ring order after this one; each copy has all of them as neighbours.
+    fn others(&self, index: usize) -> Vec<Member> {
+        let copy_count = self.copies.len();
+        (1..copy_count).map(|offset| Member(((index + offset) % copy_count) as u16)).collect()
     }
 
-    fn add(&mut self, at: usize, what: u32) {
-        let others = self.others(at);
-        self.of(at, |copy, said, now| copy.add(said, now, what, &others));
+    fn add(&mut self, index: usize, value: u32) {
+        let others = self.others(index);
+        self.with_copy(index, |copy, effects, now| copy.add(effects, now, value, &others));
     }
 
-    /// Forgets all, and starts anew.
-    fn restart(&mut self, at: usize, incarnation: u64) {
-        let fresh = ReplicatedSet::new(Member(at as u16), Incarnation(incarnation), SPAN);
-        self.copies[at] = (fresh, Said::default());
-        let mut asked = self.others(at);
-        asked.truncate(3);
-        self.of(at, |copy, said, _| copy.start(said, &asked));
+    /// Restarts a member with an empty copy.
+    fn restart(&mut self, index: usize, incarnation: u64) {
+        let fresh = ReplicatedSet::new(Member(index as u16), Incarnation(incarnation), RETENTION);
+        self.copies[index] = (fresh, CopyEffects::default());
+        let mut neighbours = self.others(index);
+        neighbours.truncate(3);
+        self.with_copy(index, |copy, effects, _| copy.start(effects, &neighbours));
     }
 
-    /// Carries what was said until nothing is under way; `lost`: of a hundred; `cut`: whether two can't speak.
-    fn carry(&mut self, lost: u32, cut: impl Fn(usize, usize) -> bool) {
-        for rounds in 0.. {
-            assert!(rounds < 1000, "what is said never comes to an end");
-            let mut wire = vec![];
-            for (from, (_, said)) in self.copies.iter_mut().enumerate() {
-                wire.extend(said.wire.drain(..).map(|(to, told)| (Member(from as u16), to, told)));
+    /// Delivers messages until none is left. `loss_percent`: chance that a message is lost. `is_cut`:
+    /// whether the link between two members is down.
+    fn deliver_all(&mut self, loss_percent: u32, is_cut: impl Fn(usize, usize) -> bool) {
+        for round in 0.. {
+            assert!(round < 1000, "the message exchange does not terminate");
+            let mut messages = vec![];
+            for (from, (_, effects)) in self.copies.iter_mut().enumerate() {
+                messages
+                    .extend(effects.outbox.drain(..).map(|(to, message)| (Member(from as u16), to, message)));
             }
-            if wire.is_empty() {
+            if messages.is_empty() {
                 return;
             }
-            assert!(wire.len() < 1_000_000, "what is said grows without end");
-            for (from, to, told) in wire {
-                self.sent[0] += 1;
-                self.sent[1] +=
-                    if let ReplicationMessage::Records(_, _, records) = &told { records.len() } else { 0 };
-                if cut(from.0.into(), to.0.into()) || self.chance.random_ratio(lost, 100) {
+            assert!(messages.len() < 1_000_000, "the number of messages grows without bound");
+            for (from, to, message) in messages {
+                self.sent_counts[0] += 1;
+                self.sent_counts[1] +=
+                    if let ReplicationMessage::Records(_, _, records) = &message { records.len() } else { 0 };
+                if is_cut(from.0.into(), to.0.into()) || self.rng.random_ratio(loss_percent, 100) {
                     continue;
                 }
-                if lost > 0 && self.chance.random_ratio(1, 10) {
-                    self.late.push((from, to, told.clone()));
+                if loss_percent > 0 && self.rng.random_ratio(1, 10) {
+                    self.delayed.push((from, to, message.clone()));
                 }
-                self.comes(from, to, told);
+                self.deliver(from, to, message);
             }
         }
     }
 
-    fn comes(&mut self, from: Member, to: Member, told: ReplicationMessage) {
-        let others = if self.passes_on { self.others(to.0.into()) } else { vec![] };
-        self.of(to.0.into(), |copy, said, now| match told {
-            ReplicationMessage::Digest(digest) => copy.on_digest(said, now, from, digest),
-            ReplicationMessage::Same => {}
-            ReplicationMessage::Heads(heads, is_reply) => copy.on_heads(said, now, from, &heads, is_reply),
-            ReplicationMessage::Records(log, between, records) => {
-                copy.on_records(said, now, from, log, between, records, &others)
+    fn deliver(&mut self, from: Member, to: Member, message: ReplicationMessage) {
+        let others = if self.forwards_records { self.others(to.0.into()) } else { vec![] };
+        self.with_copy(to.0.into(), |copy, effects, now| match message {
+            ReplicationMessage::Digest(digest) => copy.on_digest(effects, now, from, digest),
+            ReplicationMessage::InSync => {}
+            ReplicationMessage::Heads(heads, is_reply) => copy.on_heads(effects, now, from, &heads, is_reply),
+            ReplicationMessage::Records(log, number_range, records) => {
+                copy.on_records(effects, now, from, log, number_range, records, &others)
             }
         });
     }
 
-    fn turn(&mut self, lost: u32, cut: impl Fn(usize, usize) -> bool) {
+    /// One tick of each copy, with the neighbours taken in turn.
+    fn tick(&mut self, loss_percent: u32, is_cut: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(500);
-        for at in 0..self.copies.len() {
-            let others = self.others(at);
-            let to = others[self.turns % others.len()];
-            self.of(at, |copy, said, now| copy.tick(said, now, to));
+        for index in 0..self.copies.len() {
+            let others = self.others(index);
+            let to = others[self.tick_count % others.len()];
+            self.with_copy(index, |copy, effects, now| copy.tick(effects, now, to));
         }
-        self.turns += 1;
-        self.carry(lost, cut);
+        self.tick_count += 1;
+        self.deliver_all(loss_percent, is_cut);
     }
 
-    fn equal(&self) -> bool {
+    /// Whether all copies hold the same records.
+    fn is_converged(&self) -> bool {
         let first = &self.copies[0];
-        let same = |known: &BTreeMap<u32, usize>| known.keys().eq(first.1.known.keys());
-        self.copies.iter().all(|(copy, said)| copy.digest() == first.0.digest() && same(&said.known))
+        let same = |value_counts: &BTreeMap<u32, usize>| value_counts.keys().eq(first.1.value_counts.keys());
+        self.copies
+            .iter()
+            .all(|(copy, effects)| copy.digest() == first.0.digest() && same(&effects.value_counts))
     }
 }
 
 #[test]
-fn copies_that_were_cut_off_and_started_anew_become_equal() {
-    // Members, and the turns after the last fault by which all copies are equal.
-    for (members, most) in [(3, 4), (5, 6), (9, 6), (30, 6), (300, 8)] {
-        let mut worst = 0;
+fn copies_converge_after_partitions_and_restarts() {
+    // Number of members, and the ticks after the last fault within which all copies must be equal.
+    for (members, max_ticks) in [(3, 4), (5, 6), (9, 6), (30, 6), (300, 8)] {
+        let mut worst_ticks = 0;
         for seed in 0..if members > 100 { 2 } else { 40 } {
-            let mut all = Copies::new(members, seed);
+            let mut cluster = Cluster::new(members, seed);
             let half = usize::from(members) / 2;
-            let (mut next, mut births) = (0, 1);
+            let (mut next, mut incarnation) = (0, 1);
             for step in 0..20 {
                 for _ in 0..3 {
-                    let at = all.chance.random_range(0..usize::from(members));
-                    all.add(at, next);
+                    let member_index = cluster.rng.random_range(0..usize::from(members));
+                    cluster.add(member_index, next);
                     next += 1;
                 }
-                if all.chance.random_ratio(1, 3) {
-                    births += 1;
-                    let at = all.chance.random_range(0..usize::from(members));
-                    all.restart(at, births);
+                if cluster.rng.random_ratio(1, 3) {
+                    incarnation += 1;
+                    let member_index = cluster.rng.random_range(0..usize::from(members));
+                    cluster.restart(member_index, incarnation);
                 }
-                all.turn(30, |from, to| step % 8 < 4 && (from < half) != (to < half));
+                cluster.tick(30, |from, to| step % 8 < 4 && (from < half) != (to < half));
             }
-            // What was held back comes at last, from starts that are over too.
-            for (from, to, told) in std::mem::take(&mut all.late) {
-                all.comes(from, to, told);
+            // Delayed messages arrive at the end, also those of earlier starts.
+            for (from, to, message) in std::mem::take(&mut cluster.delayed) {
+                cluster.deliver(from, to, message);
             }
-            let known = |all: &Copies| -> BTreeSet<u32> {
-                all.copies.iter().flat_map(|(_, said)| said.known.keys().copied()).collect()
+            let known_values = |cluster: &Cluster| -> BTreeSet<u32> {
+                cluster.copies.iter().flat_map(|(_, effects)| effects.value_counts.keys().copied()).collect()
             };
-            let held = known(&all);
-            let turns = (0..=most).find(|_| {
-                let equal = all.equal();
-                if !equal {
-                    all.turn(0, |_, _| false);
+            let held = known_values(&cluster);
+            let ticks_needed = (0..=max_ticks).find(|_| {
+                let is_converged = cluster.is_converged();
+                if !is_converged {
+                    cluster.tick(0, |_, _| false);
                 }
-                equal
+                is_converged
             });
-            worst = worst.max(turns.unwrap_or_else(|| panic!("{members} members, seed {seed}: not equal")));
-            assert!(held.len() > 20 && held.is_subset(&known(&all)), "{members} members, seed {seed}: lost");
+            worst_ticks =
+                worst_ticks
+                    .max(ticks_needed.unwrap_or_else(|| {
+                        panic!("{members} members, seed {seed}: copies did not converge")
+                    }));
+            assert!(
+                held.len() > 20 && held.is_subset(&known_values(&cluster)),
+                "{members} members, seed {seed}: records lost"
+            );
         }
-        println!("{members} members: equal after {worst} turns at most");
+        println!("{members} members: converged after {worst_ticks} ticks at most");
     }
 }
 
 #[test]
-fn copies_move_what_one_lacks_and_no_more() {
-    for (held, lacks) in [(1_000, 3), (100_000, 3), (100_000, 600)] {
-        let mut all = Copies::new(2, 1);
-        for what in 0..held + lacks {
-            all.add(0, what);
-            all.carry(0, |_, _| what >= held);
+fn copies_transfer_only_the_missing_records() {
+    for (held, missing) in [(1_000, 3), (100_000, 3), (100_000, 600)] {
+        let mut cluster = Cluster::new(2, 1);
+        for value in 0..held + missing {
+            cluster.add(0, value);
+            cluster.deliver_all(0, |_, _| value >= held);
         }
-        assert!(!all.equal());
-        all.sent = [0; 2];
-        all.turn(0, |_, _| false);
-        assert!(all.equal(), "{held}, {lacks}");
-        // Once, or twice since both compare in the same moment.
-        let (messages, moved, lacks) = (all.sent[0], all.sent[1], lacks as usize);
-        assert!((lacks..=2 * lacks).contains(&moved), "{held}, {lacks}: {moved} moved");
-        assert!(messages <= 8 + 2 * lacks / 256, "{held}, {lacks}: {messages} messages");
+        assert!(!cluster.is_converged());
+        cluster.sent_counts = [0; 2];
+        cluster.tick(0, |_, _| false);
+        assert!(cluster.is_converged(), "{held}, {missing}");
+        // Each record moves once, or twice if both copies compare in the same tick.
+        let (messages, moved_count, missing) =
+            (cluster.sent_counts[0], cluster.sent_counts[1], missing as usize);
+        assert!(
+            (missing..=2 * missing).contains(&moved_count),
+            "{held}, {missing}: {moved_count} records transferred"
+        );
+        assert!(messages <= 8 + 2 * missing / 256, "{held}, {missing}: {messages} messages");
     }
 }
 
 #[test]
-fn what_is_over_stays_over() {
-    // Told on before it is over to one that starts anew, again and again, it lives no longer for that.
-    let mut all = Copies::new(3, 1);
-    all.add(0, 7);
-    all.carry(0, |_, to| to == 2);
-    let mut births = 1;
-    while all.now < NOW + SPAN - Duration::from_secs(1) {
-        births += 1;
-        all.restart(births as usize % 3, births);
-        all.carry(0, |_, _| false);
-        all.turn(0, |_, _| false);
-        assert!(all.copies.iter().all(|(_, said)| said.known.contains_key(&7)), "at {:?}", all.now);
+fn expired_records_do_not_return() {
+    // A record that is passed on, before it expires, to members that keep restarting lives no longer for
+    // that.
+    let mut cluster = Cluster::new(3, 1);
+    cluster.add(0, 7);
+    cluster.deliver_all(0, |_, to| to == 2);
+    let mut incarnation = 1;
+    while cluster.now < NOW + RETENTION - Duration::from_secs(1) {
+        incarnation += 1;
+        cluster.restart(incarnation as usize % 3, incarnation);
+        cluster.deliver_all(0, |_, _| false);
+        cluster.tick(0, |_, _| false);
+        assert!(
+            cluster.copies.iter().all(|(_, effects)| effects.value_counts.contains_key(&7)),
+            "at {:?}",
+            cluster.now
+        );
     }
     for _ in 0..6 {
-        births += 1;
-        all.restart(births as usize % 3, births);
-        all.turn(0, |_, _| false);
+        incarnation += 1;
+        cluster.restart(incarnation as usize % 3, incarnation);
+        cluster.tick(0, |_, _| false);
     }
-    assert!(all.copies.iter().all(|(copy, said)| copy.is_empty() && said.known.is_empty()));
-    // Nor are the logs of starts that are over held on to.
-    assert!(all.copies.iter().all(|(copy, _)| copy.logs() <= 3));
+    assert!(cluster.copies.iter().all(|(copy, effects)| copy.is_empty() && effects.value_counts.is_empty()));
+    // The logs of earlier starts are dropped too.
+    assert!(cluster.copies.iter().all(|(copy, _)| copy.logs() <= 3));
 }
 
 #[test]
-fn what_is_over_is_not_passed_on_round_and_round() {
-    // What comes once all is over of a start before the last: nothing but a number, a record that is over, and one that was
-    // long on the way; and where it is learned.
+fn expired_records_do_not_circulate() {
+    // Messages about an earlier start of a member that arrive once all its records have expired: no
+    // records, an expired record, and a record that was delayed for long. The last column: how many
+    // copies learn the record, if member 4 knew it before and if it did not.
     let record = |remaining| vec![Record { no: 0, remaining, value: 7 }];
     let cases = [
-        ("a number", vec![], [0, 0]),
-        ("over", record(Duration::ZERO), [0, 0]),
-        // To one that knows it is over, and to one that never heard of it.
-        ("late", record(Duration::from_millis(5)), [0, 1]),
+        ("no records", vec![], [0, 0]),
+        ("expired record", record(Duration::ZERO), [0, 0]),
+        // Ignored by a copy that knows the record is over; accepted by one that never received it.
+        ("delayed record", record(Duration::from_millis(5)), [0, 1]),
     ];
-    for (what, records, learned) in cases {
-        for heard in [true, false] {
-            let mut all = Copies::new(5, 1);
-            all.passes_on = true;
-            all.add(0, 7);
-            all.carry(0, |_, to| to == 4 && !heard);
+    for (case, records, learner_counts) in cases {
+        for is_reached in [true, false] {
+            let mut cluster = Cluster::new(5, 1);
+            cluster.forwards_records = true;
+            cluster.add(0, 7);
+            cluster.deliver_all(0, |_, to| to == 4 && !is_reached);
             let log = Log { of: Member(0), incarnation: Incarnation(1) };
-            all.restart(0, 2);
-            all.add(0, 8);
-            all.carry(0, |_, to| to == 4 && !heard);
-            all.now += SPAN + Duration::from_millis(1);
-            all.turn(0, |_, to| to == 4 && !heard);
-            assert!(all.copies.iter().all(|(copy, _)| copy.is_empty()), "{what}");
-            all.sent = [0; 2];
-            all.comes(Member(1), Member(4), ReplicationMessage::Records(log, 0..1, records.clone()));
-            all.carry(0, |_, _| false);
-            let knows = all.copies.iter().filter(|(_, said)| said.known.contains_key(&7)).count();
-            assert_eq!(knows, learned[usize::from(!heard)], "{what}, heard {heard}");
-            assert!(all.sent[0] <= 4, "{what}, heard {heard}: {} messages", all.sent[0]);
-            // And nothing of it is left.
-            all.now += 2 * SPAN;
-            all.turn(0, |_, _| false);
-            assert!(all.copies.iter().all(|(copy, _)| copy.is_empty() && copy.logs() <= 1), "{what}");
+            cluster.restart(0, 2);
+            cluster.add(0, 8);
+            cluster.deliver_all(0, |_, to| to == 4 && !is_reached);
+            cluster.now += RETENTION + Duration::from_millis(1);
+            cluster.tick(0, |_, to| to == 4 && !is_reached);
+            assert!(cluster.copies.iter().all(|(copy, _)| copy.is_empty()), "{case}");
+            cluster.sent_counts = [0; 2];
+            cluster.deliver(Member(1), Member(4), ReplicationMessage::Records(log, 0..1, records.clone()));
+            cluster.deliver_all(0, |_, _| false);
+            let knowing_count =
+                cluster.copies.iter().filter(|(_, effects)| effects.value_counts.contains_key(&7)).count();
+            assert_eq!(
+                knowing_count,
+                learner_counts[usize::from(!is_reached)],
+                "{case}, reached {is_reached}"
+            );
+            assert!(
+                cluster.sent_counts[0] <= 4,
+                "{case}, reached {is_reached}: {} messages",
+                cluster.sent_counts[0]
+            );
+            // Nothing of it is left after its lifetime.
+            cluster.now += 2 * RETENTION;
+            cluster.tick(0, |_, _| false);
+            assert!(cluster.copies.iter().all(|(copy, _)| copy.is_empty() && copy.logs() <= 1), "{case}");
         }
     }
 }
