--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -1,17 +1,19 @@
-//! Whom a member speaks with where all are to know: a few neighbours, whatever the size of the group. No I/O and no
-//! clock: what was heard and what could not be reached comes in by methods with `now`.
+//! Chooses the few members that a member exchanges messages with, whatever the size of the group. No I/O
+//! and no clock: received messages and failed connections come in as method calls with `now`.
 //!
-//! Everybody works out the same graph from the list of names alone, so that nothing of it is told: on each of a few rings
-//! the members stand in an order by a hash of their names, and the next and the one before are neighbours. Two rings by chance make
-//! an expander, whose ways between any two grow as the logarithm of the members (C. Law and K.-Y. Siu, "Distributed
-//! construction of random expander networks", INFOCOM 2003).
+//! Every member computes the same graph from the list of names alone, so no messages are needed to build
+//! it. On each of a few rings the members are ordered by a hash of their names, and a member's successor
+//! and predecessor are its neighbours. Two random rings form an expander graph, in which the distance
+//! between any two members grows with the logarithm of the group's size (C. Law and K.-Y. Siu,
+//! "Distributed construction of random expander networks", INFOCOM 2003).
 //!
-//! What is promised:
+//! Guarantees:
 //!
-//! - A member has at most `2 * RINGS` neighbours, and compares with one of them a turn.
-//! - One that can't be reached, or does not answer, is passed over for the next on its ring until it is heard, so that
-//!   whoever is left stays connected; it is tried again by and by.
-//! - The same calls give the same neighbours: no chance but the hash of the names.
+//! - A member has at most `2 * RING_COUNT` neighbours, and compares with one of them per tick.
+//! - A member that is unreachable or does not answer is skipped in favour of the next on its ring until
+//!   a message from it arrives, so the remaining members stay connected. It is retried after a growing
+//!   delay.
+//! - The same calls give the same neighbours; the only randomness is the hash of the names.
 
 use ivyward_replica::{Group, Member};
 use siphasher::sip::SipHasher13;
@@ -19,53 +21,55 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Rings: on the first zones stand one behind the other, so that a zone that is cut off hangs together at once; with two
-/// more a zone or a region may be away, and those that stand have neighbours enough. The passing over mends what that
-/// leaves open.
+/// Number of rings. The first ring orders the members by zone, so that a zone that is cut off is
+/// connected within itself at once. With two more rings, a zone or a region may be away and the
+/// remaining members still have enough neighbours; skipping unreachable members repairs what remains.
 const RING_COUNT: u8 = 3;
-/// Asked so often in a row without a word, a member is held for away. Guards against one lost message that moves paths.
+/// Consecutive requests without a reply after which a member counts as unreachable. Guards against a
+/// single lost message that changes the neighbours.
 const MAX_UNANSWERED_COUNT: u32 = 2;
-/// Turns after which one that is away is tried again, at first and at most: a whole zone that comes back is heard of within
-/// the most.
+/// First and longest delay, in ticks, before an unreachable member is retried. A whole zone that returns
+/// is noticed within the longest delay.
 const RETRY_DELAY_TICKS: [u32; 2] = [4, 16];
 
-/// What is known of a member that something is owed by.
+/// State of a member that has not answered a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerState {
-    /// Asked since it was heard.
+    /// Requests since the last message from it.
     unanswered_count: u32,
-    /// Passed over, and when it is tried again; and the pause before that, which doubles.
+    /// If the member is skipped: when it is retried.
     retry_at: Option<Duration>,
+    /// The delay before the retry; it doubles with each failure.
     retry_delay: Duration,
 }
 
-/// One member's neighbours.
+/// The neighbours of one member.
 #[derive(Clone, Debug)]
 pub struct Overlay {
-    /// Of each ring, all others from the next one on.
+    /// For each ring, all other members, starting with the next one.
     rings: Vec<Vec<Member>>,
     tick_interval: Duration,
     unresponsive: BTreeMap<Member, PeerState>,
-    ticks: usize,
-    /// Neighbours asked so far.
-    next: usize,
+    tick_count: usize,
+    /// Number of neighbours asked so far.
+    request_count: usize,
 }
 
 impl Overlay {
-    /// `tick_interval`: how often the driver calls [`Overlay::tick`].
+    /// Computes the rings. `tick_interval`: how often the driver calls [`Overlay::tick`].
     pub fn new(group: &Group, me: Member, tick_interval: Duration) -> Overlay {
-        let ring = |number: u8| {
-            let place = |member: &Member| {
+        let ring = |ring_number: u8| {
+            let sort_key = |member: &Member| {
                 let mut hasher = SipHasher13::new();
-                hasher.write(&[number]);
+                hasher.write(&[ring_number]);
                 hasher.write(group.name(*member).as_bytes());
-                let zone = if number == 0 { group.zone(*member) } else { 0 };
+                let zone = if ring_number == 0 { group.zone(*member) } else { 0 };
                 (zone, hasher.finish(), *member)
             };
             let mut ring: Vec<_> = group.members().collect();
-            ring.sort_by_cached_key(place);
-            let at = ring.iter().position(|member| *member == me).unwrap_or_default();
-            ring.rotate_left(at);
+            ring.sort_by_cached_key(sort_key);
+            let own_index = ring.iter().position(|member| *member == me).unwrap_or_default();
+            ring.rotate_left(own_index);
             ring.retain(|member| *member != me);
             ring
         };
@@ -73,50 +77,55 @@
             rings: (0..RING_COUNT).map(ring).collect(),
             tick_interval,
             unresponsive: BTreeMap::new(),
-            ticks: 0,
-            next: 0,
+            tick_count: 0,
+            request_count: 0,
         }
     }
 
-    /// When a member that is passed over is tried again.
+    /// When a skipped member is retried.
     fn retry_at(&self, member: Member) -> Option<Duration> {
         self.unresponsive.get(&member).and_then(|state| state.retry_at)
     }
 
-    /// Whom to tell; each once.
+    /// The neighbours to send records to, each once.
     pub fn neighbours(&self) -> Vec<Member> {
-        let mut found: Vec<Member> = Vec::with_capacity(2 * usize::from(RING_COUNT));
+        let mut neighbours: Vec<Member> = Vec::with_capacity(2 * usize::from(RING_COUNT));
         for ring in &self.rings {
-            let mut there = ring.iter().filter(|member| self.retry_at(**member).is_none());
-            for next in [there.next(), there.next_back()].into_iter().flatten() {
-                if !found.contains(next) {
-                    found.push(*next);
+            let mut reachable = ring.iter().filter(|member| self.retry_at(**member).is_none());
+            for neighbour in [reachable.next(), reachable.next_back()].into_iter().flatten() {
+                if !neighbours.contains(neighbour) {
+                    neighbours.push(*neighbour);
                 }
             }
         }
-        found
+        neighbours
     }
 
-    /// The one of those passed over that is due to be tried, if any: nearer on a ring than whoever is a neighbour there.
+    /// The skipped member that is due for a retry, if any. Only members that are nearer on a ring than
+    /// the current neighbour there are considered.
     fn due_retry(&self, now: Duration) -> Option<Member> {
-        let nearer = |ring: &mut dyn Iterator<Item = &Member>| {
-            let passed = ring.map_while(|member| Some((self.retry_at(*member)?, *member)));
-            passed.filter(|(retry_at, _)| *retry_at <= now).min()
+        let earliest_skipped = |ring: &mut dyn Iterator<Item = &Member>| {
+            let skipped = ring.map_while(|member| Some((self.retry_at(*member)?, *member)));
+            skipped.filter(|(retry_at, _)| *retry_at <= now).min()
         };
-        let ways =
-            self.rings.iter().flat_map(|ring| [nearer(&mut ring.iter()), nearer(&mut ring.iter().rev())]);
-        ways.flatten().min().map(|(_, member)| member)
+        let candidates = self
+            .rings
+            .iter()
+            .flat_map(|ring| [earliest_skipped(&mut ring.iter()), earliest_skipped(&mut ring.iter().rev())]);
+        candidates.flatten().min().map(|(_, member)| member)
     }
 
-    /// A turn: whom to compare with. What it says to that is told by [`Overlay::on_message`].
+    /// Returns the member to compare with in this tick. Messages from it are reported with
+    /// [`Overlay::on_message`].
     pub fn tick(&mut self, now: Duration) -> Option<Member> {
-        self.ticks += 1;
+        self.tick_count += 1;
         let neighbours = self.neighbours();
-        // Every second turn is for neighbours however many are away.
-        let due = self.due_retry(now).filter(|_| self.ticks.is_multiple_of(2) || neighbours.is_empty());
-        let next = due.or_else(|| {
-            self.next += 1;
-            neighbours.get(self.next % neighbours.len().max(1)).copied()
+        // At most every second tick goes to a retry while any neighbour is left, however many members are unreachable.
+        let due_retry =
+            self.due_retry(now).filter(|_| self.tick_count.is_multiple_of(2) || neighbours.is_empty());
+        let next = due_retry.or_else(|| {
+            self.request_count += 1;
+            neighbours.get(self.request_count % neighbours.len().max(1)).copied()
         })?;
         let state = self.unresponsive.entry(next).or_default();
         state.unanswered_count += 1;
@@ -126,27 +135,28 @@
         Some(next)
     }
 
-    /// A member said something.
+    /// Reports a message from a member: it is reachable.
     pub fn on_message(&mut self, member: Member) {
         self.unresponsive.remove(&member);
     }
 
-    /// No path to a member comes up, or one broke.
+    /// Reports that a connection to a member could not be opened, or broke.
     pub fn on_unreachable(&mut self, now: Duration, member: Member) {
-        // Guards against a pause that doubles with each path that fails in it.
+        // Guards against doubling the delay for each connection that fails during it.
         if self.retry_at(member).is_none_or(|retry_at| retry_at <= now) {
             self.skip(now, member);
         }
     }
 
+    /// Skips a member until its retry.
     fn skip(&mut self, now: Duration, member: Member) {
-        let [first, most] = RETRY_DELAY_TICKS.map(|ticks| self.tick_interval * ticks);
+        let [first, longest] = RETRY_DELAY_TICKS.map(|ticks| self.tick_interval * ticks);
         let state = self.unresponsive.entry(member).or_default();
-        state.retry_delay = (state.retry_delay * 2).clamp(first, most);
+        state.retry_delay = (state.retry_delay * 2).clamp(first, longest);
         state.retry_at = Some(now + state.retry_delay);
     }
 
-    /// Members passed over.
+    /// Number of members that are skipped.
     pub fn unreachable_count(&self) -> usize {
         self.unresponsive.values().filter(|state| state.retry_at.is_some()).count()
     }
--- a/crates/overlay/src/tests.rs
+++ b/crates/overlay/src/tests.rs
@@ -1,4 +1,4 @@
-//! Neighbours over groups of several sizes, some of whose members are away.
+//! Tests of the overlay: neighbours in groups of several sizes, some of whose members are unreachable.
 
 use crate::{MAX_UNANSWERED_COUNT, Overlay, RETRY_DELAY_TICKS, RING_COUNT};
 use ivyward_replica::{Group, Member};
@@ -8,100 +8,111 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const TURN: Duration = Duration::from_millis(500);
-const ZONES: u16 = 6;
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+const ZONE_COUNT: u16 = 6;
 
 fn group(members: u16) -> Group {
-    let member = |i| (format!("m{i:04}"), (i % ZONES) as u8);
+    let member = |i| (format!("m{i:04}"), (i % ZONE_COUNT) as u8);
     Group::new((0..members).map(member).collect(), 3)
 }
 
-/// Members in virtual time that only ask each other; who is up and reaches whom is the world's.
+/// Members in virtual time that only send requests to each other; the test decides who is up and who
+/// reaches whom.
 struct Harness {
     overlays: Vec<Overlay>,
     now: Duration,
-    asked: usize,
+    request_count: usize,
 }
 
 impl Harness {
     fn new(members: u16) -> Harness {
         let group = group(members);
-        let overlays = group.members().map(|me| Overlay::new(&group, me, TURN)).collect();
-        Harness { overlays, now: Duration::ZERO, asked: 0 }
+        let overlays = group.members().map(|me| Overlay::new(&group, me, TICK_INTERVAL)).collect();
+        Harness { overlays, now: Duration::ZERO, request_count: 0 }
     }
 
-    /// A turn of all. `reaches`: whether two hear each other; `refused`: whether one that doesn't is told so.
-    fn turn(&mut self, reaches: impl Fn(Member, Member) -> bool, refused: bool) {
-        self.now += TURN;
-        for at in 0..self.overlays.len() {
-            let me = Member(at as u16);
-            let Some(to) = self.overlays[at].tick(self.now) else { continue };
-            self.asked += 1;
-            if reaches(me, to) {
+    /// One tick of all members. `is_connected`: whether two members can exchange messages.
+    /// `reports_failure`: whether a member is notified when its request fails.
+    fn tick_all(&mut self, is_connected: impl Fn(Member, Member) -> bool, reports_failure: bool) {
+        self.now += TICK_INTERVAL;
+        for member_index in 0..self.overlays.len() {
+            let me = Member(member_index as u16);
+            let Some(to) = self.overlays[member_index].tick(self.now) else { continue };
+            self.request_count += 1;
+            if is_connected(me, to) {
                 self.overlays[usize::from(to.0)].on_message(me);
-                self.overlays[at].on_message(to);
-            } else if refused {
-                self.overlays[at].on_unreachable(self.now, to);
+                self.overlays[member_index].on_message(to);
+            } else if reports_failure {
+                self.overlays[member_index].on_unreachable(self.now, to);
             }
         }
     }
 
-    /// Members that a word from the first of these comes to, told on from neighbour to neighbour; and the most steps.
-    fn reached(&self, from: Member, reaches: impl Fn(Member, Member) -> bool) -> (BTreeSet<Member>, usize) {
-        let (mut known, mut edge, mut steps) = (BTreeSet::from([from]), vec![from], 0);
-        while !edge.is_empty() {
-            let mut next = vec![];
-            for at in edge {
-                for to in self.overlays[usize::from(at.0)].neighbours() {
-                    if reaches(at, to) && known.insert(to) {
-                        next.push(to);
+    /// The members that a message from `from` reaches when each passes it on to its neighbours, and the
+    /// number of hops to the last of them.
+    fn reached(
+        &self, from: Member, is_connected: impl Fn(Member, Member) -> bool,
+    ) -> (BTreeSet<Member>, usize) {
+        let (mut reached_members, mut frontier, mut hop_count) = (BTreeSet::from([from]), vec![from], 0);
+        while !frontier.is_empty() {
+            let mut next_frontier = vec![];
+            for member in frontier {
+                for to in self.overlays[usize::from(member.0)].neighbours() {
+                    if is_connected(member, to) && reached_members.insert(to) {
+                        next_frontier.push(to);
                     }
                 }
             }
-            edge = next;
-            steps += usize::from(!edge.is_empty());
+            frontier = next_frontier;
+            hop_count += usize::from(!frontier.is_empty());
         }
-        (known, steps)
+        (reached_members, hop_count)
     }
 }
 
 #[test]
-fn neighbours_are_few_and_a_word_comes_to_all_in_few_steps() {
-    // Members, and the steps within which a word told on by all comes to each.
-    for (members, most) in [(1, 0), (2, 1), (3, 1), (7, 2), (30, 4), (100, 5), (300, 6), (580, 7), (1160, 8)]
+fn few_neighbours_spread_a_record_to_all_members_in_few_hops() {
+    // Number of members, and the hops within which a record passed on by all reaches each of them.
+    for (members, max_hops) in
+        [(1, 0), (2, 1), (3, 1), (7, 2), (30, 4), (100, 5), (300, 6), (580, 7), (1160, 8)]
     {
         let harness = Harness::new(members);
-        for (at, overlay) in harness.overlays.iter().enumerate() {
-            let found = overlay.neighbours();
-            let apart: BTreeSet<_> = found.iter().collect();
-            assert_eq!(apart.len(), found.len(), "{members}");
+        for (member_index, overlay) in harness.overlays.iter().enumerate() {
+            let neighbours = overlay.neighbours();
+            let distinct: BTreeSet<_> = neighbours.iter().collect();
+            assert_eq!(distinct.len(), neighbours.len(), "{members}");
             assert!(
-                found.len() <= 2 * usize::from(RING_COUNT) && !found.contains(&Member(at as u16)),
+                neighbours.len() <= 2 * usize::from(RING_COUNT)
+                    && !neighbours.contains(&Member(member_index as u16)),
                 "{members}"
             );
-            // Each way there is one back.
-            for to in found {
-                let back = harness.overlays[usize::from(to.0)].neighbours();
-                assert!(back.contains(&Member(at as u16)), "{members}: m{at} and {to:?}");
+            // The relation is symmetric.
+            for to in neighbours {
+                let return_neighbours = harness.overlays[usize::from(to.0)].neighbours();
+                assert!(
+                    return_neighbours.contains(&Member(member_index as u16)),
+                    "{members}: m{member_index} and {to:?}"
+                );
             }
         }
-        let steps = (0..members).step_by(37).map(|from| {
-            let (known, steps) = harness.reached(Member(from), |_, _| true);
-            assert_eq!(known.len(), usize::from(members));
-            steps
+        let hop_counts = (0..members).step_by(37).map(|from| {
+            let (reached_members, hop_count) = harness.reached(Member(from), |_, _| true);
+            assert_eq!(reached_members.len(), usize::from(members));
+            hop_count
         });
-        let steps = steps.max().unwrap_or_default();
-        println!("{members} members: {steps} steps");
-        assert!(steps <= most, "{members} members: {steps} steps");
+        let hop_count = hop_counts.max().unwrap_or_default();
+        println!("{members} members: {hop_count} hops");
+        assert!(hop_count <= max_hops, "{members} members: {hop_count} hops");
     }
 }
 
 #[test]
-fn what_is_away_is_passed_over_and_found_again_and_all_that_stand_stay_connected() {
-    let zone = |member: Member| member.0 % ZONES;
+fn unreachable_members_are_skipped_and_retried_and_the_others_stay_connected() {
+    let zone = |member: Member| member.0 % ZONE_COUNT;
     let region = move |member: Member| zone(member) / 3;
     type Cut = Box<dyn Fn(Member, Member) -> bool>;
-    // What is cut, and whether its members are to hear each other all the same.
+    // What is cut off, which members remain connected, and whether the members on the other side of the
+    // cut are up as well.
     let cuts: Vec<(&str, Cut, bool)> = vec![
         ("a zone", Box::new(move |a, b| zone(a) != 2 && zone(b) != 2), false),
         ("between regions", Box::new(move |a, b| region(a) == region(b)), true),
@@ -109,84 +120,102 @@
         ("two thirds", Box::new(move |a, b| zone(a) < 2 && zone(b) < 2), false),
     ];
     for members in [30, 100, 580] {
-        for (what, reaches, both) in &cuts {
-            for refused in [true, false] {
-                let case = format!("{members} members, {what}, refused {refused}");
+        for (cut_name, is_connected, sides_stay_up) in &cuts {
+            for reports_failure in [true, false] {
+                let case = format!("{members} members, {cut_name}, reports failure {reports_failure}");
                 let mut harness = Harness::new(members);
-                // Each neighbour is asked until it counts as silent, and those behind it.
-                let found = usize::from(RING_COUNT) * 2 * (MAX_UNANSWERED_COUNT as usize + 2);
-                (0..3 * found).for_each(|_| harness.turn(reaches, refused));
+                // Enough ticks for each neighbour, and the members behind it on the ring, to count as
+                // unreachable.
+                let settle_ticks = usize::from(RING_COUNT) * 2 * (MAX_UNANSWERED_COUNT as usize + 2);
+                (0..3 * settle_ticks).for_each(|_| harness.tick_all(is_connected, reports_failure));
                 for from in [Member(0), Member(members - 1)] {
-                    if !both && !reaches(from, from) {
+                    if !sides_stay_up && !is_connected(from, from) {
                         continue;
                     }
-                    let (known, _) = harness.reached(from, reaches);
-                    let side = harness.overlays.iter().enumerate();
-                    let side = side.filter(|(at, _)| reaches(from, Member(*at as u16))).count();
-                    assert_eq!(known.len(), side, "{case}: from {from:?}");
+                    let (reached_members, _) = harness.reached(from, is_connected);
+                    let connected_members = harness.overlays.iter().enumerate();
+                    let connected_count = connected_members
+                        .filter(|(member_index, _)| is_connected(from, Member(*member_index as u16)))
+                        .count();
+                    assert_eq!(reached_members.len(), connected_count, "{case}: from {from:?}");
                 }
-                let before = harness.asked;
-                harness.turn(reaches, refused);
-                assert!(harness.asked - before <= usize::from(members), "{case}: more than one each");
-                // All are neighbours as they were, by the last pause and two turns for each of those passed over.
-                let passed =
+                let requests_before = harness.request_count;
+                harness.tick_all(is_connected, reports_failure);
+                assert!(
+                    harness.request_count - requests_before <= usize::from(members),
+                    "{case}: more than one request per member"
+                );
+                // All neighbours are restored within the longest delay plus two ticks for each skipped
+                // member.
+                let skipped_count =
                     harness.overlays.iter().map(Overlay::unreachable_count).max().unwrap_or_default();
-                let turns = RETRY_DELAY_TICKS[1] as usize + 2 * passed;
-                (0..turns).for_each(|_| harness.turn(|_, _| true, false));
+                let recovery_ticks = RETRY_DELAY_TICKS[1] as usize + 2 * skipped_count;
+                (0..recovery_ticks).for_each(|_| harness.tick_all(|_, _| true, false));
                 let fresh = Harness::new(members);
-                let same = |(a, b): &(&Overlay, &Overlay)| a.neighbours() == b.neighbours();
-                let back = harness.overlays.iter().zip(&fresh.overlays).filter(same).count();
-                assert_eq!(back, usize::from(members), "{case}");
+                let has_same_neighbours = |(a, b): &(&Overlay, &Overlay)| a.neighbours() == b.neighbours();
+                let restored_count =
+                    harness.overlays.iter().zip(&fresh.overlays).filter(has_same_neighbours).count();
+                assert_eq!(restored_count, usize::from(members), "{case}");
             }
         }
     }
 }
 
 #[test]
-fn what_is_lost_by_chance_parts_nobody() {
-    for lost in [1, 10] {
+fn random_message_loss_does_not_partition_the_group() {
+    for loss_percent in [1, 10] {
         let mut harness = Harness::new(580);
-        let mut chance = Pcg64Mcg::seed_from_u64(4711);
-        for turn in 0..60 {
-            let gone: BTreeSet<_> = (0..580).filter(|_| chance.random_ratio(lost, 100)).collect();
-            harness.turn(|from, _| !gone.contains(&from.0), false);
-            if turn % 10 == 9 {
-                let (known, _) = harness.reached(Member(0), |_, _| true);
-                assert_eq!(known.len(), 580, "{lost} in a hundred, turn {turn}");
+        let mut rng = Pcg64Mcg::seed_from_u64(4711);
+        for tick in 0..60 {
+            let lost_senders: BTreeSet<_> =
+                (0..580).filter(|_| rng.random_ratio(loss_percent, 100)).collect();
+            harness.tick_all(|from, _| !lost_senders.contains(&from.0), false);
+            if tick % 10 == 9 {
+                let (reached_members, _) = harness.reached(Member(0), |_, _| true);
+                assert_eq!(reached_members.len(), 580, "{loss_percent} percent lost, tick {tick}");
             }
         }
     }
 }
 
 #[test]
-fn a_pause_grows_to_its_bound_and_ends_with_a_word() {
+fn retry_delay_doubles_up_to_its_limit_and_resets_on_a_message() {
     let group = group(30);
-    let mut overlay = Overlay::new(&group, Member(0), TURN);
+    let mut overlay = Overlay::new(&group, Member(0), TICK_INTERVAL);
     let first = overlay.neighbours()[0];
     let mut now = Duration::ZERO;
-    // All others answer.
-    let tried = |overlay: &mut Overlay, now| {
-        let asked = [overlay.tick(now), overlay.tick(now)];
-        asked
+    // All other members answer.
+    let is_retried = |overlay: &mut Overlay, now| {
+        let requested = [overlay.tick(now), overlay.tick(now)];
+        requested
             .iter()
             .flatten()
             .filter(|member| **member != first)
             .for_each(|member| overlay.on_message(*member));
-        asked.contains(&Some(first))
+        requested.contains(&Some(first))
     };
-    // In turns: how long it is passed over after each failure.
-    for turns in [4, 8, 16, 16] {
+    // How long it is skipped after each failure, in ticks.
+    for delay_ticks in [4, 8, 16, 16] {
         overlay.on_unreachable(now, first);
-        // Another failure in the pause doesn't count.
-        overlay.on_unreachable(now + TURN, first);
+        // Another failure during the delay doesn't count.
+        overlay.on_unreachable(now + TICK_INTERVAL, first);
         assert!(!overlay.neighbours().contains(&first));
-        assert!(!tried(&mut overlay, now + TURN * turns - Duration::from_millis(1)), "{turns}");
-        now += TURN * turns;
-        assert!(tried(&mut overlay, now), "{turns}");
-        assert!(!overlay.neighbours().contains(&first), "{turns}: not before it is heard");
+        assert!(
+            !is_retried(&mut overlay, now + TICK_INTERVAL * delay_ticks - Duration::from_millis(1)),
+            "{delay_ticks}"
+        );
+        now += TICK_INTERVAL * delay_ticks;
+        assert!(is_retried(&mut overlay, now), "{delay_ticks}");
+        assert!(
+            !overlay.neighbours().contains(&first),
+            "{delay_ticks}: a neighbour again before it answered"
+        );
     }
     overlay.on_message(first);
     assert!(overlay.neighbours().contains(&first));
     overlay.on_unreachable(now, first);
-    assert!(tried(&mut overlay, now + TURN * RETRY_DELAY_TICKS[0]), "from the first pause on again");
+    assert!(
+        is_retried(&mut overlay, now + TICK_INTERVAL * RETRY_DELAY_TICKS[0]),
+        "the delay restarts at the first one"
+    );
 }
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -654,7 +654,7 @@
     }
 
     /// One tick of each copy, with the neighbours taken in turn.
-    fn tick(&mut self, loss_percent: u32, is_cut: impl Fn(usize, usize) -> bool) {
+    fn tick_all(&mut self, loss_percent: u32, is_cut: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(500);
         for index in 0..self.copies.len() {
             let others = self.others(index);
@@ -695,7 +695,7 @@
                     let member_index = cluster.rng.random_range(0..usize::from(members));
                     cluster.restart(member_index, incarnation);
                 }
-                cluster.tick(30, |from, to| step % 8 < 4 && (from < half) != (to < half));
+                cluster.tick_all(30, |from, to| step % 8 < 4 && (from < half) != (to < half));
             }
             // Delayed messages arrive at the end, also those of earlier starts.
             for (from, to, message) in std::mem::take(&mut cluster.delayed) {
@@ -708,7 +708,7 @@
             let ticks_needed = (0..=max_ticks).find(|_| {
                 let is_converged = cluster.is_converged();
                 if !is_converged {
-                    cluster.tick(0, |_, _| false);
+                    cluster.tick_all(0, |_, _| false);
                 }
                 is_converged
             });
@@ -736,7 +736,7 @@
         }
         assert!(!cluster.is_converged());
         cluster.sent_counts = [0; 2];
-        cluster.tick(0, |_, _| false);
+        cluster.tick_all(0, |_, _| false);
         assert!(cluster.is_converged(), "{held}, {missing}");
         // Each record moves once, or twice if both copies compare in the same tick.
         let (messages, moved_count, missing) =
@@ -761,7 +761,7 @@
         incarnation += 1;
         cluster.restart(incarnation as usize % 3, incarnation);
         cluster.deliver_all(0, |_, _| false);
-        cluster.tick(0, |_, _| false);
+        cluster.tick_all(0, |_, _| false);
         assert!(
             cluster.copies.iter().all(|(_, effects)| effects.value_counts.contains_key(&7)),
             "at {:?}",
@@ -771,7 +771,7 @@
     for _ in 0..6 {
         incarnation += 1;
         cluster.restart(incarnation as usize % 3, incarnation);
-        cluster.tick(0, |_, _| false);
+        cluster.tick_all(0, |_, _| false);
     }
     assert!(cluster.copies.iter().all(|(copy, effects)| copy.is_empty() && effects.value_counts.is_empty()));
     // The logs of earlier starts are dropped too.
@@ -801,7 +801,7 @@
             cluster.add(0, 8);
             cluster.deliver_all(0, |_, to| to == 4 && !is_reached);
             cluster.now += RETENTION + Duration::from_millis(1);
-            cluster.tick(0, |_, to| to == 4 && !is_reached);
+            cluster.tick_all(0, |_, to| to == 4 && !is_reached);
             assert!(cluster.copies.iter().all(|(copy, _)| copy.is_empty()), "{case}");
             cluster.sent_counts = [0; 2];
             cluster.deliver(Member(1), Member(4), ReplicationMessage::Records(log, 0..1, records.clone()));
@@ -820,7 +820,7 @@
             );
             // Nothing of it is left after its lifetime.
             cluster.now += 2 * RETENTION;
-            cluster.tick(0, |_, _| false);
+            cluster.tick_all(0, |_, _| false);
             assert!(cluster.copies.iter().all(|(copy, _)| copy.is_empty() && copy.logs() <= 1), "{case}");
         }
     }
