--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -89,16 +89,16 @@
 
     /// The neighbours to send records to, each once.
     pub fn neighbours(&self) -> Vec<Member> {
-        let mut neighbours: Vec<Member> = Vec::with_capacity(2 * usize::from(RING_COUNT));
+        let mut selected: Vec<Member> = Vec::with_capacity(2 * usize::from(RING_COUNT));
         for ring in &self.rings {
             let mut reachable = ring.iter().filter(|member| self.retry_at(**member).is_none());
             for neighbour in [reachable.next(), reachable.next_back()].into_iter().flatten() {
-                if !neighbours.contains(neighbour) {
-                    neighbours.push(*neighbour);
+                if !selected.contains(neighbour) {
+                    selected.push(*neighbour);
                 }
             }
         }
-        neighbours
+        selected
     }
 
     /// The skipped member that is due for a retry, if any. Only members that are nearer on a ring than
@@ -121,9 +121,9 @@
         self.tick_count += 1;
         let neighbours = self.neighbours();
         // At most every second tick goes to a retry while any neighbour is left, however many members are unreachable.
-        let due_retry =
+        let due_member =
             self.due_retry(now).filter(|_| self.tick_count.is_multiple_of(2) || neighbours.is_empty());
-        let next = due_retry.or_else(|| {
+        let next = due_member.or_else(|| {
             self.request_count += 1;
             neighbours.get(self.request_count % neighbours.len().max(1)).copied()
         })?;
