--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -1,8 +1,8 @@
-//! The one task that holds a member's cores, and does what they want done.
+//! The task that owns a member's protocol state and performs the actions that it requests.
 
-use crate::cores::{AGAIN, Cores, NOTES, QUIET};
 use crate::frame::{self, Frame};
-use crate::path::{Paths, Sent, Terms};
+use crate::member_core::{Cores, MAX_WRITE_BATCH_COUNT, QUIET, RETRIES_PER_TIMEOUT};
+use crate::path::{PathContext, Paths, SendCounters};
 use crate::store::{Note, Store};
 use crate::{Config, link};
 use ivyward_replica::{ClaimNo, ClaimOutcome, Member};
@@ -19,87 +19,92 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, sleep_until};
 
-/// A store that could not be written is tried again after so long.
-const FULL: Duration = Duration::from_secs(1);
-/// One line on connections that are refused in this span.
-const SELDOM: Duration = Duration::from_secs(1);
+/// Delay before a failed write to the store is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// At most one log line about refused connections per interval.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-type Job = Box<dyn FnOnce(&mut Desk, Duration)>;
+/// A call on the driver's task, with the current time.
+type Job = Box<dyn FnOnce(&mut Driver, Duration)>;
 
-/// The cores, and what their driver holds beside them.
-struct Desk {
-    cores: Cores,
+/// The protocol state and the driver's own state.
+struct Driver {
+    core: Cores,
     paths: Paths,
-    waiting: BTreeMap<ClaimNo, oneshot::Sender<ClaimOutcome>>,
-    /// Members that are being told rows.
-    telling: Rc<RefCell<BTreeSet<Member>>>,
+    /// Callers that wait for the outcome of their claims.
+    waiters: BTreeMap<ClaimNo, oneshot::Sender<ClaimOutcome>>,
+    /// Members that recovery entries are being sent to.
+    recovery_sends: Rc<RefCell<BTreeSet<Member>>>,
     revoked: Revoked,
-    /// Who is told of sessions that are revoked from now on.
-    learns: Option<mpsc::UnboundedSender<SessionId>>,
-    writing: bool,
+    /// Receives the sessions that become revoked.
+    subscriber: Option<mpsc::UnboundedSender<SessionId>>,
+    is_writing: bool,
 }
 
-/// Sessions that any member told to be revoked, each with how many records say so.
+/// Sessions revoked by any member, each with the number of records that revoke it.
 pub type Revoked = Rc<RefCell<BTreeMap<SessionId, usize>>>;
 
-impl Desk {
-    /// Does what the cores want done.
-    fn delivers(&mut self, peers: &Peers, store: &Store) {
-        while let Some((to, frame)) = self.cores.out.frames.pop_front() {
+impl Driver {
+    /// Performs the actions that the protocol state requests.
+    fn perform_actions(&mut self, peers: &Peers, store: &Store) {
+        while let Some((to, frame)) = self.core.out.frames.pop_front() {
             let is_claim = frame.kind == frame::CLAIM;
-            let said = self.paths.to(to).is_some_and(|path| path.try_send(frame).is_ok());
+            let is_queued = self.paths.sender(to).is_some_and(|path| path.try_send(frame).is_ok());
             if is_claim {
-                // A viewer waits, for a `word` at most: less than a pause may last.
-                self.paths.hurries(to);
+                // A viewer waits for this claim, at most for the majority timeout, which may be shorter
+                // than a retry delay.
+                self.paths.skip_retry_delay(to);
             }
-            if !said {
-                self.cores.out.count("frames_left_out");
+            if !is_queued {
+                self.core.out.count("frames_left_out");
             }
         }
-        for (to, rows) in std::mem::take(&mut self.cores.out.rows) {
-            self.tells(to, rows);
+        for (to, recovery_frames) in std::mem::take(&mut self.core.out.rows) {
+            self.send_recovery_frames(to, recovery_frames);
         }
-        for (no, outcome) in std::mem::take(&mut self.cores.out.decided) {
+        for (no, outcome) in std::mem::take(&mut self.core.out.decided) {
             tracing::debug!(claim = no.0, word = ?outcome, "decided");
-            if let Some(waiting) = self.waiting.remove(&no) {
-                waiting.send(outcome).ok();
+            if let Some(waiter) = self.waiters.remove(&no) {
+                waiter.send(outcome).ok();
             }
         }
-        for (session, revoked) in std::mem::take(&mut self.cores.out.revoked) {
-            self.learns_of(session, revoked);
+        for (session, is_revoked) in std::mem::take(&mut self.core.out.revoked) {
+            self.apply_revocation(session, is_revoked);
         }
-        if !self.writing && !self.cores.out.notes.is_empty() {
-            self.writing = true;
-            self.writes(peers.clone(), store.clone());
+        if !self.is_writing && !self.core.out.notes.is_empty() {
+            self.is_writing = true;
+            self.write_pending(peers.clone(), store.clone());
         }
     }
 
-    /// Rows for one that recalls.
-    fn tells(&mut self, to: Member, rows: Vec<Frame>) {
-        let Some(path) = self.paths.to(to) else { return };
-        // Guards against more rows than may wait for one member, and against all of them told again meanwhile.
-        if !self.telling.borrow_mut().insert(to) {
+    /// Sends recovery entries to a member.
+    fn send_recovery_frames(&mut self, to: Member, frames: Vec<Frame>) {
+        let Some(path) = self.paths.sender(to) else { return };
+        // Guards against more frames than the path's queue holds, and against sending all of them again
+        // while they are still being sent.
+        if !self.recovery_sends.borrow_mut().insert(to) {
             return;
         }
-        let telling = self.telling.clone();
+        let recovery_sends = self.recovery_sends.clone();
         spawn_local(async move {
-            for row in rows {
-                if path.send(row).await.is_err() {
+            for frame in frames {
+                if path.send(frame).await.is_err() {
                     break;
                 }
             }
-            telling.borrow_mut().remove(&to);
+            recovery_sends.borrow_mut().remove(&to);
         });
     }
 
-    fn learns_of(&mut self, session: SessionId, is_revoked: bool) {
+    /// Counts the records that revoke a session, and notifies the subscriber of the first.
+    fn apply_revocation(&mut self, session: SessionId, is_revoked: bool) {
         let mut revoked = self.revoked.borrow_mut();
         if is_revoked {
             let count = revoked.entry(session).or_default();
             *count += 1;
             if *count == 1 {
                 tracing::debug!(session = format_args!("{:032x}", session.0), "revoked");
-                self.learns.iter().for_each(|learns| learns.send(session).unwrap_or_default());
+                self.subscriber.iter().for_each(|subscriber| subscriber.send(session).unwrap_or_default());
             }
         } else if let Some(count) = revoked.get_mut(&session) {
             *count -= 1;
@@ -109,183 +114,214 @@
         }
     }
 
-    fn writes(&mut self, peers: Peers, store: Store) {
-        let out = &mut self.cores.out;
-        let most = out.notes.len().min(NOTES);
-        let (notes, counted): (Vec<_>, Vec<_>) = out.notes.drain(..most).unzip();
-        let counted = counted.into_iter().filter(|counted| *counted).count();
+    /// Writes the next batch to the store, retrying until it succeeds.
+    fn write_pending(&mut self, peers: Peers, store: Store) {
+        let out = &mut self.core.out;
+        let batch_len = out.notes.len().min(MAX_WRITE_BATCH_COUNT);
+        let (writes, acknowledged): (Vec<_>, Vec<_>) = out.notes.drain(..batch_len).unzip();
+        let acknowledged_count = acknowledged.into_iter().filter(|acknowledged| *acknowledged).count();
         spawn_local(async move {
-            let notes = Arc::new(notes);
-            while let Err(error) = write(&store, &notes).await {
-                // Guards against a promise that is not on disk: until it is, nothing is said that hangs on it.
-                tracing::error!(error, "what was promised can't be written");
-                sleep(FULL).await;
+            let writes = Arc::new(writes);
+            while let Err(error) = write(&store, &writes).await {
+                // Guards against promises that are not on disk: until the write succeeds, no reply that
+                // depends on it is sent.
+                tracing::error!(
+                    error,
+                    "cannot write to the store of claims; replies wait until a retry succeeds"
+                );
+                sleep(WRITE_RETRY_DELAY).await;
             }
-            if notes.iter().any(|note| matches!(note, Note::Whole)) {
-                tracing::info!("all that may have been forgotten is known again");
+            if writes.iter().any(|write| matches!(write, Note::Whole)) {
+                tracing::info!("recovery after loss of stable storage is complete");
             }
-            peers.tell(move |desk, now| {
-                desk.writing = false;
-                desk.cores.stored(now, counted);
+            peers.submit(move |driver, now| {
+                driver.is_writing = false;
+                driver.core.stored(now, acknowledged_count);
             });
         });
     }
 
-    fn page(&self, now: Duration) -> Value {
-        let (cores, paths) = (&self.cores, &self.paths);
-        let group = cores.group();
-        let member = |member: Member| {
-            let heard = cores.heard(now, member).map(|ago| ago.as_millis() as u64);
-            json!({"name": group.name(member), "here": member == cores.me(), "heard_ms_ago": heard})
+    /// The console's view of the members, connections and stores.
+    fn status(&self, now: Duration) -> Value {
+        let (core, paths) = (&self.core, &self.paths);
+        let group = core.group();
+        let describe = |member: Member| {
+            let heard_ago = core.time_since_heard(now, member).map(|ago| ago.as_millis() as u64);
+            json!({"name": group.name(member), "here": member == core.me(), "heard_ms_ago": heard_ago})
         };
-        let members: Vec<_> = group.members().map(member).collect();
-        let neighbours = cores.overlay.neighbours();
+        let members: Vec<_> = group.members().map(describe).collect();
+        let neighbours = core.overlay.neighbours();
         let neighbours: Vec<_> = neighbours.into_iter().map(|member| group.name(member)).collect();
-        let (open, owed) = cores.proposer.open_counts();
-        let sent = &paths.terms().sent;
+        let (open_claims, unconfirmed_withdrawals) = core.proposer.open_counts();
+        let sent = &paths.context().sent;
         json!({
-            "members": members, "birth": cores.incarnation.0, "catching_up": cores.acceptor.is_recovering(),
-            "neighbours": neighbours, "passed_over": cores.overlay.unreachable_count(), "paths": paths.open(),
+            "members": members, "birth": core.incarnation.0, "catching_up": core.acceptor.is_recovering(),
+            "neighbours": neighbours, "passed_over": core.overlay.unreachable_count(), "paths": paths.open(),
             "paths_opened": sent.paths.get(), "frames_sent": sent.frames.get(), "bytes_sent": sent.bytes.get(),
-            "sessions_kept": cores.acceptor.len(), "asking": open, "to_take_back": owed,
-            "notes_to_disk": cores.out.notes.len(), "revoked": cores.revoked.len(),
-            "revoked_digest": format!("{:016x}", cores.revoked.digest()), "counts": cores.out.counts,
+            "sessions_kept": core.acceptor.len(), "asking": open_claims, "to_take_back": unconfirmed_withdrawals,
+            "notes_to_disk": core.out.notes.len(), "revoked": core.revoked.len(),
+            "revoked_digest": format!("{:016x}", core.revoked.digest()), "counts": core.out.counts,
         })
     }
 }
 
-/// Managers that this one speaks with.
+/// Handle to the task that exchanges frames with the other managers.
 #[derive(Clone)]
 pub struct Peers {
     jobs: mpsc::UnboundedSender<Job>,
-    begun: Instant,
-    word: Duration,
-    span: Duration,
+    started_at: Instant,
+    majority_timeout: Duration,
+    retention: Duration,
     revoked: Revoked,
-    /// When a line on a refused connection was written last, and how many were left out since.
-    refused: Rc<Cell<(Option<Instant>, u64)>>,
+    /// When the last line on a refused connection was logged, and how many refusals were left out since.
+    refusal_log: Rc<Cell<(Option<Instant>, u64)>>,
 }
 
 impl Peers {
-    /// `incarnation`: this start, above all before.
+    /// Opens the store and starts the task. `incarnation`: this start's number, greater than all earlier
+    /// ones.
     ///
     /// # Errors
-    /// The store can't be opened, or the address is in use; the line names which.
+    /// The store can't be opened, the address is in use, or the name is not in the group; the message
+    /// names which.
     pub async fn start(config: Config, incarnation: Incarnation) -> Result<Peers, String> {
         let Config { group, name, listen, others, word, span, connect, state_dir } = config;
-        let me = group.member(&name).ok_or(format!("{name}: is no member of the group"))?;
+        let me = group.member(&name).ok_or(format!(
+            "{name} is not a member of the group: add it to peers.member, or correct manager.name"
+        ))?;
         let (store, stored) = Store::open(&state_dir, &group)?;
-        let listener = TcpListener::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
-        tracing::info!(%listen, whole = stored.whole, sessions = stored.sessions.len(), "speaks with other managers");
-        let (jobs, taken) = mpsc::unbounded_channel();
-        let (revoked, refused) = (Revoked::default(), Rc::default());
-        let begun = Instant::now();
-        let peers = Peers { jobs, begun, word, span, revoked: revoked.clone(), refused };
+        let listener = TcpListener::bind(listen)
+            .await
+            .map_err(|error| format!("{listen}: cannot listen for other managers: {error}"))?;
+        tracing::info!(%listen, whole = stored.whole, sessions = stored.sessions.len(), "listening for other managers");
+        let (jobs, job_receiver) = mpsc::unbounded_channel();
+        let (revoked, refusal_log) = (Revoked::default(), Rc::default());
+        let started_at = Instant::now();
+        let peers = Peers {
+            jobs,
+            started_at,
+            majority_timeout: word,
+            retention: span,
+            revoked: revoked.clone(),
+            refusal_log,
+        };
         let addresses =
             others.into_iter().filter_map(|(name, address)| Some((group.member(&name)?, address)));
         let hello = link::hello(&group, me, incarnation);
-        let quiet = word * QUIET;
-        let terms = Terms { hello, group: group.clone(), connect, quiet, sent: Sent::default() };
-        let paths = Paths::new(Rc::new(terms), peers.clone(), addresses.collect());
+        let idle_timeout = word * QUIET;
+        let context = PathContext {
+            hello,
+            group: group.clone(),
+            connect_timeout: connect,
+            idle_timeout,
+            sent: SendCounters::default(),
+        };
+        let paths = Paths::new(Rc::new(context), peers.clone(), addresses.collect());
         spawn_local(link::accept(listener, peers.clone(), group.clone(), me));
-        let mut cores = Cores::new(group, me, incarnation, word, span, Duration::ZERO, stored);
-        cores.start(Duration::ZERO);
-        let (waiting, telling) = (BTreeMap::new(), Rc::default());
-        let desk = Desk { cores, paths, waiting, telling, revoked, learns: None, writing: false };
-        spawn_local(run(peers.clone(), desk, store, taken));
+        let mut core = Cores::new(group, me, incarnation, word, span, Duration::ZERO, stored);
+        core.start(Duration::ZERO);
+        let (waiters, recovery_sends) = (BTreeMap::new(), Rc::default());
+        let driver =
+            Driver { core, paths, waiters, recovery_sends, revoked, subscriber: None, is_writing: false };
+        spawn_local(run(peers.clone(), driver, store, job_receiver));
         Ok(peers)
     }
 
+    /// Time since the start.
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub(crate) fn word(&self) -> Duration {
-        self.word
+    /// How long a claim waits for a majority; also the interval between ticks.
+    pub(crate) fn majority_timeout(&self) -> Duration {
+        self.majority_timeout
     }
 
-    fn tell(&self, job: impl FnOnce(&mut Desk, Duration) + 'static) {
+    /// Runs a job on the driver's task.
+    fn submit(&self, job: impl FnOnce(&mut Driver, Duration) + 'static) {
         self.jobs.send(Box::new(job)).ok();
     }
 
-    /// A member wrote that. Returns once it had its turn; false where it makes no sense.
-    pub(crate) async fn heard(&self, from: Member, frame: Frame) -> bool {
-        let (had, turn) = oneshot::channel();
-        self.tell(move |desk, now| {
-            desk.paths.hurries(from);
-            had.send(desk.cores.hears(now, from, &frame).is_some()).ok();
+    /// Handles a frame from a member. Returns once it is handled; false if it is invalid.
+    pub(crate) async fn on_frame(&self, from: Member, frame: Frame) -> bool {
+        let (handled_sender, handled) = oneshot::channel();
+        self.submit(move |driver, now| {
+            driver.paths.skip_retry_delay(from);
+            handled_sender.send(driver.core.hears(now, from, &frame).is_some()).ok();
         });
-        turn.await.unwrap_or(false)
+        handled.await.unwrap_or(false)
     }
 
-    /// A path to a member could not be opened, or broke.
-    pub(crate) fn unreached(&self, member: Member) {
-        self.tell(move |desk, now| desk.cores.unreached(now, member));
+    /// Reports that a connection to a member could not be opened, or broke.
+    pub(crate) fn on_unreachable(&self, member: Member) {
+        self.submit(move |driver, now| driver.core.unreached(now, member));
     }
 
-    /// A connection is not listened to: one line in a while says why, whatever comes.
-    pub(crate) fn refuses(&self, from: SocketAddr, why: String) {
-        let (last, left_out) = self.refused.get();
-        if last.is_some_and(|last| last.elapsed() < SELDOM) {
-            return self.refused.set((last, left_out + 1));
+    /// Logs why a connection is refused, at most once per interval.
+    pub(crate) fn log_refusal(&self, from: SocketAddr, reason: String) {
+        let (last_logged_at, skipped_count) = self.refusal_log.get();
+        if last_logged_at.is_some_and(|logged_at| logged_at.elapsed() < REFUSAL_LOG_INTERVAL) {
+            return self.refusal_log.set((last_logged_at, skipped_count + 1));
         }
-        self.refused.set((Some(Instant::now()), 0));
-        tracing::warn!(%from, why, left_out, "a manager is not listened to");
+        self.refusal_log.set((Some(Instant::now()), 0));
+        tracing::warn!(%from, why = reason, left_out = skipped_count, "refused a connection of a manager");
     }
 
-    /// Asks the keepers of a paid session whether it may be set up. `within`: how long its viewer waits at most.
+    /// Asks the acceptors of a paid session whether it may be set up. `within`: how long its viewer
+    /// waits at most.
     pub async fn claim(&self, session: SessionId, within: Duration) -> (Claimed, ClaimOutcome) {
-        let (asked, number) = oneshot::channel();
-        let (tell, told) = oneshot::channel();
-        let span = within.min(self.word);
-        self.tell(move |desk, now| {
-            let no = desk.cores.claim(now, session, now + span);
-            desk.waiting.insert(no, tell);
-            // Guards against a set-up that was called off in the same moment.
-            if let Err(no) = asked.send(no) {
-                desk.waiting.remove(&no);
-                desk.cores.withdraw(now, session, no);
+        let (number_sender, number) = oneshot::channel();
+        let (reply_sender, reply) = oneshot::channel();
+        let time_limit = within.min(self.majority_timeout);
+        self.submit(move |driver, now| {
+            let no = driver.core.claim(now, session, now + time_limit);
+            driver.waiters.insert(no, reply_sender);
+            // Guards against a set-up that was cancelled at the same moment.
+            if let Err(no) = number_sender.send(no) {
+                driver.waiters.remove(&no);
+                driver.core.withdraw(now, session, no);
             }
         });
         let no = number.await.ok();
         let claimed = Claimed { peers: self.clone(), session, no };
-        (claimed, told.await.unwrap_or(ClaimOutcome::NoMajority))
+        (claimed, reply.await.unwrap_or(ClaimOutcome::NoMajority))
     }
 
-    /// How long it is held what a member told.
+    /// How long claims and records are held.
     pub fn span(&self) -> Duration {
-        self.span
+        self.retention
     }
 
-    /// A session's tokens are taken no more, by no member, for a span.
+    /// Revokes a session: no member accepts its tokens any more, for one retention.
     pub fn revoke(&self, session: SessionId) {
-        self.tell(move |desk, now| desk.cores.revoke(now, session));
+        self.submit(move |driver, now| driver.core.revoke(now, session));
     }
 
-    /// Whether any member told that.
+    /// Whether any member has revoked a session.
     pub fn is_revoked(&self, session: SessionId) -> bool {
         self.revoked.borrow().contains_key(&session)
     }
 
-    /// Sessions that are revoked, as this member comes to know of them.
+    /// Subscribes to revoked sessions: first all that are known, then each new one. There is one
+    /// subscriber at a time.
     pub fn learns(&self) -> mpsc::UnboundedReceiver<SessionId> {
-        let (learns, learned) = mpsc::unbounded_channel();
-        self.tell(|desk, _| {
-            desk.revoked.borrow().keys().for_each(|session| learns.send(*session).unwrap_or_default());
-            desk.learns = Some(learns);
+        let (subscriber, revoked_sessions) = mpsc::unbounded_channel();
+        self.submit(|driver, _| {
+            driver.revoked.borrow().keys().for_each(|session| subscriber.send(*session).unwrap_or_default());
+            driver.subscriber = Some(subscriber);
         });
-        learned
+        revoked_sessions
     }
 
-    /// What is known of the members, what is kept here, and what became of what was asked.
+    /// State of the members, of this member's stores and of its claims, for the console.
     pub async fn page(&self) -> Value {
-        let (tell, told) = oneshot::channel();
-        self.tell(move |desk, now| drop(tell.send(desk.page(now))));
-        told.await.unwrap_or(Value::Null)
+        let (reply_sender, reply) = oneshot::channel();
+        self.submit(move |driver, now| drop(reply_sender.send(driver.status(now))));
+        reply.await.unwrap_or(Value::Null)
     }
 }
 
-/// A claim of a paid session. Dropped before its set-up goes out it is taken back.
+/// A claim of a paid session. Dropping it before its set-up is sent withdraws the claim.
 pub struct Claimed {
     peers: Peers,
     session: SessionId,
@@ -293,12 +329,12 @@
 }
 
 impl Claimed {
-    /// The first byte of its set-up goes out now: it may run.
+    /// To be called just before the first byte of the set-up is sent: from then on it may have run.
     pub fn goes_out(&mut self) -> Option<ClaimNo> {
         self.no.take()
     }
 
-    /// What went out provably never ran.
+    /// The set-up that was sent provably never ran; dropping the claim withdraws it again.
     pub fn never_ran(&mut self, no: Option<ClaimNo>) {
         self.no = no;
     }
@@ -308,46 +344,48 @@
     fn drop(&mut self) {
         if let Some(no) = self.no {
             let session = self.session;
-            self.peers.tell(move |desk, now| {
-                desk.waiting.remove(&no);
-                desk.cores.withdraw(now, session, no);
+            self.peers.submit(move |driver, now| {
+                driver.waiters.remove(&no);
+                driver.core.withdraw(now, session, no);
             });
         }
     }
 }
 
-async fn write(store: &Store, notes: &Arc<Vec<Note>>) -> Result<(), String> {
-    let (store, notes) = (store.clone(), notes.clone());
-    let written = spawn_blocking(move || store.write(&notes)).await;
-    written.map_err(|error| error.to_string())?.map_err(|error| error.to_string())
+/// Writes a batch on a blocking thread.
+async fn write(store: &Store, writes: &Arc<Vec<Note>>) -> Result<(), String> {
+    let (store, writes) = (store.clone(), writes.clone());
+    let result = spawn_blocking(move || store.write(&writes)).await;
+    result.map_err(|error| error.to_string())?.map_err(|error| error.to_string())
 }
 
-async fn run(peers: Peers, mut desk: Desk, store: Store, mut jobs: mpsc::UnboundedReceiver<Job>) {
-    let again = (peers.word / AGAIN).max(Duration::from_millis(1));
-    let mut next = peers.begun + again;
-    let word = peers.word.max(Duration::from_millis(1));
-    let mut turn = interval_at(peers.begun + word, word);
-    // Guards against all that was missed in a stall being compared at once.
-    turn.set_missed_tick_behavior(MissedTickBehavior::Delay);
+/// Runs the driver until all handles are dropped.
+async fn run(peers: Peers, mut driver: Driver, store: Store, mut jobs: mpsc::UnboundedReceiver<Job>) {
+    let retry_interval = (peers.majority_timeout / RETRIES_PER_TIMEOUT).max(Duration::from_millis(1));
+    let mut next_retry_at = peers.started_at + retry_interval;
+    let tick_interval = peers.majority_timeout.max(Duration::from_millis(1));
+    let mut ticks = interval_at(peers.started_at + tick_interval, tick_interval);
+    // Guards against many comparisons at once after a stall.
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        desk.delivers(&peers, &store);
-        let wakes = desk.cores.wakes();
+        driver.perform_actions(&peers, &store);
+        let has_open_claims = driver.core.has_open_claims();
         tokio::select! {
             biased;
-            _ = turn.tick() => {
-                desk.paths.forget_closed();
-                desk.cores.turn(peers.now());
+            _ = ticks.tick() => {
+                driver.paths.remove_closed();
+                driver.core.turn(peers.now());
             }
-            () = sleep_until(next), if wakes => {
-                desk.cores.again(peers.now());
-                next = Instant::now() + again;
+            () = sleep_until(next_retry_at), if has_open_claims => {
+                driver.core.retry(peers.now());
+                next_retry_at = Instant::now() + retry_interval;
             }
             job = jobs.recv() => {
                 let Some(job) = job else { return };
-                job(&mut desk, peers.now());
-                // What was begun now is asked again after a whole span.
-                if !wakes {
-                    next = Instant::now() + again;
+                job(&mut driver, peers.now());
+                // A new claim is retried after a full retry interval.
+                if !has_open_claims {
+                    next_retry_at = Instant::now() + retry_interval;
                 }
             }
         }
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -1,16 +1,17 @@
-//! What managers write to each other: one message of protobuf a frame, members by their names, so that they need not
-//! number them alike.
+//! The frames that managers exchange: one protobuf message each. Members are identified by name, so that
+//! they need not be numbered alike.
 
 use ivyward_replica::{Claim, ClaimNo, ClaimSet, Group, Log, Member, Record};
 use ivyward_session::{Incarnation, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What managers of this build speak: records in common since 2, a group told by its digest and digests that are answered
-/// since 3. Greetings of 2 can't be read by 3 nor the other way round; each says so.
+/// Protocol revision of this build. Revision 2 added replicated records; revision 3 sends the group's
+/// digest instead of its text and replies to digests. Revisions 2 and 3 can't read each other's hello;
+/// each of them reports it.
 pub const REVISION: u32 = 3;
 
-/// Bytes before each frame: its length.
+/// Length of the header of each frame, which is the frame's length.
 pub const HEAD: usize = 4;
 
 pub const HELLO: u32 = 1;
@@ -25,13 +26,15 @@
 pub const DIGEST: u32 = 10;
 pub const HEADS: u32 = 11;
 pub const RECORDS: u32 = 12;
-/// In answer to a digest: the same here. To a greeting: the group as configured here, which is another.
+/// `IN_SYNC` replies to a digest: the same records are held here. `DIFFERS` replies to a hello: the
+/// group is configured differently here, and this is it.
 pub const IN_SYNC: u32 = 13;
 pub const DIFFERS: u32 = 14;
 
-/// Kinds of records in common.
-pub const REVOKED: u32 = 1;
+/// Kinds of replicated records.
+pub const RECORD_KIND_REVOKED: u32 = 1;
 
+/// A frame; which fields are used depends on its kind.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
     #[prost(uint32, tag = "1")]
@@ -39,7 +42,7 @@
     #[prost(bytes = "vec", tag = "2")]
     pub session: Vec<u8>,
     #[prost(message, optional, tag = "3")]
-    pub claim: Option<Who>,
+    pub claim: Option<ClaimMessage>,
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
     #[prost(bool, tag = "5")]
@@ -47,45 +50,45 @@
     #[prost(uint64, tag = "6")]
     pub count: u64,
     #[prost(message, repeated, tag = "7")]
-    pub claims: Vec<Who>,
+    pub claims: Vec<ClaimMessage>,
     #[prost(message, repeated, tag = "8")]
-    pub withdrawn: Vec<Who>,
+    pub withdrawn: Vec<ClaimMessage>,
     #[prost(message, repeated, tag = "9")]
-    pub starts: Vec<Who>,
-    /// Of who says hello.
+    pub starts: Vec<ClaimMessage>,
+    /// Name of the sender, in a hello.
     #[prost(string, tag = "10")]
     pub name: String,
-    /// The group as configured there, told only where it differs.
+    /// The group's configuration as text, sent only on a mismatch.
     #[prost(string, tag = "11")]
     pub group: String,
     #[prost(uint32, tag = "12")]
     pub revision: u32,
-    /// In answer to an account.
+    /// Whether this is a reply to the receiver's own heads.
     #[prost(bool, tag = "13")]
     pub is_reply: bool,
     #[prost(message, repeated, tag = "14")]
-    pub records: Vec<Told>,
-    /// Of the group as configured there.
+    pub records: Vec<RecordMessage>,
+    /// Digest of the group's configuration.
     #[prost(bytes = "vec", tag = "15")]
     pub digest: Vec<u8>,
 }
 
-/// A record in common: its number, how long it is still to be held, and what it tells of.
+/// A replicated record: its number, its remaining lifetime and its value.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Told {
+pub struct RecordMessage {
     #[prost(uint64, tag = "1")]
     pub no: u64,
     #[prost(uint64, tag = "2")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     #[prost(uint32, tag = "3")]
     pub kind: u32,
     #[prost(bytes = "vec", tag = "4")]
     pub session: Vec<u8>,
 }
 
-/// A claim, or with no number a start.
+/// A claim; without a number, a start of a member; in heads and records, a log with a record number.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Who {
+pub struct ClaimMessage {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
@@ -94,92 +97,111 @@
     pub no: u64,
 }
 
-pub fn who(group: &Group, claim: Claim) -> Who {
-    Who { name: group.name(claim.by).into(), incarnation: claim.incarnation.0, no: claim.no.0 }
+/// Encodes a claim.
+pub fn encode_claim(group: &Group, claim: Claim) -> ClaimMessage {
+    ClaimMessage { name: group.name(claim.by).into(), incarnation: claim.incarnation.0, no: claim.no.0 }
 }
 
-pub fn start(group: &Group, (member, incarnation): (Member, Incarnation)) -> Who {
-    Who { name: group.name(member).into(), incarnation: incarnation.0, no: 0 }
+/// Encodes a member's start.
+pub fn encode_start(group: &Group, (member, incarnation): (Member, Incarnation)) -> ClaimMessage {
+    ClaimMessage { name: group.name(member).into(), incarnation: incarnation.0, no: 0 }
 }
 
-/// None for a member that is none of the group.
-pub fn claim(group: &Group, who: &Who) -> Option<Claim> {
+/// None for a member that is not in the group.
+pub fn decode_claim(group: &Group, message: &ClaimMessage) -> Option<Claim> {
     Some(Claim {
-        by: group.member(&who.name)?,
-        incarnation: Incarnation(who.incarnation),
-        no: ClaimNo(who.no),
+        by: group.member(&message.name)?,
+        incarnation: Incarnation(message.incarnation),
+        no: ClaimNo(message.no),
     })
 }
 
-pub fn claims(group: &Group, all: &[Who]) -> Option<std::collections::BTreeSet<Claim>> {
-    all.iter().map(|who| claim(group, who)).collect()
+/// Decodes a set of claims.
+pub fn decode_claims(group: &Group, messages: &[ClaimMessage]) -> Option<std::collections::BTreeSet<Claim>> {
+    messages.iter().map(|message| decode_claim(group, message)).collect()
 }
 
-pub fn starts(group: &Group, all: &[Who]) -> Option<Vec<(Member, Incarnation)>> {
-    all.iter().map(|who| Some((group.member(&who.name)?, Incarnation(who.incarnation)))).collect()
+/// Decodes starts of members.
+pub fn decode_starts(group: &Group, messages: &[ClaimMessage]) -> Option<Vec<(Member, Incarnation)>> {
+    messages
+        .iter()
+        .map(|message| Some((group.member(&message.name)?, Incarnation(message.incarnation))))
+        .collect()
 }
 
-pub fn head(group: &Group, (log, head): (&Log, &u64)) -> Who {
-    Who { name: group.name(log.of).into(), incarnation: log.incarnation.0, no: *head }
+/// Encodes the head of a log.
+pub fn encode_head(group: &Group, (log, head): (&Log, &u64)) -> ClaimMessage {
+    ClaimMessage { name: group.name(log.of).into(), incarnation: log.incarnation.0, no: *head }
 }
 
-pub fn heads(group: &Group, all: &[Who]) -> Option<BTreeMap<Log, u64>> {
-    let head = |who: &Who| {
-        Some((Log { of: group.member(&who.name)?, incarnation: Incarnation(who.incarnation) }, who.no))
+/// Decodes the heads of logs.
+pub fn decode_heads(group: &Group, messages: &[ClaimMessage]) -> Option<BTreeMap<Log, u64>> {
+    let head = |message: &ClaimMessage| {
+        Some((
+            Log { of: group.member(&message.name)?, incarnation: Incarnation(message.incarnation) },
+            message.no,
+        ))
     };
-    all.iter().map(head).collect()
+    messages.iter().map(head).collect()
 }
 
-pub fn told(record: &Record<SessionId>) -> Told {
-    let (left_ms, session) = (record.remaining.as_millis() as u64, record.value.0.to_be_bytes().into());
-    Told { no: record.no, left_ms, kind: REVOKED, session }
+/// Encodes a revoked session.
+pub fn encode_record(record: &Record<SessionId>) -> RecordMessage {
+    let (remaining_ms, session) = (record.remaining.as_millis() as u64, record.value.0.to_be_bytes().into());
+    RecordMessage { no: record.no, remaining_ms, kind: RECORD_KIND_REVOKED, session }
 }
 
-/// Records of kinds that a later revision tells of are left out.
-pub fn records(all: &[Told]) -> Option<Vec<Record<SessionId>>> {
-    let record = |told: &Told| {
-        let left = Duration::from_millis(told.left_ms);
-        Some(Record { no: told.no, remaining: left, value: session(&told.session)? })
+/// Records of kinds that a later revision adds are left out.
+pub fn decode_records(messages: &[RecordMessage]) -> Option<Vec<Record<SessionId>>> {
+    let record = |message: &RecordMessage| {
+        let remaining = Duration::from_millis(message.remaining_ms);
+        Some(Record { no: message.no, remaining, value: decode_session(&message.session)? })
     };
-    all.iter().filter(|told| told.kind == REVOKED).map(record).collect()
+    messages.iter().filter(|message| message.kind == RECORD_KIND_REVOKED).map(record).collect()
 }
 
-pub fn session(bytes: &[u8]) -> Option<SessionId> {
+/// Decodes a session's id; none if its length is wrong.
+pub fn decode_session(bytes: &[u8]) -> Option<SessionId> {
     bytes.try_into().ok().map(|bytes| SessionId(u128::from_be_bytes(bytes)))
 }
 
-pub fn recovery_entry(group: &Group, session: SessionId, claim_set: &ClaimSet) -> Frame {
-    let all = |claims: &std::collections::BTreeSet<Claim>| claims.iter().map(|c| who(group, *c)).collect();
+/// Encodes the claims of a session; also the format of the store's entries.
+pub fn encode_recovery_entry(group: &Group, session: SessionId, claim_set: &ClaimSet) -> Frame {
+    let encode_all = |claims: &std::collections::BTreeSet<Claim>| {
+        claims.iter().map(|claim| encode_claim(group, *claim)).collect()
+    };
     Frame {
         kind: RECOVERY_ENTRY,
         session: session.0.to_be_bytes().into(),
-        claims: all(&claim_set.claims),
-        withdrawn: all(&claim_set.withdrawn),
+        claims: encode_all(&claim_set.claims),
+        withdrawn: encode_all(&claim_set.withdrawn),
         ..Frame::default()
     }
 }
 
-/// What is held of a session, as [`recovery_entry`] wrote it.
-pub fn claim_set(group: &Group, frame: &Frame) -> Option<(SessionId, ClaimSet)> {
-    let claim_set =
-        ClaimSet { claims: claims(group, &frame.claims)?, withdrawn: claims(group, &frame.withdrawn)? };
-    Some((session(&frame.session)?, claim_set))
+/// The claims of a session, as [`encode_recovery_entry`] wrote them.
+pub fn decode_claim_set(group: &Group, frame: &Frame) -> Option<(SessionId, ClaimSet)> {
+    let claim_set = ClaimSet {
+        claims: decode_claims(group, &frame.claims)?,
+        withdrawn: decode_claims(group, &frame.withdrawn)?,
+    };
+    Some((decode_session(&frame.session)?, claim_set))
 }
 
-/// The longest text from outside in a line, in characters.
-const BRIEF: usize = 120;
+/// Longest text from another member in a log line, in characters.
+const MAX_TEXT_CHARS: usize = 120;
 
-/// A text from outside as it may stand in a line.
-pub fn brief(text: &str) -> String {
-    text.chars().take(BRIEF).collect()
+/// Truncates a text from another member for the log.
+pub fn truncate(text: &str) -> String {
+    text.chars().take(MAX_TEXT_CHARS).collect()
 }
 
-/// Where the texts of two groups part, some of each.
-pub fn difference(ours: &str, theirs: &str) -> String {
-    let same = ours.chars().zip(theirs.chars()).take_while(|(a, b)| a == b).count();
-    // From the start of the member on that they part in.
-    let begun = ours.char_indices().nth(same).map_or(ours.len(), |(at, _)| at);
-    let begun = ours[..begun].rfind(", ").map_or(0, |at| ours[..at].chars().count() + 2);
-    let from = |text: &str| text.chars().skip(begun).take(BRIEF / 2).collect::<String>();
-    format!("here {:?}, there {:?}", from(ours), from(theirs))
+/// Where two groups' texts begin to differ, with an excerpt of each.
+pub fn describe_difference(ours: &str, theirs: &str) -> String {
+    let common_prefix_len = ours.chars().zip(theirs.chars()).take_while(|(a, b)| a == b).count();
+    // Back to the start of the member entry in which they differ.
+    let start = ours.char_indices().nth(common_prefix_len).map_or(ours.len(), |(index, _)| index);
+    let start = ours[..start].rfind(", ").map_or(0, |separator| ours[..separator].chars().count() + 2);
+    let excerpt = |text: &str| text.chars().skip(start).take(MAX_TEXT_CHARS / 2).collect::<String>();
+    format!("here {:?}, there {:?}", excerpt(ours), excerpt(theirs))
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,17 +1,18 @@
-//! Managers that speak with each other: sockets, clock and disk round `ivyward_replica` and `ivyward_overlay`. One task
-//! holds a member's [`Cores`]; what comes and what was written goes to it through one queue.
+//! Communication between managers: sockets, clock and disk around `ivyward_replica` and
+//! `ivyward_overlay`. One task owns a member's [`Cores`]; received frames and finished writes reach it
+//! through one queue.
 
-mod cores;
 mod driver;
 mod frame;
 mod link;
+mod member_core;
 mod path;
 mod store;
 
-pub use cores::{AGAIN, Cores, Outbox, QUIET};
 pub use driver::{Claimed, Peers};
 pub use frame::{Frame, HEAD};
-pub use link::{greets, hello};
+pub use link::{check_hello, hello};
+pub use member_core::{Cores, Outbox, QUIET, RETRIES_PER_TIMEOUT};
 pub use path::TOGETHER;
 pub use store::{Note, Store, Stored};
 
@@ -19,18 +20,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a group of managers is configured to be, and this one in it.
+/// Configuration of a group of managers and of this one's membership.
 pub struct Config {
     pub group: Group,
     pub name: String,
-    /// Where this one listens for the others, and where they are reached from here.
+    /// The address that this member listens on, and those of the other members.
     pub listen: SocketAddr,
     pub others: Vec<(String, SocketAddr)>,
-    /// How long the word of a majority is waited for, at most.
+    /// How long a claim waits for a majority at most; also the interval between ticks.
     pub word: Duration,
-    /// How long a claim is kept, and what all are told is held.
+    /// How long claims and replicated records are held.
     pub span: Duration,
-    /// How long a connection may take to stand.
+    /// How long opening a connection may take.
     pub connect: Duration,
     pub state_dir: String,
 }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,8 +1,8 @@
-//! Connections that other members open: on them they speak, and this one listens.
+//! Connections that other members open: they send frames on them, and this member only receives.
 
-use crate::cores::QUIET;
 use crate::driver::Peers;
 use crate::frame::{self, Frame};
+use crate::member_core::QUIET;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use ivyward_replica::{Group, Member};
@@ -17,28 +17,31 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// No frame is longer.
-const LONGEST: usize = 64 << 10;
-/// Connections from one member that may stand at once, those left over from before among them.
-const EACH: usize = 4;
-/// Whoever takes nothing, or says no hello, for so long is closed.
-pub const STALLED: Duration = Duration::from_secs(2);
-/// A connection on which nothing came for so many times as long as its path may be quiet belongs to a machine that is gone.
-const GONE: u32 = 4;
+/// Longest frame.
+const MAX_FRAME_BYTES: usize = 64 << 10;
+/// Connections open at once per member, including those left over from before a reconnect.
+const MAX_CONNECTIONS_PER_MEMBER: usize = 4;
+/// A connection is closed if the peer accepts no data, or sends no hello, for this long.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection without a frame for this many times the idle timeout of its path counts as dead: its
+/// machine is gone.
+const DEAD_CONNECTION_FACTOR: u32 = 4;
 
-/// Frames on a connection, either way.
+/// A connection that carries frames in either direction.
 pub type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
+/// Wraps a connection so that it carries frames.
 pub fn framed(stream: TcpStream) -> Connection {
     stream.set_nodelay(true).ok();
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_framed(stream)
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
-pub fn bytes(frame: &Frame) -> Bytes {
+/// Encodes a frame.
+pub fn encode(frame: &Frame) -> Bytes {
     Bytes::from(frame.encode_to_vec())
 }
 
-/// What a member says first on each path.
+/// The first frame on each connection.
 pub fn hello(group: &Group, me: Member, incarnation: Incarnation) -> Frame {
     Frame {
         kind: frame::HELLO,
@@ -50,55 +53,59 @@
     }
 }
 
-/// What is said to one that is configured for another group: all of it, if it fits.
-fn differs(group: &Group, me: Member) -> Frame {
-    let text = Some(group.text()).filter(|text| text.len() < LONGEST / 2).unwrap_or_default();
+/// The reply to a member that is configured for another group: the group's configuration, if it fits
+/// into a frame.
+fn group_mismatch_frame(group: &Group, me: Member) -> Frame {
+    let text = Some(group.text()).filter(|text| text.len() < MAX_FRAME_BYTES / 2).unwrap_or_default();
     Frame { kind: frame::DIFFERS, name: group.name(me).into(), group: text, ..Frame::default() }
 }
 
-/// Why a connection is not listened to.
+/// Why a connection is refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    #[error("it says no hello: something else speaks to this port")]
+pub enum Refusal {
+    #[error("the first frame is not a hello: another program connects to this port")]
     NoHello,
-    #[error("{0:?} speaks revision {1}, here {here}: run the same build on both", here = frame::REVISION)]
+    #[error("{0:?} uses protocol revision {1}, this manager {here}: run the same build on both", here = frame::REVISION)]
     Revision(String, u32),
-    /// Guards against majorities counted over different groups.
+    /// Guards against majorities that are counted over different groups.
     #[error("{0:?} is configured for another group: give both the same members and keepers")]
     Group(String),
-    #[error("{0:?} is no member: name it in peers, or mend its manager.name")]
+    #[error("{0:?} is not a member: add it to peers.member, or correct its manager.name")]
     NoMember(String),
     #[error(
-        "{0:?} wrote a frame that can't be read or makes no sense: its build differs, or its memory is bad"
+        "{0:?} sent a frame that is malformed or invalid: run the same build on both, or check its memory"
     )]
     Frame(String),
 }
 
+/// Accepts connections of other members, checks their hello, and receives their frames.
 pub async fn accept(listener: TcpListener, peers: Peers, group: Group, me: Member) {
-    // Guards against connections that are opened faster than they are found to be over.
-    let room = Rc::new(Semaphore::new(group.members().count() * EACH));
+    // Guards against connections being opened faster than dead ones are detected.
+    let connection_slots = Rc::new(Semaphore::new(group.members().count() * MAX_CONNECTIONS_PER_MEMBER));
     let digest = group.digest();
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let (room, peers, group) = (room.clone(), peers.clone(), group.clone());
+        let (connection_slots, peers, group) = (connection_slots.clone(), peers.clone(), group.clone());
         spawn_local(async move {
-            let Ok(_place) = room.try_acquire() else { return };
+            let Ok(_connection_slot) = connection_slots.try_acquire() else { return };
             let mut stream = framed(stream);
-            let first = timeout(STALLED, stream.next()).await;
+            let first = timeout(STALL_TIMEOUT, stream.next()).await;
             let Ok(Some(Ok(first))) = first else { return };
-            match greets(&group, digest, first) {
+            match check_hello(&group, digest, first) {
                 Ok(member) => {
-                    if !listens(&mut stream, member, &peers).await {
-                        peers.refuses(from, Refused::Frame(group.name(member).into()).to_string());
+                    if !receive_frames(&mut stream, member, &peers).await {
+                        peers.log_refusal(from, Refusal::Frame(group.name(member).into()).to_string());
                     }
                 }
-                Err(wrong) => {
-                    peers.refuses(from, wrong.to_string());
-                    if matches!(wrong, Refused::Group(_)) {
-                        timeout(STALLED, stream.send(bytes(&differs(&group, me)))).await.ok();
+                Err(refusal) => {
+                    peers.log_refusal(from, refusal.to_string());
+                    if matches!(refusal, Refusal::Group(_)) {
+                        timeout(STALL_TIMEOUT, stream.send(encode(&group_mismatch_frame(&group, me))))
+                            .await
+                            .ok();
                     }
                 }
             }
@@ -106,39 +113,40 @@
     }
 }
 
-pub fn greets(group: &Group, digest: u128, first: BytesMut) -> Result<Member, Refused> {
-    let hello = Frame::decode(first).map_err(|_| Refused::NoHello)?;
-    let name = frame::brief(&hello.name);
+/// Checks the first frame on a connection and returns the member that sent it.
+pub fn check_hello(group: &Group, digest: u128, first: BytesMut) -> Result<Member, Refusal> {
+    let hello = Frame::decode(first).map_err(|_| Refusal::NoHello)?;
+    let name = frame::truncate(&hello.name);
     if hello.kind != frame::HELLO {
-        return Err(Refused::NoHello);
+        return Err(Refusal::NoHello);
     }
     if hello.revision != frame::REVISION {
-        return Err(Refused::Revision(name, hello.revision));
+        return Err(Refusal::Revision(name, hello.revision));
     }
     if hello.digest != digest.to_be_bytes() {
-        return Err(Refused::Group(name));
+        return Err(Refusal::Group(name));
     }
-    group.member(&hello.name).ok_or(Refused::NoMember(name))
+    group.member(&hello.name).ok_or(Refusal::NoMember(name))
 }
 
-/// Until the connection is over; false where what came on it could not be used.
-async fn listens(
+/// Receives frames until the connection ends; returns false if a frame was malformed or invalid.
+async fn receive_frames(
     stream: &mut Framed<TcpStream, LengthDelimitedCodec>, member: Member, peers: &Peers,
 ) -> bool {
-    let gone = peers.word() * QUIET * GONE;
+    let dead_after = peers.majority_timeout() * QUIET * DEAD_CONNECTION_FACTOR;
     loop {
-        match timeout(gone, stream.next()).await {
+        match timeout(dead_after, stream.next()).await {
             Ok(Some(Ok(bytes))) => {
                 let Ok(frame) = Frame::decode(bytes) else { return false };
-                if !peers.heard(member, frame).await {
+                if !peers.on_frame(member, frame).await {
                     return false;
                 }
             }
-            // Longer than a frame may be.
+            // The frame exceeds the maximum length.
             Ok(Some(Err(error))) if error.kind() == ErrorKind::InvalidData => return false,
             _ => break,
         }
     }
-    tracing::debug!(member = member.0, "a connection of a member is over");
+    tracing::debug!(member = member.0, "connection from a member closed");
     true
 }
--- a/crates/peers/src/path.rs
+++ b/crates/peers/src/path.rs
@@ -1,9 +1,9 @@
-//! Paths to other members: each is opened when there is something to say to that member, and closed when there was
-//! nothing for a while. On a path that one opens it speaks and the other listens.
+//! Paths to other members. A path is opened when there is a frame for its member and closed after an
+//! idle time. The member that opens a connection sends on it; the other side only receives.
 
 use crate::driver::Peers;
 use crate::frame::{self, Frame};
-use crate::link::{Connection, STALLED, bytes, framed};
+use crate::link::{Connection, STALL_TIMEOUT, encode, framed};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use ivyward_replica::{Group, Member};
@@ -18,198 +18,212 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Frames that may wait for one member; what finds more before it is left out, and asked again by whoever needs it.
-pub const FRAMES: usize = 1024;
-/// So many go out with one flush. Guards against a path that is always written to being taken for one that stalls.
+/// Frames queued for one member. Further frames are dropped and requested again by whoever needs them.
+pub const QUEUE_FRAME_COUNT: usize = 1024;
+/// Frames written with one flush. Guards against a path that always has more to write being taken for a
+/// stalled one.
 pub const TOGETHER: usize = 64;
-/// A path that failed is tried again after as long as a connection may take, then after twice that, up to so many times:
-/// what a whole zone that is away costs whoever owes it something is bounded.
-const PAUSES: u32 = 8;
+/// A path that failed is reopened after the connection timeout, then after twice that, up to this many
+/// times the timeout. Bounds what an unreachable zone costs the members that have frames for it.
+const MAX_RETRY_DELAY_FACTOR: u32 = 8;
 
-/// Frames and bytes written on all paths, and paths that came up.
+/// Frames and bytes sent on all paths, and connections opened.
 #[derive(Default)]
-pub struct Sent {
+pub struct SendCounters {
     pub frames: Cell<u64>,
     pub bytes: Cell<u64>,
     pub paths: Cell<u64>,
 }
 
-fn more(count: &Cell<u64>, by: usize) {
-    count.set(count.get().saturating_add(by as u64));
+/// Adds to a counter, saturating.
+fn add_to(counter: &Cell<u64>, amount: usize) {
+    counter.set(counter.get().saturating_add(amount as u64));
 }
 
-/// What all paths of a member have in common.
-pub struct Terms {
+/// What all paths of a member share.
+pub struct PathContext {
     pub hello: Frame,
     pub group: Group,
-    /// How long a connection may take to stand, and a path stand without a word.
-    pub connect: Duration,
-    pub quiet: Duration,
-    pub sent: Sent,
+    /// How long opening a connection may take.
+    pub connect_timeout: Duration,
+    /// How long a path may be without frames before it closes.
+    pub idle_timeout: Duration,
+    pub sent: SendCounters,
 }
 
-struct Open {
+/// A path's queue, and the means to end its retry delay.
+struct OpenPath {
     frames: mpsc::Sender<Frame>,
-    /// A pause after a failure is over.
-    hurries: Rc<Notify>,
+    /// Ends the delay after a failure.
+    skip_delay: Rc<Notify>,
 }
 
 /// All paths of a member.
 pub struct Paths {
-    terms: Rc<Terms>,
+    context: Rc<PathContext>,
     peers: Peers,
     addresses: BTreeMap<Member, SocketAddr>,
-    open: BTreeMap<Member, Open>,
+    open: BTreeMap<Member, OpenPath>,
 }
 
 impl Paths {
-    pub fn new(terms: Rc<Terms>, peers: Peers, addresses: BTreeMap<Member, SocketAddr>) -> Paths {
-        Paths { terms, peers, addresses, open: BTreeMap::new() }
+    pub fn new(context: Rc<PathContext>, peers: Peers, addresses: BTreeMap<Member, SocketAddr>) -> Paths {
+        Paths { context, peers, addresses, open: BTreeMap::new() }
     }
 
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn context(&self) -> &PathContext {
+        &self.context
     }
 
-    /// Paths that are open, or are being opened.
+    /// Number of paths that are open or being opened.
     pub fn open(&self) -> usize {
-        self.open.values().filter(|open| !open.frames.is_closed()).count()
+        self.open.values().filter(|path| !path.frames.is_closed()).count()
     }
 
-    /// Lets go of those that were closed.
-    pub fn forget_closed(&mut self) {
-        self.open.retain(|_, open| !open.frames.is_closed());
+    /// Removes paths that were closed.
+    pub fn remove_closed(&mut self) {
+        self.open.retain(|_, path| !path.frames.is_closed());
     }
 
-    /// A pause after a failure is over at once: that member was heard, or somebody waits for its word.
-    pub fn hurries(&self, member: Member) {
-        if let Some(open) = self.open.get(&member) {
-            open.hurries.notify_waiters();
+    /// Ends a path's delay after a failure at once: a frame from the member arrived, or a caller waits
+    /// for its reply.
+    pub fn skip_retry_delay(&self, member: Member) {
+        if let Some(path) = self.open.get(&member) {
+            path.skip_delay.notify_waiters();
         }
     }
 
-    /// The way to a member, opened if need be; none to one that nobody knows where to reach.
-    pub fn to(&mut self, to: Member) -> Option<mpsc::Sender<Frame>> {
-        if let Some(open) = self.open.get(&to).filter(|open| !open.frames.is_closed()) {
-            return Some(open.frames.clone());
+    /// The queue of frames to a member, whose path is opened if necessary; none if the member's address
+    /// is unknown.
+    pub fn sender(&mut self, to: Member) -> Option<mpsc::Sender<Frame>> {
+        if let Some(path) = self.open.get(&to).filter(|path| !path.frames.is_closed()) {
+            return Some(path.frames.clone());
         }
         let address = *self.addresses.get(&to)?;
-        let (frames, taken) = mpsc::channel(FRAMES);
-        let hurries = Rc::new(Notify::new());
-        let path = Path { to, address, frames: taken, terms: self.terms.clone(), peers: self.peers.clone() };
-        spawn_local(path.speaks(hurries.clone()));
-        self.open.insert(to, Open { frames: frames.clone(), hurries });
+        let (frames, receiver) = mpsc::channel(QUEUE_FRAME_COUNT);
+        let skip_delay = Rc::new(Notify::new());
+        let path =
+            Path { to, address, frames: receiver, context: self.context.clone(), peers: self.peers.clone() };
+        spawn_local(path.run(skip_delay.clone()));
+        self.open.insert(to, OpenPath { frames: frames.clone(), skip_delay });
         Some(frames)
     }
 }
 
+/// The task that opens connections to one member and sends its queue.
 struct Path {
     to: Member,
     address: SocketAddr,
     frames: mpsc::Receiver<Frame>,
-    terms: Rc<Terms>,
+    context: Rc<PathContext>,
     peers: Peers,
 }
 
-/// How a connection came to its end.
-enum End {
-    /// Nothing was to be said for a while.
-    Quiet,
+/// How a connection ended.
+enum ConnectionEnd {
+    /// There was no frame to send for the idle timeout.
+    Idle,
     Broken,
 }
 
 impl Path {
-    /// The next to be said, none once there was nothing for a while; from then on nothing more is taken.
-    async fn next(&mut self) -> Option<Frame> {
-        match timeout(self.terms.quiet, self.frames.recv()).await {
+    /// The next frame, or none after the idle timeout; from then on the queue accepts no more frames.
+    async fn next_frame(&mut self) -> Option<Frame> {
+        match timeout(self.context.idle_timeout, self.frames.recv()).await {
             Ok(frame) => frame,
             Err(_) => {
-                // Guards against a frame that comes in the same moment and is never said.
+                // Guards against losing a frame that was queued at the same moment.
                 self.frames.close();
                 self.frames.recv().await
             }
         }
     }
 
-    async fn speaks(mut self, hurries: Rc<Notify>) {
-        let (connect, longest) = (self.terms.connect, self.terms.connect * PAUSES);
-        let mut pause = connect;
-        while let Some(first) = self.next().await {
-            let begun = Instant::now();
-            if let Ok(Ok(stream)) = timeout(connect, TcpStream::connect(self.address)).await {
-                more(&self.terms.sent.paths, 1);
-                if matches!(self.carries(stream, first).await, End::Quiet) {
+    /// Opens a connection whenever there are frames, and reopens it after failures, with exponential
+    /// backoff.
+    async fn run(mut self, skip_delay: Rc<Notify>) {
+        let (connect_timeout, max_retry_delay) =
+            (self.context.connect_timeout, self.context.connect_timeout * MAX_RETRY_DELAY_FACTOR);
+        let mut retry_delay = connect_timeout;
+        while let Some(first) = self.next_frame().await {
+            let attempt_started_at = Instant::now();
+            if let Ok(Ok(stream)) = timeout(connect_timeout, TcpStream::connect(self.address)).await {
+                add_to(&self.context.sent.paths, 1);
+                if matches!(self.send_on_connection(stream, first).await, ConnectionEnd::Idle) {
                     return;
                 }
-                tracing::debug!(member = self.terms.group.name(self.to), "a path to a member broke");
+                tracing::debug!(member = self.context.group.name(self.to), "connection to a member broke");
             }
-            if begun.elapsed() > longest {
-                pause = connect;
+            if attempt_started_at.elapsed() > max_retry_delay {
+                retry_delay = connect_timeout;
             }
-            self.peers.unreached(self.to);
-            // Guards against what has waited so long that it was asked anew meanwhile.
+            self.peers.on_unreachable(self.to);
+            // Guards against sending frames that waited so long that they were requested again
+            // meanwhile.
             while self.frames.try_recv().is_ok() {}
-            timeout(pause, hurries.notified()).await.ok();
-            pause = (pause * 2).min(longest);
+            timeout(retry_delay, skip_delay.notified()).await.ok();
+            retry_delay = (retry_delay * 2).min(max_retry_delay);
         }
     }
 
-    async fn carries(&mut self, stream: TcpStream, first: Frame) -> End {
+    /// Sends frames on a connection until it breaks or the path is idle.
+    async fn send_on_connection(&mut self, stream: TcpStream, first: Frame) -> ConnectionEnd {
         let mut out = framed(stream);
-        let hello = bytes(&self.terms.hello);
-        more(&self.terms.sent.frames, 1);
-        more(&self.terms.sent.bytes, hello.len() + frame::HEAD);
-        if !matches!(timeout(STALLED, out.feed(hello)).await, Ok(Ok(()))) {
-            return End::Broken;
+        let hello = encode(&self.context.hello);
+        add_to(&self.context.sent.frames, 1);
+        add_to(&self.context.sent.bytes, hello.len() + frame::HEAD);
+        if !matches!(timeout(STALL_TIMEOUT, out.feed(hello)).await, Ok(Ok(()))) {
+            return ConnectionEnd::Broken;
         }
         let mut first = Some(first);
         loop {
             let frame = match first.take() {
                 Some(frame) => Some(frame),
                 None => tokio::select! {
-                    frame = self.next() => frame,
-                    // All that is said here is what the group is there, where it differs: then it is over.
-                    said = out.next() => {
-                        if let Some(Ok(said)) = said {
-                            differs(&self.terms.group, &said);
+                    frame = self.next_frame() => frame,
+                    // The only frame received here tells how the group is configured there if it
+                    // differs; the connection is of no further use then.
+                    received = out.next() => {
+                        if let Some(Ok(received)) = received {
+                            log_group_mismatch(&self.context.group, &received);
                         }
-                        return End::Broken;
+                        return ConnectionEnd::Broken;
                     }
                 },
             };
-            let Some(frame) = frame else { return End::Quiet };
-            if !matches!(timeout(STALLED, self.writes(&mut out, frame)).await, Ok(Ok(()))) {
-                return End::Broken;
+            let Some(frame) = frame else { return ConnectionEnd::Idle };
+            if !matches!(timeout(STALL_TIMEOUT, self.write_batch(&mut out, frame)).await, Ok(Ok(()))) {
+                return ConnectionEnd::Broken;
             }
         }
     }
 
-    /// Writes a frame and those that wait behind it, with one flush: an account of many logs is many frames, and each
-    /// flushed alone would cost a segment and its acknowledgement.
-    async fn writes(&mut self, out: &mut Connection, first: Frame) -> std::io::Result<()> {
+    /// Writes a frame and those queued behind it with one flush. A reply about many logs is many frames,
+    /// and flushing each alone would cost a segment and its acknowledgement.
+    async fn write_batch(&mut self, out: &mut Connection, first: Frame) -> std::io::Result<()> {
         let mut next = Some(first);
-        for left in (0..TOGETHER).rev() {
+        for batch_space_left in (0..TOGETHER).rev() {
             let Some(frame) = next.take() else { break };
-            let bytes = bytes(&frame);
-            more(&self.terms.sent.frames, 1);
-            more(&self.terms.sent.bytes, bytes.len() + frame::HEAD);
+            let bytes = encode(&frame);
+            add_to(&self.context.sent.frames, 1);
+            add_to(&self.context.sent.bytes, bytes.len() + frame::HEAD);
             out.feed(bytes).await?;
-            next = if left > 0 { self.frames.try_recv().ok() } else { None };
+            next = if batch_space_left > 0 { self.frames.try_recv().ok() } else { None };
         }
         SinkExt::<Bytes>::flush(out).await
     }
 }
 
-/// A member is configured for another group.
-fn differs(group: &Group, said: &[u8]) {
-    let Ok(said) = Frame::decode(said) else { return };
-    if said.kind != frame::DIFFERS {
+/// Logs that a member is configured for another group.
+fn log_group_mismatch(group: &Group, received: &[u8]) {
+    let Ok(reply) = Frame::decode(received) else { return };
+    if reply.kind != frame::DIFFERS {
         return;
     }
-    let what = frame::difference(&group.text(), &said.group);
+    let difference = frame::describe_difference(&group.text(), &reply.group);
     tracing::warn!(
-        member = frame::brief(&said.name),
-        what,
-        "does not listen: it is configured for another group"
+        member = frame::truncate(&reply.name),
+        what = difference,
+        "the member refuses this manager: it is configured for another group; give both the same members and keepers"
     );
 }
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -1,4 +1,4 @@
-//! What a member promised, on disk: an embedded database, since its writes are whole or not there, and synced.
+//! What a member has promised, on disk, in an embedded database: its writes are synced and atomic.
 
 use crate::frame::{self, Frame};
 use ivyward_replica::{ClaimSet, Group, Member};
@@ -12,15 +12,17 @@
 
 const SESSIONS: TableDefinition<u128, &[u8]> = TableDefinition::new("sessions");
 const STARTS: TableDefinition<&str, u64> = TableDefinition::new("starts");
-const ABOUT: TableDefinition<&str, &str> = TableDefinition::new("about");
-/// Whether the memory is whole, for which group, and as which revision it was written.
-const WHOLE: &str = "whole";
-const GROUP: &str = "group";
-const REVISION: &str = "revision";
-/// Of what is written here, not of what members speak: a store outlives a change of that.
-const WRITTEN_AS: u32 = 2;
+const METADATA: TableDefinition<&str, &str> = TableDefinition::new("about");
+/// Keys of the metadata table: whether the stored claims are complete, for which group they were
+/// written, and in which format revision.
+const COMPLETE_KEY: &str = "whole";
+const GROUP_KEY: &str = "group";
+const REVISION_KEY: &str = "revision";
+/// Revision of the store's format, not of the protocol between members: a store stays valid when the
+/// protocol changes.
+const FORMAT_REVISION: u32 = 2;
 
-/// One change, to be written with others in one sync.
+/// One change, written together with others in one sync.
 pub enum Note {
     Held(SessionId, Vec<u8>),
     Forgotten(SessionId),
@@ -29,12 +31,13 @@
 }
 
 impl Note {
-    pub fn held(group: &Group, session: SessionId, held: &ClaimSet) -> Note {
-        Note::Held(session, frame::recovery_entry(group, session, held).encode_to_vec())
+    /// The write of a session's claims.
+    pub fn claim_set(group: &Group, session: SessionId, claim_set: &ClaimSet) -> Note {
+        Note::Held(session, frame::encode_recovery_entry(group, session, claim_set).encode_to_vec())
     }
 }
 
-/// What was found on disk.
+/// What the store contained.
 #[derive(Default)]
 pub struct Stored {
     pub whole: bool,
@@ -42,99 +45,116 @@
     pub starts: BTreeMap<Member, Incarnation>,
 }
 
+/// A handle to the database.
 #[derive(Clone)]
 pub struct Store(Arc<Database>);
 
-fn file(dir: &str) -> PathBuf {
+/// The file of the store in a folder.
+fn store_path(dir: &str) -> PathBuf {
     Path::new(dir).join("keeper.redb")
 }
 
-fn told<E: std::fmt::Display>(file: &Path) -> impl Fn(E) -> String {
-    move |error| format!("{}: {error}", file.display())
+/// Prefixes an error with the file's path.
+fn with_path<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> String {
+    move |error| format!("{}: {error}", path.display())
 }
 
 impl Store {
-    /// Opens the memory in `dir`, or makes an empty one that is not whole: of a member without memory.
+    /// Opens the store in `dir`, or creates an empty one that is not complete, as after a loss of stable
+    /// storage.
     ///
     /// # Errors
-    /// It can't be read or written, or is another group's, or holds something else; the line names the file.
+    /// It can't be read or written, belongs to another group, or holds something else; the message names
+    /// the file.
     pub fn open(dir: &str, group: &Group) -> Result<(Store, Stored), String> {
-        let file = file(dir);
-        fs::create_dir_all(dir).map_err(told(&file))?;
-        let database = Database::create(&file).map_err(told(&file))?;
-        let change = database.begin_write().map_err(told(&file))?;
+        let path = store_path(dir);
+        fs::create_dir_all(dir).map_err(with_path(&path))?;
+        let database = Database::create(&path).map_err(with_path(&path))?;
+        let transaction = database.begin_write().map_err(with_path(&path))?;
         let stored = {
-            let mut about = change.open_table(ABOUT).map_err(told(&file))?;
-            for (name, wanted) in [(GROUP, group.text()), (REVISION, WRITTEN_AS.to_string())] {
-                let found = about.get(name).map_err(told(&file))?.map(|text| text.value().to_string());
-                if let Some(found) = found.as_ref().filter(|found| **found != wanted) {
-                    let what = format!("{name} is {found}, the settings say {wanted}");
-                    return Err(format!("{}: it was written for another: {what}", file.display()));
+            let mut metadata = transaction.open_table(METADATA).map_err(with_path(&path))?;
+            for (name, expected) in [(GROUP_KEY, group.text()), (REVISION_KEY, FORMAT_REVISION.to_string())] {
+                let found =
+                    metadata.get(name).map_err(with_path(&path))?.map(|text| text.value().to_string());
+                if let Some(found) = found.as_ref().filter(|found| **found != expected) {
+                    let mismatch = format!("{name} is {found}, expected {expected}");
+                    return Err(format!(
+                        "{}: the store belongs to another group or build: {mismatch}",
+                        path.display()
+                    ));
                 }
-                about.insert(name, wanted.as_str()).map_err(told(&file))?;
+                metadata.insert(name, expected.as_str()).map_err(with_path(&path))?;
             }
-            let mut stored =
-                Stored { whole: about.get(WHOLE).map_err(told(&file))?.is_some(), ..Stored::default() };
-            let sessions = change.open_table(SESSIONS).map_err(told(&file))?;
-            for row in sessions.iter().map_err(told(&file))? {
-                let (session, bytes) = row.map_err(told(&file))?;
-                let read = Frame::decode(bytes.value()).ok().and_then(|row| frame::claim_set(group, &row));
+            let mut stored = Stored {
+                whole: metadata.get(COMPLETE_KEY).map_err(with_path(&path))?.is_some(),
+                ..Stored::default()
+            };
+            let sessions = transaction.open_table(SESSIONS).map_err(with_path(&path))?;
+            for entry in sessions.iter().map_err(with_path(&path))? {
+                let (session, bytes) = entry.map_err(with_path(&path))?;
+                let decoded = Frame::decode(bytes.value())
+                    .ok()
+                    .and_then(|frame| frame::decode_claim_set(group, &frame));
                 let session = session.value();
-                // Guards against a promise left out since it can't be read.
-                let (session, held) = read
-                    .ok_or(format!("{}: the row of session {session:032x} can't be read", file.display()))?;
-                stored.sessions.insert(session, held);
+                // Guards against leaving out a promise because it can't be read.
+                let (session, claim_set) = decoded
+                    .ok_or(format!("{}: the entry of session {session:032x} is unreadable: restore the file, or remove it to recover from the other members", path.display()))?;
+                stored.sessions.insert(session, claim_set);
             }
-            let starts = change.open_table(STARTS).map_err(told(&file))?;
-            for row in starts.iter().map_err(told(&file))? {
-                let (name, incarnation) = row.map_err(told(&file))?;
+            let starts = transaction.open_table(STARTS).map_err(with_path(&path))?;
+            for entry in starts.iter().map_err(with_path(&path))? {
+                let (name, incarnation) = entry.map_err(with_path(&path))?;
                 stored.starts.extend(
                     group.member(name.value()).map(|member| (member, Incarnation(incarnation.value()))),
                 );
             }
             stored
         };
-        change.commit().map_err(told(&file))?;
+        transaction.commit().map_err(with_path(&path))?;
         Ok((Store(Arc::new(database)), stored))
     }
 
-    /// Makes the memory of a member that has never kept anything.
+    /// Creates the store of a member that has never accepted a claim.
     ///
     /// # Errors
-    /// There is one already, or it can't be written.
+    /// There is a store already, or it can't be written.
     pub fn begin(dir: &str, group: &Group) -> Result<PathBuf, String> {
-        let file = file(dir);
-        if file.exists() {
-            return Err(format!("{}: is there already: this member has kept something", file.display()));
+        let path = store_path(dir);
+        if path.exists() {
+            return Err(format!(
+                "{}: the store already exists: this member may have accepted claims",
+                path.display()
+            ));
         }
         let (store, _) = Store::open(dir, group)?;
-        store.write(&[Note::Whole]).map_err(told(&file))?;
-        Ok(file)
+        store.write(&[Note::Whole]).map_err(with_path(&path))?;
+        Ok(path)
     }
 
-    /// Writes notes in order, with one sync; all of them or none.
+    /// Writes changes in order, with one sync; all of them or none.
     ///
     /// # Errors
-    /// They could not be written: nothing that hangs on them may be said.
-    pub fn write(&self, notes: &[Note]) -> Result<(), redb::Error> {
-        let change = self.0.begin_write()?;
+    /// They could not be written: no reply that depends on them may be sent.
+    pub fn write(&self, writes: &[Note]) -> Result<(), redb::Error> {
+        let transaction = self.0.begin_write()?;
         {
-            let mut sessions = change.open_table(SESSIONS)?;
-            let (mut starts, mut about) = (change.open_table(STARTS)?, change.open_table(ABOUT)?);
-            for note in notes {
-                match note {
-                    Note::Held(session, row) => drop(sessions.insert(session.0, row.as_slice())?),
+            let mut sessions = transaction.open_table(SESSIONS)?;
+            let (mut starts, mut metadata) =
+                (transaction.open_table(STARTS)?, transaction.open_table(METADATA)?);
+            for write in writes {
+                match write {
+                    Note::Held(session, entry) => drop(sessions.insert(session.0, entry.as_slice())?),
                     Note::Forgotten(session) => drop(sessions.remove(session.0)?),
                     Note::Start(name, incarnation) => drop(starts.insert(name.as_str(), incarnation.0)?),
-                    Note::Whole => drop(about.insert(WHOLE, "yes")?),
+                    Note::Whole => drop(metadata.insert(COMPLETE_KEY, "yes")?),
                 }
             }
         }
-        change.commit()?;
+        transaction.commit()?;
         Ok(())
     }
 
-    /// How many sessions are on disk.
+    /// Number of sessions on disk.
     ///
     /// # Errors
     /// They can't be read.
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -1,7 +1,9 @@
-use crate::frame::{self, Told, Who};
-use crate::link::Refused;
+//! Tests of the store, and of members that exchange frames over sockets or in memory.
+
+use crate::frame::{self, ClaimMessage, RecordMessage};
+use crate::link::Refusal;
 use crate::store::Note;
-use crate::{Config, Cores, Frame, HEAD, Peers, Store, Stored, greets, hello};
+use crate::{Config, Cores, Frame, HEAD, Peers, Store, Stored, check_hello, hello};
 use futures_util::future::join_all;
 use ivyward_replica::{Claim, ClaimNo, ClaimOutcome, ClaimSet, Group, Member};
 use ivyward_session::{Incarnation, SessionId};
@@ -19,67 +21,72 @@
     Group::new(names.iter().map(|name| (name.to_string(), 0)).collect(), 3)
 }
 
-fn held(no: u64) -> ClaimSet {
-    let claim = |no| Claim { by: Member(1), incarnation: Incarnation(5), no: ClaimNo(no) };
-    ClaimSet { claims: BTreeSet::from([claim(no)]), withdrawn: BTreeSet::from([claim(no + 1)]) }
+fn claim_set(claim_number: u64) -> ClaimSet {
+    let claim =
+        |claim_number| Claim { by: Member(1), incarnation: Incarnation(5), no: ClaimNo(claim_number) };
+    ClaimSet {
+        claims: BTreeSet::from([claim(claim_number)]),
+        withdrawn: BTreeSet::from([claim(claim_number + 1)]),
+    }
 }
 
 #[test]
-fn what_was_promised_is_read_again_and_nothing_else_is_taken_for_it() {
+fn store_returns_what_was_written_and_rejects_other_or_corrupt_files() {
     let dir = std::env::temp_dir().join(format!("ivyward-keeper-{}", std::process::id()));
-    let (name, abc) = (dir.to_string_lossy().into_owned(), group(&["a", "b", "c"]));
+    let (name, members_abc) = (dir.to_string_lossy().into_owned(), group(&["a", "b", "c"]));
     let open = |group: &Group| Store::open(&name, group);
-    let told = |came: Result<(Store, crate::store::Stored), String>| came.err().expect("an error");
-    // A folder that is new, or lost, is no memory.
-    assert!(!open(&abc).expect("a store").1.whole);
-    let wrong = Store::begin(&name, &abc).expect_err("is there already");
-    assert!(wrong.contains("keeper.redb: is there already"), "{wrong}");
-    fs::remove_dir_all(&dir).expect("a folder");
-    Store::begin(&name, &abc).expect("begun");
+    let open_error = |result: Result<(Store, crate::store::Stored), String>| result.err().expect("an error");
+    // A folder that is new, or was lost, is not a complete store.
+    assert!(!open(&members_abc).expect("a store").1.whole);
+    let error = Store::begin(&name, &members_abc).expect_err("the store exists");
+    assert!(error.contains("keeper.redb: the store already exists"), "{error}");
+    fs::remove_dir_all(&dir).expect("folder removed");
+    Store::begin(&name, &members_abc).expect("store created");
     {
-        let (store, stored) = open(&abc).expect("a store");
+        let (store, stored) = open(&members_abc).expect("a store");
         assert!(stored.whole && stored.sessions.is_empty());
-        let notes = [
-            Note::held(&abc, SessionId(1), &held(1)),
-            Note::held(&abc, SessionId(2), &held(2)),
-            Note::held(&abc, SessionId(1), &held(7)),
+        let writes = [
+            Note::claim_set(&members_abc, SessionId(1), &claim_set(1)),
+            Note::claim_set(&members_abc, SessionId(2), &claim_set(2)),
+            Note::claim_set(&members_abc, SessionId(1), &claim_set(7)),
             Note::Start("b".into(), Incarnation(9)),
         ];
-        store.write(&notes).expect("written");
-        store.write(&[Note::Forgotten(SessionId(2))]).expect("written");
+        store.write(&writes).expect("write succeeds");
+        store.write(&[Note::Forgotten(SessionId(2))]).expect("write succeeds");
     }
-    let (store, stored) = open(&abc).expect("a store");
-    assert_eq!(stored.sessions.into_iter().collect::<Vec<_>>(), [(SessionId(1), held(7))]);
+    let (store, stored) = open(&members_abc).expect("a store");
+    assert_eq!(stored.sessions.into_iter().collect::<Vec<_>>(), [(SessionId(1), claim_set(7))]);
     assert_eq!(stored.starts.into_iter().collect::<Vec<_>>(), [(Member(1), Incarnation(9))]);
     drop(store);
-    let wrong = told(open(&group(&["a", "b", "d"])));
-    assert!(wrong.contains("keeper.redb: it was written for another: group"), "{wrong}");
-    // Another start may hold it open, or the file be spoilt: never an empty memory in its place.
-    let held_open = open(&abc).expect("a store");
-    assert!(told(open(&abc)).contains("keeper.redb"));
-    drop(held_open);
-    let file = dir.join("keeper.redb");
-    let whole = fs::read(&file).expect("a file");
-    for spoilt in [vec![0xff; whole.len()], whole[..64].to_vec()] {
-        fs::write(&file, spoilt).expect("written");
-        assert!(told(open(&abc)).contains("keeper.redb"));
+    let error = open_error(open(&group(&["a", "b", "d"])));
+    assert!(error.contains("keeper.redb: the store belongs to another group or build: group"), "{error}");
+    // Guards against a store that is open elsewhere, or is corrupt, being replaced with an empty one.
+    let open_store = open(&members_abc).expect("a store");
+    assert!(open_error(open(&members_abc)).contains("keeper.redb"));
+    drop(open_store);
+    let path = dir.join("keeper.redb");
+    let intact = fs::read(&path).expect("a file");
+    for corrupt in [vec![0xff; intact.len()], intact[..64].to_vec()] {
+        fs::write(&path, corrupt).expect("write succeeds");
+        assert!(open_error(open(&members_abc)).contains("keeper.redb"));
     }
     fs::remove_dir_all(&dir).ok();
 }
 
-/// More sessions than frames may wait for one member.
-const MANY: u128 = 1500;
+/// More sessions than the queue of a path has places for frames.
+const SESSION_COUNT: u128 = 1500;
 
 #[test]
-fn one_without_memory_is_told_more_than_fits_into_a_queue() {
+fn recovery_transfers_more_entries_than_a_path_queue_holds() {
     let dir = std::env::temp_dir().join(format!("ivyward-many-{}", std::process::id()));
     let names = ["a", "b", "c"];
-    let at = |i: usize| SocketAddr::from(([127, 62, (std::process::id() % 250) as u8, i as u8 + 1], 9001));
+    let address =
+        |i: usize| SocketAddr::from(([127, 62, (std::process::id() % 250) as u8, i as u8 + 1], 9001));
     let config = |i: usize| Config {
         group: group(&names),
         name: names[i].into(),
-        listen: at(i),
-        others: (0..3).map(|other| (names[other].to_string(), at(other))).collect(),
+        listen: address(i),
+        others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
         word: Duration::from_secs(5),
         span: Duration::from_secs(600),
         connect: Duration::from_millis(250),
@@ -90,181 +97,221 @@
         let mut peers = vec![];
         for i in 0..2 {
             let config = config(i);
-            Store::begin(&config.state_dir, &config.group).expect("begun");
+            Store::begin(&config.state_dir, &config.group).expect("store created");
             peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
-        let claims = (1..=MANY).map(|session| {
+        let claims = (1..=SESSION_COUNT).map(|session| {
             let peers = peers[0].clone();
             async move {
-                let (mut claimed, word) = peers.claim(SessionId(session), Duration::from_secs(5)).await;
+                let (mut claimed, outcome) = peers.claim(SessionId(session), Duration::from_secs(5)).await;
                 claimed.goes_out();
-                word
+                outcome
             }
         });
-        assert!(join_all(claims).await.into_iter().all(|word| word == ClaimOutcome::Granted));
-        let late = Peers::start(config(2), Incarnation(2)).await.expect("a member");
-        let end = Instant::now() + Duration::from_secs(20);
-        while late.page().await["catching_up"] == true {
-            assert!(Instant::now() < end, "never caught up: {}", late.page().await);
+        assert!(join_all(claims).await.into_iter().all(|outcome| outcome == ClaimOutcome::Granted));
+        let recovering = Peers::start(config(2), Incarnation(2)).await.expect("a member");
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while recovering.page().await["catching_up"] == true {
+            assert!(Instant::now() < deadline, "recovery did not finish: {}", recovering.page().await);
             sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(late.page().await["sessions_kept"], MANY as u64);
-        let (_, word) = late.claim(SessionId(7), Duration::from_secs(1)).await;
-        assert_eq!(word, ClaimOutcome::Taken);
+        assert_eq!(recovering.page().await["sessions_kept"], SESSION_COUNT as u64);
+        let (_, outcome) = recovering.claim(SessionId(7), Duration::from_secs(1)).await;
+        assert_eq!(outcome, ClaimOutcome::Taken);
     });
     fs::remove_dir_all(&dir).ok();
 }
 
-/// A member by hand: what it writes on one connection, and what it is told there until that is closed, two seconds at most.
-async fn says(to: SocketAddr, bytes: &[u8]) -> Option<Frame> {
+/// A simulated member: writes bytes on one connection, and returns the first frame received before it
+/// closes or two seconds have passed.
+async fn exchange(to: SocketAddr, bytes: &[u8]) -> Option<Frame> {
     let mut stream = TcpStream::connect(to).await.expect("a connection");
     stream.write_all(bytes).await.ok();
-    let mut came = vec![];
-    timeout(Duration::from_secs(2), stream.read_to_end(&mut came)).await.ok();
-    came.get(HEAD..).and_then(|frame| Frame::decode(frame).ok()).filter(|_| came.len() > HEAD)
+    let mut received = vec![];
+    timeout(Duration::from_secs(2), stream.read_to_end(&mut received)).await.ok();
+    received.get(HEAD..).and_then(|frame| Frame::decode(frame).ok()).filter(|_| received.len() > HEAD)
 }
 
-fn written(frames: &[Frame]) -> Vec<u8> {
-    let framed = |frame: &Frame| {
+fn encode_frames(frames: &[Frame]) -> Vec<u8> {
+    let encode_frame = |frame: &Frame| {
         let bytes = frame.encode_to_vec();
         [(bytes.len() as u32).to_be_bytes().to_vec(), bytes].concat()
     };
-    frames.iter().flat_map(framed).collect()
+    frames.iter().flat_map(encode_frame).collect()
 }
 
 #[test]
-fn whoever_says_what_makes_no_sense_is_named_and_others_are_served() {
+fn invalid_peers_are_refused_by_name_and_do_not_disturb_others() {
     let dir = std::env::temp_dir().join(format!("ivyward-odd-{}", std::process::id()));
     let names = ["a", "b", "c"];
-    let at = |i: usize| SocketAddr::from(([127, 61, (std::process::id() % 250) as u8, i as u8 + 1], 9001));
+    let address =
+        |i: usize| SocketAddr::from(([127, 61, (std::process::id() % 250) as u8, i as u8 + 1], 9001));
     let config = |i: usize| Config {
         group: group(&names),
         name: names[i].into(),
-        listen: at(i),
-        others: (0..3).map(|other| (names[other].to_string(), at(other))).collect(),
+        listen: address(i),
+        others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
         word: Duration::from_millis(500),
         span: Duration::from_secs(600),
         connect: Duration::from_millis(250),
         state_dir: dir.join(names[i]).to_string_lossy().into_owned(),
     };
-    let (ours, c) = (group(&names), Member(2));
-    let good = hello(&ours, c, Incarnation(3));
-    // What each is refused for; and whether it is told the group as it is here.
+    let (ours, member_c) = (group(&names), Member(2));
+    let valid_hello = hello(&ours, member_c, Incarnation(3));
+    // Each hello and why it is refused; only a group mismatch is answered with the group's text.
     let other = group(&["a", "b", "d"]);
     let cases = [
-        ("another list", hello(&other, Member(0), Incarnation(1)), Refused::Group("a".into())),
-        ("another digest", Frame { digest: vec![1, 2, 3], ..good.clone() }, Refused::Group("c".into())),
-        ("an older revision", Frame { revision: 2, ..good.clone() }, Refused::Revision("c".into(), 2)),
-        ("no member", Frame { name: "zed".into(), ..good.clone() }, Refused::NoMember("zed".into())),
-        ("no hello", Frame { kind: frame::DIGEST, ..good.clone() }, Refused::NoHello),
+        ("another group", hello(&other, Member(0), Incarnation(1)), Refusal::Group("a".into())),
+        (
+            "another digest",
+            Frame { digest: vec![1, 2, 3], ..valid_hello.clone() },
+            Refusal::Group("c".into()),
+        ),
+        ("an older revision", Frame { revision: 2, ..valid_hello.clone() }, Refusal::Revision("c".into(), 2)),
+        (
+            "not a member",
+            Frame { name: "zed".into(), ..valid_hello.clone() },
+            Refusal::NoMember("zed".into()),
+        ),
+        ("no hello", Frame { kind: frame::DIGEST, ..valid_hello.clone() }, Refusal::NoHello),
     ];
-    for (what, first, refused) in &cases {
-        let greeted = greets(&ours, ours.digest(), first.encode_to_vec().as_slice().into());
-        assert_eq!(greeted.as_ref().err(), Some(refused), "{what}");
+    for (case, first, refusal) in &cases {
+        let checked = check_hello(&ours, ours.digest(), first.encode_to_vec().as_slice().into());
+        assert_eq!(checked.as_ref().err(), Some(refusal), "{case}");
     }
-    assert_eq!(greets(&ours, ours.digest(), good.encode_to_vec().as_slice().into()), Ok(c));
-    let what = frame::difference(&ours.text(), &other.text());
-    assert_eq!(what, "here \"\\\"c\\\" zone 0\", there \"\\\"d\\\" zone 0\"");
+    assert_eq!(
+        check_hello(&ours, ours.digest(), valid_hello.encode_to_vec().as_slice().into()),
+        Ok(member_c)
+    );
+    let difference = frame::describe_difference(&ours.text(), &other.text());
+    assert_eq!(difference, "here \"\\\"c\\\" zone 0\", there \"\\\"d\\\" zone 0\"");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let mut peers = vec![];
         for i in 0..2 {
             let config = config(i);
-            Store::begin(&config.state_dir, &config.group).expect("begun");
+            Store::begin(&config.state_dir, &config.group).expect("store created");
             peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
-        for (what, first, refused) in &cases {
-            let told = says(at(0), &written(std::slice::from_ref(first))).await;
-            let differs = told.filter(|told| told.kind == frame::DIFFERS).map(|told| told.group);
-            assert_eq!(differs, matches!(refused, Refused::Group(_)).then(|| ours.text()), "{what}");
+        for (case, first, refusal) in &cases {
+            let reply = exchange(address(0), &encode_frames(std::slice::from_ref(first))).await;
+            let reported_group = reply.filter(|reply| reply.kind == frame::DIFFERS).map(|reply| reply.group);
+            assert_eq!(reported_group, matches!(refusal, Refusal::Group(_)).then(|| ours.text()), "{case}");
         }
-        // Beside a member that floods with all that makes no sense, in frames and out of them, others are served.
-        let odd = [
-            written(&[good.clone(), Frame { kind: frame::CLAIM, ..Frame::default() }]),
-            written(&[
-                good.clone(),
-                Frame { kind: frame::HEADS, starts: vec![Who::default()], ..Frame::default() },
+        // Claims succeed while a member floods another with invalid or irrelevant frames and malformed
+        // data.
+        let invalid_streams = [
+            encode_frames(&[valid_hello.clone(), Frame { kind: frame::CLAIM, ..Frame::default() }]),
+            encode_frames(&[
+                valid_hello.clone(),
+                Frame { kind: frame::HEADS, starts: vec![ClaimMessage::default()], ..Frame::default() },
             ]),
-            [written(std::slice::from_ref(&good)), vec![0xff; 100_000]].concat(),
-            [written(std::slice::from_ref(&good)), vec![0, 0, 0, 3, 0xff, 0xff, 0xff]].concat(),
-            written(&std::iter::once(good.clone()).chain((0..5000).map(lies)).collect::<Vec<_>>()),
+            [encode_frames(std::slice::from_ref(&valid_hello)), vec![0xff; 100_000]].concat(),
+            [encode_frames(std::slice::from_ref(&valid_hello)), vec![0, 0, 0, 3, 0xff, 0xff, 0xff]].concat(),
+            encode_frames(
+                &std::iter::once(valid_hello.clone())
+                    .chain((0..5000).map(irrelevant_frame))
+                    .collect::<Vec<_>>(),
+            ),
         ];
-        let floods = odd.iter().cycle().take(40).map(|bytes| says(at(0), bytes));
+        let floods = invalid_streams.iter().cycle().take(40).map(|bytes| exchange(address(0), bytes));
         let claims = (1..=50).map(|session| {
             let peers = peers[1].clone();
             async move { peers.claim(SessionId(session), Duration::from_secs(5)).await.1 }
         });
-        let (_, words) = tokio::join!(join_all(floods), join_all(claims));
-        assert!(words.iter().all(|word| *word == ClaimOutcome::Granted), "{words:?}");
-        // What is told in common still comes from one to the other.
+        let (_, outcomes) = tokio::join!(join_all(floods), join_all(claims));
+        assert!(outcomes.iter().all(|outcome| *outcome == ClaimOutcome::Granted), "{outcomes:?}");
+        // Replicated records still reach the other member.
         peers[0].revoke(SessionId(7));
-        let end = Instant::now() + Duration::from_secs(5);
+        let deadline = Instant::now() + Duration::from_secs(5);
         while !peers[1].is_revoked(SessionId(7)) {
-            assert!(Instant::now() < end, "{}", peers[1].page().await);
+            assert!(Instant::now() < deadline, "{}", peers[1].page().await);
             sleep(Duration::from_millis(10)).await;
         }
     });
     fs::remove_dir_all(&dir).ok();
 }
 
-/// Digests of nothing, and rows that nobody asked for.
-fn lies(i: u64) -> Frame {
+/// Digests that match nothing, and ends of recoveries that nobody requested.
+fn irrelevant_frame(i: u64) -> Frame {
     let kind = if i.is_multiple_of(2) { frame::DIGEST } else { frame::RECOVERY_DONE };
     Frame { kind, count: i, incarnation: u64::MAX, ..Frame::default() }
 }
 
-/// A member's cores on their own, and what another tells it.
+/// Tests one member's protocol state on its own, with frames from another.
 #[test]
-fn what_is_told_already_for_long_enough_is_not_told_anew() {
-    let (span, word) = (Duration::from_secs(100), Duration::from_millis(500));
+fn revocations_known_for_long_enough_are_not_published_again() {
+    let (retention, tick_interval) = (Duration::from_secs(100), Duration::from_millis(500));
     let group = group(&["a", "b", "c"]);
-    // What another told, how long it was to be held then, whether it is told here at once, and half a span later.
+    // Remaining lifetime of a record that another member sent; whether the session is published here at
+    // once, and half a retention later.
     let cases = [
         (None, true, true),
         (Some(Duration::from_secs(100)), false, true),
         (Some(Duration::from_secs(80)), false, true),
         (Some(Duration::from_secs(60)), true, true),
     ];
-    for (heard, at_once, later) in cases {
+    for (known_remaining, published_at_once, published_later) in cases {
         let mut now = Duration::from_secs(1);
-        let mut cores =
-            Cores::new(group.clone(), Member(0), Incarnation(2), word, span, now, Stored::default());
-        cores.start(now);
-        cores.out.frames.clear();
-        let tells = |cores: &mut Cores, now| {
-            cores.revoke(now, SessionId(7));
-            let frames: Vec<_> = cores.out.frames.drain(..).collect();
+        let mut core = Cores::new(
+            group.clone(),
+            Member(0),
+            Incarnation(2),
+            tick_interval,
+            retention,
+            now,
+            Stored::default(),
+        );
+        core.start(now);
+        core.out.frames.clear();
+        let published_records = |core: &mut Cores, now| {
+            core.revoke(now, SessionId(7));
+            let frames: Vec<_> = core.out.frames.drain(..).collect();
             frames.iter().filter(|(_, frame)| frame.kind == frame::RECORDS).count()
         };
-        // Nothing is told before it is known what others know.
-        assert_eq!(tells(&mut cores, now), 0, "{heard:?}");
-        if let Some(left) = heard {
-            let claim = Some(Who { name: "b".into(), incarnation: 1, no: 0 });
-            let left_ms = left.as_millis() as u64;
-            let told = Told { no: 0, left_ms, kind: frame::REVOKED, session: 7_u128.to_be_bytes().into() };
+        // Nothing is published before it is known what other members hold.
+        assert_eq!(published_records(&mut core, now), 0, "{known_remaining:?}");
+        if let Some(remaining) = known_remaining {
+            let claim = Some(ClaimMessage { name: "b".into(), incarnation: 1, no: 0 });
+            let remaining_ms = remaining.as_millis() as u64;
+            let record = RecordMessage {
+                no: 0,
+                remaining_ms,
+                kind: frame::RECORD_KIND_REVOKED,
+                session: 7_u128.to_be_bytes().into(),
+            };
             let records =
-                Frame { kind: frame::RECORDS, claim, count: 1, records: vec![told], ..Frame::default() };
-            cores.hears(now, Member(1), &records).expect("it makes sense");
-            cores.out.frames.clear();
+                Frame { kind: frame::RECORDS, claim, count: 1, records: vec![record], ..Frame::default() };
+            core.hears(now, Member(1), &records).expect("valid frame");
+            core.out.frames.clear();
         }
-        cores.hears(now, Member(1), &Frame { kind: frame::IN_SYNC, ..Frame::default() });
-        let told = cores.out.frames.drain(..).filter(|(_, frame)| frame.kind == frame::RECORDS).count();
-        assert_eq!(told > 0, at_once, "{heard:?}");
-        // Said again at once it isn't told twice.
-        assert_eq!(tells(&mut cores, now), 0, "{heard:?}");
-        now += span / 2;
-        assert_eq!(tells(&mut cores, now) > 0, later, "{heard:?}, half a span later");
-        // At no moment it is over here.
-        assert!(cores.revoked.remaining(now, &SessionId(7)).is_some_and(|left| left == span), "{heard:?}");
+        core.hears(now, Member(1), &Frame { kind: frame::IN_SYNC, ..Frame::default() });
+        let published_count =
+            core.out.frames.drain(..).filter(|(_, frame)| frame.kind == frame::RECORDS).count();
+        assert_eq!(published_count > 0, published_at_once, "{known_remaining:?}");
+        // Repeating the revocation at once does not publish it twice.
+        assert_eq!(published_records(&mut core, now), 0, "{known_remaining:?}");
+        now += retention / 2;
+        assert_eq!(
+            published_records(&mut core, now) > 0,
+            published_later,
+            "{known_remaining:?}, half a retention later"
+        );
+        // The session stays revoked here throughout.
+        assert!(
+            core.revoked.remaining(now, &SessionId(7)).is_some_and(|remaining| remaining == retention),
+            "{known_remaining:?}"
+        );
     }
-    // Nobody answers: it is told all the same, after some turns.
+    // Without any reply it is published after a few ticks.
     let mut now = Duration::ZERO;
-    let mut cores = Cores::new(group, Member(0), Incarnation(1), word, span, now, Stored::default());
-    cores.start(now);
-    cores.revoke(now, SessionId(7));
+    let mut core =
+        Cores::new(group, Member(0), Incarnation(1), tick_interval, retention, now, Stored::default());
+    core.start(now);
+    core.revoke(now, SessionId(7));
     (0..4).for_each(|_| {
-        now += word;
-        cores.turn(now);
+        now += tick_interval;
+        core.turn(now);
     });
-    assert_eq!(cores.revoked.len(), 1);
+    assert_eq!(core.revoked.len(), 1);
 }
