--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,5 +1,5 @@
 //! Communication between managers: sockets, clock and disk around `ivyward_replica` and
-//! `ivyward_overlay`. One task owns a member's [`Cores`]; received frames and finished writes reach it
+//! `ivyward_overlay`. One task owns a member's protocol state; received frames and finished writes reach it
 //! through one queue.
 
 mod driver;
--- a/crates/peers/src/member_core.rs
+++ b/crates/peers/src/member_core.rs
@@ -45,7 +45,7 @@
     recovery_frames: Vec<Frame>,
     /// Frames from this member to itself.
     self_frames: VecDeque<Frame>,
-    /// Writes in order, and whether each counts for [`Cores::stored`].
+    /// Writes in order, and whether the driver reports each of them back once it is on disk.
     pub notes: VecDeque<(Note, bool)>,
     /// Outcomes of claims.
     pub decided: Vec<(ClaimNo, ClaimOutcome)>,
@@ -291,7 +291,7 @@
         self.handle_self_frames(now);
     }
 
-    /// Whether claims or withdrawals wait for replies; if so, [`Cores::retry`] is to be called
+    /// Whether claims or withdrawals wait for replies; if so, [`Self::retry`] is to be called
     /// [`RETRIES_PER_TIMEOUT`] times per majority timeout.
     pub fn has_open_claims(&self) -> bool {
         self.proposer.open_counts() != (0, 0)
