--- a/crates/peers/src/member_core.rs
+++ b/crates/peers/src/member_core.rs
@@ -208,9 +208,9 @@
 }
 
 impl Cores {
-    /// `incarnation`: this start's number, greater than all earlier ones. `tick_interval`: how often
-    /// [`Cores::turn`] is called. `retention`: how long claims and records are held. `stored`: what the
-    /// store contained.
+    /// `incarnation`: this start's number, greater than all earlier ones. `tick_interval`: how often the
+    /// driver ticks. `retention`: how long claims and records are held. `stored`: what the store
+    /// contained.
     pub fn new(
         group: Group, me: Member, incarnation: Incarnation, tick_interval: Duration, retention: Duration,
         now: Duration, stored: Stored,
