--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -120,7 +120,8 @@
     pub fn tick(&mut self, now: Duration) -> Option<Member> {
         self.tick_count += 1;
         let neighbours = self.neighbours();
-        // At most every second tick goes to a retry while any neighbour is left, however many members are unreachable.
+        // While any neighbour is left, at most every second tick goes to a retry, however many members
+        // are unreachable.
         let due_member =
             self.due_retry(now).filter(|_| self.tick_count.is_multiple_of(2) || neighbours.is_empty());
         let next = due_member.or_else(|| {
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -14,17 +14,29 @@
 /// Length of the header of each frame, which is the frame's length.
 pub const HEAD: usize = 4;
 
+/// The first frame on each connection: who sends, and for which group and revision.
 pub const HELLO: u32 = 1;
+/// Asks an acceptor to accept a claim.
 pub const CLAIM: u32 = 2;
+/// The claim is accepted and on disk.
 pub const ACCEPTED: u32 = 3;
+/// The claim is not accepted.
 pub const REJECTED: u32 = 4;
+/// Asks an acceptor to withdraw a claim.
 pub const WITHDRAW: u32 = 5;
+/// The claim is withdrawn.
 pub const WITHDRAWN: u32 = 6;
+/// Asks a member for the claims that the sender may have lost.
 pub const REQUEST_RECOVERY: u32 = 7;
+/// One session of the reply.
 pub const RECOVERY_ENTRY: u32 = 8;
+/// The end of the reply, with the number of entries.
 pub const RECOVERY_DONE: u32 = 9;
+/// Digest of the replicated records that the sender holds.
 pub const DIGEST: u32 = 10;
+/// The number after the last record of each log that the sender holds.
 pub const HEADS: u32 = 11;
+/// Records of one log.
 pub const RECORDS: u32 = 12;
 /// `IN_SYNC` replies to a digest: the same records are held here. `DIFFERS` replies to a hello: the
 /// group is configured differently here, and this is it.
@@ -37,22 +49,31 @@
 /// A frame; which fields are used depends on its kind.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
+    /// Kind of frame, such as `HELLO`.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
+    /// Id of the session.
     #[prost(bytes = "vec", tag = "2")]
     pub session: Vec<u8>,
+    /// The claim; in records, their log and first number.
     #[prost(message, optional, tag = "3")]
     pub claim: Option<ClaimMessage>,
+    /// The incarnation of the sender, or of the member in recovery.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
+    /// Whether a rejection is because another claim is accepted.
     #[prost(bool, tag = "5")]
     pub taken: bool,
+    /// Number of recovery entries, a digest, or the number after the last of the records.
     #[prost(uint64, tag = "6")]
     pub count: u64,
+    /// Accepted claims, in a recovery entry.
     #[prost(message, repeated, tag = "7")]
     pub claims: Vec<ClaimMessage>,
+    /// Withdrawn claims, in a recovery entry.
     #[prost(message, repeated, tag = "8")]
     pub withdrawn: Vec<ClaimMessage>,
+    /// Starts without stable storage, or the heads of logs.
     #[prost(message, repeated, tag = "9")]
     pub starts: Vec<ClaimMessage>,
     /// Name of the sender, in a hello.
@@ -61,11 +82,13 @@
     /// The group's configuration as text, sent only on a mismatch.
     #[prost(string, tag = "11")]
     pub group: String,
+    /// Protocol revision of the sender.
     #[prost(uint32, tag = "12")]
     pub revision: u32,
     /// Whether this is a reply to the receiver's own heads.
     #[prost(bool, tag = "13")]
     pub is_reply: bool,
+    /// Replicated records.
     #[prost(message, repeated, tag = "14")]
     pub records: Vec<RecordMessage>,
     /// Digest of the group's configuration.
@@ -76,12 +99,16 @@
 /// A replicated record: its number, its remaining lifetime and its value.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RecordMessage {
+    /// Number in its log.
     #[prost(uint64, tag = "1")]
     pub no: u64,
+    /// Remaining lifetime in milliseconds.
     #[prost(uint64, tag = "2")]
     pub remaining_ms: u64,
+    /// Kind of record.
     #[prost(uint32, tag = "3")]
     pub kind: u32,
+    /// Id of the session that is revoked.
     #[prost(bytes = "vec", tag = "4")]
     pub session: Vec<u8>,
 }
@@ -89,10 +116,13 @@
 /// A claim; without a number, a start of a member; in heads and records, a log with a record number.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimMessage {
+    /// Name of the member.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// Start of the member.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
+    /// Number of the claim or record.
     #[prost(uint64, tag = "3")]
     pub no: u64,
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -22,7 +22,9 @@
 
 /// Configuration of a group of managers and of this one's membership.
 pub struct Config {
+    /// The group.
     pub group: Group,
+    /// Name of this member.
     pub name: String,
     /// The address that this member listens on, and those of the other members.
     pub listen: SocketAddr,
@@ -33,6 +35,7 @@
     pub span: Duration,
     /// How long opening a connection may take.
     pub connect: Duration,
+    /// Folder of the store.
     pub state_dir: String,
 }
 
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -63,15 +63,22 @@
 /// Why a connection is refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
+    /// The first frame is not a hello.
     #[error("the first frame is not a hello: another program connects to this port")]
     NoHello,
-    #[error("{0:?} uses protocol revision {1}, this manager {here}: run the same build on both", here = frame::REVISION)]
+    /// The member speaks another protocol revision.
+    #[error(
+        "{0:?} uses protocol revision {1}, this manager {here}: run the same build on both",
+        here = frame::REVISION
+    )]
     Revision(String, u32),
     /// Guards against majorities that are counted over different groups.
     #[error("{0:?} is configured for another group: give both the same members and keepers")]
     Group(String),
+    /// The name is not in the group.
     #[error("{0:?} is not a member: add it to peers.member, or correct its manager.name")]
     NoMember(String),
+    /// A frame is malformed or invalid.
     #[error(
         "{0:?} sent a frame that is malformed or invalid: run the same build on both, or check its memory"
     )]
--- a/crates/peers/src/member_core.rs
+++ b/crates/peers/src/member_core.rs
@@ -192,10 +192,15 @@
 pub struct Cores {
     group: Group,
     me: Member,
+    /// This start's number.
     pub incarnation: Incarnation,
+    /// Stores and answers claims.
     pub acceptor: Acceptor,
+    /// Makes claims.
     pub proposer: Proposer,
+    /// Sessions that are revoked.
     pub revoked: ReplicatedSet<SessionId>,
+    /// Chooses the neighbours.
     pub overlay: Overlay,
     tick_count: u64,
     retention: Duration,
@@ -204,6 +209,7 @@
     deferred: Option<Vec<SessionId>>,
     /// When a frame from each member was last received.
     last_heard_at: BTreeMap<Member, Duration>,
+    /// The requested actions.
     pub out: Outbox,
 }
 
--- a/crates/peers/src/path.rs
+++ b/crates/peers/src/path.rs
@@ -42,12 +42,15 @@
 
 /// What all paths of a member share.
 pub struct PathContext {
+    /// First frame on each connection.
     pub hello: Frame,
+    /// The group, for names and for the comparison after a mismatch.
     pub group: Group,
     /// How long opening a connection may take.
     pub connect_timeout: Duration,
     /// How long a path may be without frames before it closes.
     pub idle_timeout: Duration,
+    /// Counters over all paths.
     pub sent: SendCounters,
 }
 
@@ -67,10 +70,12 @@
 }
 
 impl Paths {
+    /// Creates the paths of a member; none is open yet.
     pub fn new(context: Rc<PathContext>, peers: Peers, addresses: BTreeMap<Member, SocketAddr>) -> Paths {
         Paths { context, peers, addresses, open: BTreeMap::new() }
     }
 
+    /// What all paths share.
     pub fn context(&self) -> &PathContext {
         &self.context
     }
@@ -123,6 +128,7 @@
 enum ConnectionEnd {
     /// There was no frame to send for the idle timeout.
     Idle,
+    /// The connection failed.
     Broken,
 }
 
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -10,8 +10,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+/// Claims of each session, encoded as recovery entries.
 const SESSIONS: TableDefinition<u128, &[u8]> = TableDefinition::new("sessions");
+/// Latest start without stable storage of each member, by name.
 const STARTS: TableDefinition<&str, u64> = TableDefinition::new("starts");
+/// What the store is for.
 const METADATA: TableDefinition<&str, &str> = TableDefinition::new("about");
 /// Keys of the metadata table: whether the stored claims are complete, for which group they were
 /// written, and in which format revision.
@@ -24,9 +27,13 @@
 
 /// One change, written together with others in one sync.
 pub enum Note {
+    /// Sets the claims of a session.
     Held(SessionId, Vec<u8>),
+    /// Removes a session.
     Forgotten(SessionId),
+    /// Sets the latest start without stable storage of a member.
     Start(String, Incarnation),
+    /// Marks the stored claims as complete.
     Whole,
 }
 
@@ -40,8 +47,11 @@
 /// What the store contained.
 #[derive(Default)]
 pub struct Stored {
+    /// Whether the stored claims are complete.
     pub whole: bool,
+    /// The claims of each session.
     pub sessions: BTreeMap<SessionId, ClaimSet>,
+    /// The latest start without stable storage of each member.
     pub starts: BTreeMap<Member, Incarnation>,
 }
 
--- a/crates/replica/src/replicated_set.rs
+++ b/crates/replica/src/replicated_set.rs
@@ -27,14 +27,18 @@
 pub struct Log {
     /// The member that adds the records.
     pub of: Member,
+    /// The start of that member.
     pub incarnation: Incarnation,
 }
 
 /// A record with its number and its remaining lifetime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record<R> {
+    /// Number in its log.
     pub no: u64,
+    /// Remaining lifetime.
     pub remaining: Duration,
+    /// The value that the record adds to the set.
     pub value: R,
 }
 
