--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use ivyward::interface::{LoadReport, PackageId, ServerId, ServerUpdate, TitleId, ViewingId};
 use ivyward_edge::{Purpose, truncate_for_log};
-use ivyward_peers::Claimed;
+use ivyward_peers::ClaimGuard;
 use ivyward_replica::ClaimOutcome;
 use ivyward_session::{AttemptResult, EndReason, Incarnation, SessionId, TuneIn};
 use rand::RngExt;
@@ -114,7 +114,7 @@
             None => match Connection::open(address, shell.0.connect).await {
                 Ok(connection) => connection,
                 Err(_) if allowed => {
-                    claimed.iter_mut().for_each(|claimed: &mut Claimed| claimed.never_ran(no));
+                    claimed.iter_mut().for_each(|claimed: &mut ClaimGuard| claimed.mark_never_ran(no));
                     return (Some(AttemptResult::NotWritten), none);
                 }
                 Err(_) => return (Some(AttemptResult::NotConnected), none),
@@ -155,7 +155,7 @@
                 return (None, none);
             }
             // From here on a server may run it, whatever becomes of this task.
-            no = claimed.as_mut().and_then(Claimed::goes_out);
+            no = claimed.as_mut().and_then(ClaimGuard::mark_sent);
         }
         let inner = &shell.0;
         let rates = inner.rates.get(package.0).map_or(&[][..], |(_, _, rates)| rates);
@@ -174,7 +174,7 @@
             // A connection that had been closed while it stood idle: nothing went out, so a fresh one is no second try.
             Err(Failed::NotWritten) if again => continue,
             Err(Failed::NotWritten) => {
-                claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
+                claimed.iter_mut().for_each(|claimed| claimed.mark_never_ran(no));
                 return (Some(AttemptResult::NotWritten), none);
             }
             Err(Failed::Broke) => return (Some(AttemptResult::ConnectionBroken), none),
@@ -188,7 +188,7 @@
         let attempt_result = match status {
             StatusCode::CREATED => AttemptResult::Playing,
             _ if never_ran => {
-                claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
+                claimed.iter_mut().for_each(|claimed| claimed.mark_never_ran(no));
                 AttemptResult::Refused
             }
             _ => AttemptResult::ServerError,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -153,7 +153,7 @@
     if !settings.has("peers") {
         return Err(format!("{}: peers: is missing: this manager keeps nothing for others", file.display()));
     }
-    let made = Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
+    let made = Store::create(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
     println!("{}: an empty memory", made.display());
     Ok(())
 }
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -155,11 +155,11 @@
     let of = |field: &str| rungs.iter().map(|rung| rung.number(field)).collect();
     let package = |package: &Section| Package {
         value: package.number("value"),
-        target: package.duration("join_target_s"),
+        set_up_target: package.duration("join_target_s"),
         paid_once: package.boolean("once"),
-        scale: package.number("scale"),
-        floor: package.count("floor"),
-        top: package.count("top").min(rungs.len() - 1),
+        rate_scale: package.number("scale"),
+        floor_rung: package.count("floor"),
+        top_rung: package.count("top").min(rungs.len() - 1),
         seats: package.count("seats"),
     };
     let streams: Vec<_> = settings.sections("kind").iter().map(|kind| kind.number("streams")).collect();
@@ -167,25 +167,25 @@
         (cold.duration("warm_up_s"), cold.number("from"), cold.number("multiple"));
     let fall = cold.duration("fall_s");
     let zone = ZoneId(manager.count("zone") as u8);
-    let prices = Prices { cross: network.number("cross"), handshake: network.number("handshake") };
+    let prices = Prices { cross_zone: network.number("cross"), handshake: network.number("handshake") };
     Manager::new(
         (manager.integer("seed"), siblings, zone, prices),
-        Ladder { rates: of("rate_kb"), worths: of("worth"), switch: ladder.number("switch_s") },
+        Ladder { rates_kb: of("rate_kb"), worths: of("worth"), switch_cost_s: ladder.number("switch_s") },
         Network {
-            places: network.count("places") as u32,
-            racks: network.count("racks") as u32,
-            links_kb: network.number("links_kb"),
-            weight_kb: network.number("weight_kb"),
+            cell_count: network.count("places") as u32,
+            rack_count: network.count("racks") as u32,
+            total_link_kb: network.number("links_kb"),
+            kb_per_weight: network.number("weight_kb"),
             uplink_kb: network.number("uplink_kb"),
             configured_report_interval: network.duration("told_s"),
             report_delay: network.duration("seen_s"),
         },
         SlowStart::new(siblings, &streams, warm_up, from, multiple, fall),
         Limits {
-            tune_ins: limits.count("tune_ins") as u16,
-            call_off: limits.boolean("call_off"),
-            probe: limits.boolean("probe").then(|| limits.number("probe_price")),
-            come_back: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
+            max_tune_ins: limits.count("tune_ins") as u16,
+            may_cancel: limits.boolean("call_off"),
+            probe_price: limits.boolean("probe").then(|| limits.number("probe_price")),
+            max_come_back_after: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
         },
         ration(settings).map(|(span, free, share)| RetryBudget::new(span, free, share)),
         settings.sections("package").iter().map(package).collect(),
@@ -243,14 +243,14 @@
     Some(ivyward_peers::Config {
         group: group(settings),
         name: manager.text("name"),
-        listen: peers.text("listen").parse().ok()?,
+        listen_address: peers.text("listen").parse().ok()?,
         others: peers.sections("member").iter().filter_map(address).collect(),
-        word: peers.duration("word_s"),
+        majority_timeout: peers.duration("word_s"),
         // A token of it lives as long after the last that its viewing was given, and it is remembered as long after that.
-        span: limits.duration("paid_for_s")
+        retention: limits.duration("paid_for_s")
             + longest.unwrap_or_default()
             + settings.section("tokens").duration("life_s"),
-        connect: limits.duration("connect_s"),
+        connect_timeout: limits.duration("connect_s"),
         state_dir: manager.text("state_dir"),
     })
 }
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -191,7 +191,7 @@
                     let found = match (request.method(), request.uri().path(), &shell.0.peers) {
                         (&Method::GET, "/quality", _) => json(quality.page()),
                         (&Method::GET, "/counts", _) => json(shell.counts()),
-                        (&Method::GET, "/peers", Some(peers)) => json(peers.page().await),
+                        (&Method::GET, "/peers", Some(peers)) => json(peers.status().await),
                         _ => page(StatusCode::NOT_FOUND, "no such page\n"),
                     };
                     Ok::<_, Infallible>(found)
@@ -275,9 +275,9 @@
 
     /// Shares with the other managers which sessions are revoked.
     async fn learns(self: Rc<Self>, peers: Peers) {
-        let mut learned = peers.learns();
+        let mut learned = peers.subscribe_revocations();
         // Whatever is told is over after a span; what the settings here still tell by then is told anew.
-        let mut anew = interval(peers.span() / 2);
+        let mut anew = interval(peers.retention() / 2);
         loop {
             tokio::select! {
                 _ = anew.tick() => {
@@ -452,7 +452,7 @@
         let here = self.shell.0.address;
         let base = format!("http://{server}/v/{token}/");
         let again = format!("http://{here}/mpd/{}.mpd?token={token}", title.name);
-        let spans = (title.length, self.shell.0.segment, self.refresh.borrow_mut().span());
+        let spans = (title.length, self.shell.0.segment, self.refresh.borrow_mut().next_interval());
         let text = manifest(&title.name, &base, &again, rates, spans, (began, now));
         with(page(StatusCode::OK, text), "content-type", "application/dash+xml")
     }
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -29,7 +29,7 @@
     }
 
     /// The time until the next refresh.
-    pub fn span(&mut self) -> Duration {
+    pub fn next_interval(&mut self) -> Duration {
         self.interval.mul_f64(1.0 - JITTER_FRACTION * self.rng.random::<f64>())
     }
 
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -402,7 +402,7 @@
         let mut at = Duration::ZERO;
         while at < step * 400 {
             refreshes[(at.as_millis() / step.as_millis()) as usize] += 1;
-            let span = refresh.span();
+            let span = refresh.next_interval();
             assert!(usual.mul_f64(0.75) <= span && span <= usual, "{span:?}");
             at += span;
         }
@@ -422,7 +422,7 @@
     {
         let mut refresh =
             RefreshSchedule::new(1, ms(usual), ms(life), RefreshSchedule::margin(ms(2000), ms(5000)));
-        let most = (0..500).map(|_| refresh.span()).max().unwrap_or_default();
+        let most = (0..500).map(|_| refresh.next_interval()).max().unwrap_or_default();
         assert!(most <= ms(longest) && most >= ms(longest).mul_f64(0.98), "{most:?} of {longest} ms");
     }
     assert_eq!(
--- a/crates/lab/src/growth.rs
+++ b/crates/lab/src/growth.rs
@@ -45,28 +45,28 @@
         let link = f64::from(viewings) * 700.0 * part / f64::from(servers);
         let package = Package {
             value: 1.0,
-            target: Duration::from_secs(1),
+            set_up_target: Duration::from_secs(1),
             paid_once: false,
-            scale: 1.0,
-            floor: 0,
-            top: RATES.len() - 1,
+            rate_scale: 1.0,
+            floor_rung: 0,
+            top_rung: RATES.len() - 1,
             seats: 0,
         };
         let network = Network {
-            places: servers,
-            racks: servers.div_ceil(RACK),
-            links_kb: link * f64::from(servers),
-            weight_kb: link,
+            cell_count: servers,
+            rack_count: servers.div_ceil(RACK),
+            total_link_kb: link * f64::from(servers),
+            kb_per_weight: link,
             uplink_kb: link * f64::from(RACK) * 0.9,
             configured_report_interval: Duration::from_secs(3),
             report_delay: Duration::from_secs(1),
         };
         let mut manager = Manager::new(
-            (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
-            Ladder { rates: RATES.to_vec(), worths: vec![0.25, 0.55, 0.8, 1.0], switch: 0.6 },
+            (7, 1, ZoneId(0), Prices { cross_zone: 0.0, handshake: 0.0 }),
+            Ladder { rates_kb: RATES.to_vec(), worths: vec![0.25, 0.55, 0.8, 1.0], switch_cost_s: 0.6 },
             network,
             SlowStart::new(1, &[1e9], Duration::from_millis(1), 1.0, 1000.0, Duration::from_millis(1)),
-            Limits { tune_ins: 3, call_off: true, probe: None, come_back: None },
+            Limits { max_tune_ins: 3, may_cancel: true, probe_price: None, max_come_back_after: None },
             None,
             vec![package],
         );
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -149,7 +149,7 @@
         if let Some(speaking) = speaking {
             let text = settings.to_text() + &speaking.text(i);
             settings = ivyward_settings::read("Settings", &text).map_err(|faults| format!("{faults:?}"))?;
-            Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
+            Store::create(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
         }
         let file = dir.join(format!("{name}.txtpb"));
         let write = |settings: &Section| {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -9,7 +9,10 @@
 //!   what is said is lost and the path seems to stand.
 //! - What is kept goes to a disk that takes some ms. Members keep no claims: nobody comes to them.
 
-use ivyward_peers::{Cores, Frame, HEAD, Note, QUIET, Stored, TOGETHER, hello};
+use ivyward_peers::{
+    FRAME_HEADER_BYTES, Frame, IDLE_TIMEOUT_TICKS, MAX_FLUSH_FRAME_COUNT, MemberCore, StoreChange,
+    StoredState, hello_frame,
+};
 use ivyward_replica::{Group, Member};
 use ivyward_session::{Incarnation, SessionId};
 use prost::Message;
@@ -125,7 +128,7 @@
     Again(usize, usize, u64),
     Quiet(usize, usize, u64),
     Broke(usize, usize, u64),
-    Written(usize, u64, Vec<(Note, bool)>),
+    Written(usize, u64, Vec<(StoreChange, bool)>),
 }
 
 #[derive(Default)]
@@ -137,7 +140,7 @@
 /// One member over its lives.
 #[derive(Default)]
 pub struct Hollow {
-    cores: Option<Cores>,
+    cores: Option<MemberCore>,
     life: u64,
     births: u64,
     disk: Disk,
@@ -242,10 +245,13 @@
         hollow.life += 1;
         hollow.writing = false;
         hollow.knows.clear();
-        let stored =
-            Stored { whole: hollow.disk.whole, starts: hollow.disk.starts.clone(), ..Stored::default() };
+        let stored = StoredState {
+            is_complete: hollow.disk.whole,
+            starts: hollow.disk.starts.clone(),
+            ..StoredState::default()
+        };
         let (incarnation, me) = (Incarnation(hollow.births), Member(member as u16));
-        let mut cores = Cores::new(self.group.clone(), me, incarnation, WORD, SPAN, self.now, stored);
+        let mut cores = MemberCore::new(self.group.clone(), me, incarnation, WORD, SPAN, self.now, stored);
         cores.start(self.now);
         hollow.cores = Some(cores);
         let life = hollow.life;
@@ -315,7 +321,7 @@
 
     /// Entries of records in common that a member holds: records, and starts of members that it knows of.
     pub fn entries(&self, member: usize) -> usize {
-        self.members[member].cores.as_ref().map_or(0, |cores| cores.revoked.len() + cores.revoked.logs())
+        self.members[member].cores.as_ref().map_or(0, |cores| cores.revoked.len() + cores.revoked.log_count())
     }
 
     /// Paths that stand, by member: its own and those of others to it.
@@ -371,7 +377,7 @@
                 }
                 let Some(cores) = self.living(member, life) else { return };
                 let now = cores.0;
-                cores.1.turn(now);
+                cores.1.tick(now);
                 self.due(now + WORD, Event::Turn(member, life));
                 self.delivers(member);
             }
@@ -387,7 +393,7 @@
                     return self.due(until, Event::Arrives(from, to, life, frame));
                 }
                 let Some((now, cores)) = self.living(to, life) else { return };
-                cores.hears(now, Member(from as u16), &frame);
+                cores.on_frame(now, Member(from as u16), &frame);
                 // One that is heard is tried at once.
                 let path = self.members[to].paths.get(&from);
                 if let Some(no) = path.filter(|path| path.stands == Stands::Pausing).map(|path| path.no) {
@@ -416,23 +422,23 @@
                 let disk = &mut self.members[member].disk;
                 for (note, _) in notes {
                     match note {
-                        Note::Whole => disk.whole = true,
-                        Note::Start(name, incarnation) => {
+                        StoreChange::MarkComplete => disk.whole = true,
+                        StoreChange::PutStart(name, incarnation) => {
                             disk.starts.extend(self.group.member(&name).map(|member| (member, incarnation)));
                         }
                         // Nobody claims anything here.
-                        Note::Held(..) | Note::Forgotten(..) => {}
+                        StoreChange::PutClaims(..) | StoreChange::RemoveClaims(..) => {}
                     }
                 }
                 self.members[member].writing = false;
                 let Some((now, cores)) = self.living(member, life) else { return };
-                cores.stored(now, counted);
+                cores.on_stored(now, counted);
                 self.delivers(member);
             }
         }
     }
 
-    fn living(&mut self, member: usize, life: u64) -> Option<(Duration, &mut Cores)> {
+    fn living(&mut self, member: usize, life: u64) -> Option<(Duration, &mut MemberCore)> {
         let hollow = &mut self.members[member];
         hollow.cores.as_mut().filter(|_| hollow.life == life).map(|cores| (self.now, cores))
     }
@@ -448,11 +454,11 @@
         let Some(cores) = &mut hollow.cores else { return };
         let out = &mut cores.out;
         let mut frames: Vec<_> = out.frames.drain(..).collect();
-        for (to, rows) in out.rows.drain(..) {
+        for (to, rows) in out.recovery_batches.drain(..) {
             frames.extend(rows.into_iter().map(|row| (to, row)));
         }
         out.decided.clear();
-        for (session, is_revoked) in out.revoked.drain(..) {
+        for (session, is_revoked) in out.revocation_changes.drain(..) {
             let count = hollow.knows.entry(session).or_default();
             if is_revoked {
                 *count += 1;
@@ -468,9 +474,9 @@
                 }
             }
         }
-        if !hollow.writing && !out.notes.is_empty() {
+        if !hollow.writing && !out.pending_writes.is_empty() {
             hollow.writing = true;
-            let (life, notes) = (hollow.life, out.notes.drain(..).collect());
+            let (life, notes) = (hollow.life, out.pending_writes.drain(..).collect());
             let at = self.now + self.micros(SYNC);
             self.due(at, Event::Written(member, life, notes));
         }
@@ -556,19 +562,19 @@
         self.members[to].sent.segments(HANDSHAKE[1]);
         self.flushes += 1;
         let Some(cores) = &self.members[from].cores else { return };
-        let greeting = hello(&self.group, Member(from as u16), cores.incarnation);
+        let greeting = hello_frame(&self.group, Member(from as u16), cores.incarnation);
         self.costs(from, to, &greeting);
         queue.into_iter().for_each(|frame| self.writes(from, to, frame));
-        self.due(now + WORD * QUIET, Event::Quiet(from, to, no));
+        self.due(now + WORD * IDLE_TIMEOUT_TICKS, Event::Quiet(from, to, no));
     }
 
     /// What a frame costs who sends it, and its receiver for saying that it came. What is said together goes out with one
     /// flush, as a manager does it.
     fn costs(&mut self, from: usize, to: usize, frame: &Frame) {
-        let (length, flush) = (frame.encoded_len() + HEAD, self.flushes);
+        let (length, flush) = (frame.encoded_len() + FRAME_HEADER_BYTES, self.flushes);
         let Some(path) = self.members[from].paths.get_mut(&to) else { return };
         let (with, frames, before) = path.together;
-        let before = if with == flush && frames < TOGETHER { before } else { 0 };
+        let before = if with == flush && frames < MAX_FLUSH_FRAME_COUNT { before } else { 0 };
         let segments = ((before + length).div_ceil(CARRIES) - before.div_ceil(CARRIES)) as u64;
         path.together = (flush, if before == 0 { 1 } else { frames + 1 }, before + length);
         let sent = &mut self.members[from].sent;
@@ -584,7 +590,7 @@
         let (now, way) = (self.now, self.way(from, to));
         let Some(path) = self.members[from].paths.get_mut(&to) else { return };
         // It has seemed to stand while it was cut, and the other has closed it since.
-        if path.cut.take().is_some_and(|since| now - since > WORD * QUIET * GONE) {
+        if path.cut.take().is_some_and(|since| now - since > WORD * IDLE_TIMEOUT_TICKS * GONE) {
             return self.breaks(from, to);
         }
         path.said = now;
@@ -618,7 +624,7 @@
         path.pause = (pause * 2).min(CONNECT * PAUSES);
         self.due(now + pause, Event::Again(from, to, no));
         if let Some(cores) = &mut self.members[from].cores {
-            cores.unreached(now, Member(to as u16));
+            cores.on_unreachable(now, Member(to as u16));
         }
     }
 
@@ -628,7 +634,7 @@
         let Some(path) = self.path(from, to, no) else { return };
         if path.queue.is_empty() {
             (path.stands, path.said) = (Stands::Waiting, now);
-            return self.due(now + WORD * QUIET, Event::Quiet(from, to, no));
+            return self.due(now + WORD * IDLE_TIMEOUT_TICKS, Event::Quiet(from, to, no));
         }
         self.tries(from, to);
     }
@@ -637,7 +643,7 @@
     fn quiet(&mut self, from: usize, to: usize, no: u64) {
         let now = self.now;
         let Some(path) = self.path(from, to, no) else { return };
-        let over = path.said + WORD * QUIET;
+        let over = path.said + WORD * IDLE_TIMEOUT_TICKS;
         match path.stands {
             Stands::Open(_) | Stands::Waiting if over > now => self.due(over, Event::Quiet(from, to, no)),
             Stands::Waiting => drop(self.members[from].paths.remove(&to)),
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -4,7 +4,7 @@
 use super::{Kind, Series, Sizes, process};
 use ivyward_overlay::Overlay;
 use ivyward_replica::{
-    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Record, ReplicatedSet,
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, LogId, Member, Record, ReplicatedSet,
     ReplicationEffects,
 };
 use ivyward_session::{Incarnation, SessionId};
@@ -36,8 +36,8 @@
 }
 
 enum Said {
-    Heads(BTreeMap<Log, u64>, bool),
-    Records(Log, Range<u64>, Vec<Record<SessionId>>),
+    Heads(BTreeMap<LogId, u64>, bool),
+    Records(LogId, Range<u64>, Vec<Record<SessionId>>),
 }
 
 impl ReplicationEffects<SessionId> for Out {
@@ -47,11 +47,11 @@
     fn in_sync(&mut self, _: Member) {
         self.messages += 1;
     }
-    fn heads(&mut self, _: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
+    fn heads(&mut self, _: Member, heads: &BTreeMap<LogId, u64>, is_reply: bool) {
         self.messages += 1;
         self.told.push_back(Said::Heads(heads.clone(), is_reply));
     }
-    fn records(&mut self, _: Member, log: Log, between: Range<u64>, records: &[Record<SessionId>]) {
+    fn records(&mut self, _: Member, log: LogId, between: Range<u64>, records: &[Record<SessionId>]) {
         self.messages += 1;
         self.records += records.len();
         self.told.push_back(Said::Records(log, between, records.to_vec()));
@@ -119,11 +119,11 @@
     let mut copy = ReplicatedSet::new(me, Incarnation(1), SPAN);
     let mut out = Out::default();
     for at in 0..logs {
-        let log = Log { of: Member(at as u16), incarnation: Incarnation(1) };
-        if log.of == me {
+        let log = LogId { member: Member(at as u16), incarnation: Incarnation(1) };
+        if log.member == me {
             copy.add(&mut out, NOW, SessionId(at as u128), &[]);
         } else {
-            copy.on_records(&mut out, NOW, log.of, log, 0..1, vec![record(0, at)], &[]);
+            copy.on_records(&mut out, NOW, log.member, log, 0..1, vec![record(0, at)], &[]);
         }
     }
     copy
@@ -261,7 +261,7 @@
             }));
             let near = Overlay::new(&group, Member(0), TURN).neighbours();
             let (mut held, mut out, mut no) = (copy(Member(0), *count), Out::default(), 1);
-            let log = Log { of: Member(1), incarnation: Incarnation(1) };
+            let log = LogId { member: Member(1), incarnation: Incarnation(1) };
             rows[2].push(time(|| {
                 held.on_records(
                     &mut out,
@@ -296,7 +296,7 @@
             let mut next = 0_u64;
             let mut claims = |acceptor: &mut Acceptor| {
                 next += 1;
-                let claim = Claim { by: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
+                let claim = Claim { proposer: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
                 acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
                 acceptor.on_stored(&mut out, 1);
             };
@@ -327,7 +327,7 @@
     let (mut out, stored) = (Out::default(), Default::default());
     let mut acceptor = Acceptor::new(group(3), Member(0), Incarnation(1), SPAN, NOW, true, stored);
     for next in 1..=count as u64 {
-        let claim = Claim { by: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
+        let claim = Claim { proposer: Member(1), incarnation: Incarnation(1), no: ClaimNo(next) };
         acceptor.on_claim(&mut out, NOW, Member(1), SessionId(next.into()), claim);
         acceptor.on_stored(&mut out, 1);
     }
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -84,11 +84,11 @@
         };
         Ok(Package {
             value: number(package, "/worth")?,
-            target: duration_from_micros(number(package, "/slo-us")?),
+            set_up_target: duration_from_micros(number(package, "/slo-us")?),
             paid_once: at_most_once(package),
-            scale: for_package(&scales, "class-scale")?,
-            floor: for_package(&floors, "floor-by-class")? as usize,
-            top: for_package(&tops, "top-by-class")? as usize,
+            rate_scale: for_package(&scales, "class-scale")?,
+            floor_rung: for_package(&floors, "floor-by-class")? as usize,
+            top_rung: for_package(&tops, "top-by-class")? as usize,
             seats: for_package(&seats, "class-seats")? as usize,
         })
     };
@@ -114,12 +114,12 @@
     if rates.is_empty() || worths.len() < rates.len() {
         return Err("options: /specifics/rates-kb is empty or has more entries than rung-worth".into());
     }
-    let ladder = Ladder { rates, worths, switch: number(options, "/specifics/switch-s")? };
+    let ladder = Ladder { rates_kb: rates, worths, switch_cost_s: number(options, "/specifics/switch-s")? };
     let network = Network {
-        places: number(options, "/specifics/places")? as u32,
-        racks: number(options, "/specifics/shelves")? as u32,
-        links_kb: number_or_zero(options, "/specifics/links-kb")?,
-        weight_kb: number(options, "/specifics/weight-kb")?,
+        cell_count: number(options, "/specifics/places")? as u32,
+        rack_count: number(options, "/specifics/shelves")? as u32,
+        total_link_kb: number_or_zero(options, "/specifics/links-kb")?,
+        kb_per_weight: number(options, "/specifics/weight-kb")?,
         uplink_kb: number(options, "/specifics/rack-link-kb")?,
         configured_report_interval: duration_from_micros(number_or_zero(
             options,
@@ -142,15 +142,15 @@
         number_or_zero(options, "/prices/probe")?,
     );
     let limits = Limits {
-        tune_ins: number(options, "/limits/max-attempts")? as u16,
+        max_tune_ins: number(options, "/limits/max-attempts")? as u16,
         // The choice among probed servers uses the loads of their links, so probes need reports that hold
         // them.
-        probe: (flag_or_false(options, "/limits/may-probe")? && reports_links).then_some(probe_price),
-        call_off: flag_or_false(options, "/limits/cancelling")?,
-        come_back: flag_or_false(options, "/limits/retry-after")?.then_some(max_come_back),
+        probe_price: (flag_or_false(options, "/limits/may-probe")? && reports_links).then_some(probe_price),
+        may_cancel: flag_or_false(options, "/limits/cancelling")?,
+        max_come_back_after: flag_or_false(options, "/limits/retry-after")?.then_some(max_come_back),
     };
     let prices = Prices {
-        cross: number_or_zero(options, "/prices/cross-zone")?,
+        cross_zone: number_or_zero(options, "/prices/cross-zone")?,
         handshake: number_or_zero(options, "/prices/handshake")?,
     };
     let instance = (seed, siblings, ZoneId(number_or_zero(options, "/my-zone")? as u8), prices);
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -1,9 +1,9 @@
 //! The task that owns a member's protocol state and performs the actions that it requests.
 
 use crate::frame::{self, Frame};
-use crate::member_core::{Cores, MAX_WRITE_BATCH_COUNT, QUIET, RETRIES_PER_TIMEOUT};
+use crate::member_core::{IDLE_TIMEOUT_TICKS, MAX_WRITE_BATCH_COUNT, MemberCore, RETRIES_PER_TIMEOUT};
 use crate::path::{PathContext, Paths, SendCounters};
-use crate::store::{Note, Store};
+use crate::store::{Store, StoreChange};
 use crate::{Config, link};
 use ivyward_replica::{ClaimNo, ClaimOutcome, Member};
 use ivyward_session::{Incarnation, SessionId};
@@ -29,7 +29,7 @@
 
 /// The protocol state and the driver's own state.
 struct Driver {
-    core: Cores,
+    core: MemberCore,
     paths: Paths,
     /// Callers that wait for the outcome of their claims.
     waiters: BTreeMap<ClaimNo, oneshot::Sender<ClaimOutcome>>,
@@ -59,7 +59,7 @@
                 self.core.out.count("frames_left_out");
             }
         }
-        for (to, recovery_frames) in std::mem::take(&mut self.core.out.rows) {
+        for (to, recovery_frames) in std::mem::take(&mut self.core.out.recovery_batches) {
             self.send_recovery_frames(to, recovery_frames);
         }
         for (no, outcome) in std::mem::take(&mut self.core.out.decided) {
@@ -68,10 +68,10 @@
                 waiter.send(outcome).ok();
             }
         }
-        for (session, is_revoked) in std::mem::take(&mut self.core.out.revoked) {
+        for (session, is_revoked) in std::mem::take(&mut self.core.out.revocation_changes) {
             self.apply_revocation(session, is_revoked);
         }
-        if !self.is_writing && !self.core.out.notes.is_empty() {
+        if !self.is_writing && !self.core.out.pending_writes.is_empty() {
             self.is_writing = true;
             self.write_pending(peers.clone(), store.clone());
         }
@@ -117,8 +117,8 @@
     /// Writes the next batch to the store, retrying until it succeeds.
     fn write_pending(&mut self, peers: Peers, store: Store) {
         let out = &mut self.core.out;
-        let batch_len = out.notes.len().min(MAX_WRITE_BATCH_COUNT);
-        let (writes, acknowledged): (Vec<_>, Vec<_>) = out.notes.drain(..batch_len).unzip();
+        let batch_len = out.pending_writes.len().min(MAX_WRITE_BATCH_COUNT);
+        let (writes, acknowledged): (Vec<_>, Vec<_>) = out.pending_writes.drain(..batch_len).unzip();
         let acknowledged_count = acknowledged.into_iter().filter(|acknowledged| *acknowledged).count();
         spawn_local(async move {
             let writes = Arc::new(writes);
@@ -131,12 +131,12 @@
                 );
                 sleep(WRITE_RETRY_DELAY).await;
             }
-            if writes.iter().any(|write| matches!(write, Note::Whole)) {
+            if writes.iter().any(|write| matches!(write, StoreChange::MarkComplete)) {
                 tracing::info!("recovery after loss of stable storage is complete");
             }
             peers.submit(move |driver, now| {
                 driver.is_writing = false;
-                driver.core.stored(now, acknowledged_count);
+                driver.core.on_stored(now, acknowledged_count);
             });
         });
     }
@@ -159,7 +159,7 @@
             "neighbours": neighbours, "passed_over": core.overlay.unreachable_count(), "paths": paths.open(),
             "paths_opened": sent.paths.get(), "frames_sent": sent.frames.get(), "bytes_sent": sent.bytes.get(),
             "sessions_kept": core.acceptor.len(), "asking": open_claims, "to_take_back": unconfirmed_withdrawals,
-            "notes_to_disk": core.out.notes.len(), "revoked": core.revoked.len(),
+            "notes_to_disk": core.out.pending_writes.len(), "revoked": core.revoked.len(),
             "revoked_digest": format!("{:016x}", core.revoked.digest()), "counts": core.out.counts,
         })
     }
@@ -185,40 +185,44 @@
     /// The store can't be opened, the address is in use, or the name is not in the group; the message
     /// names which.
     pub async fn start(config: Config, incarnation: Incarnation) -> Result<Peers, String> {
-        let Config { group, name, listen, others, word, span, connect, state_dir } = config;
+        let Config {
+            group,
+            name,
+            listen_address,
+            others,
+            majority_timeout,
+            retention,
+            connect_timeout,
+            state_dir,
+        } = config;
         let me = group.member(&name).ok_or(format!(
             "{name} is not a member of the group: add it to peers.member, or correct manager.name"
         ))?;
         let (store, stored) = Store::open(&state_dir, &group)?;
-        let listener = TcpListener::bind(listen)
+        let listener = TcpListener::bind(listen_address)
             .await
-            .map_err(|error| format!("{listen}: cannot listen for other managers: {error}"))?;
-        tracing::info!(%listen, whole = stored.whole, sessions = stored.sessions.len(), "listening for other managers");
+            .map_err(|error| format!("{listen_address}: cannot listen for other managers: {error}"))?;
+        tracing::info!(listen = %listen_address, whole = stored.is_complete, sessions = stored.sessions.len(), "listening for other managers");
         let (jobs, job_receiver) = mpsc::unbounded_channel();
         let (revoked, refusal_log) = (Revoked::default(), Rc::default());
         let started_at = Instant::now();
-        let peers = Peers {
-            jobs,
-            started_at,
-            majority_timeout: word,
-            retention: span,
-            revoked: revoked.clone(),
-            refusal_log,
-        };
+        let peers =
+            Peers { jobs, started_at, majority_timeout, retention, revoked: revoked.clone(), refusal_log };
         let addresses =
             others.into_iter().filter_map(|(name, address)| Some((group.member(&name)?, address)));
-        let hello = link::hello(&group, me, incarnation);
-        let idle_timeout = word * QUIET;
+        let hello = link::hello_frame(&group, me, incarnation);
+        let idle_timeout = majority_timeout * IDLE_TIMEOUT_TICKS;
         let context = PathContext {
             hello,
             group: group.clone(),
-            connect_timeout: connect,
+            connect_timeout,
             idle_timeout,
             sent: SendCounters::default(),
         };
         let paths = Paths::new(Rc::new(context), peers.clone(), addresses.collect());
         spawn_local(link::accept(listener, peers.clone(), group.clone(), me));
-        let mut core = Cores::new(group, me, incarnation, word, span, Duration::ZERO, stored);
+        let mut core =
+            MemberCore::new(group, me, incarnation, majority_timeout, retention, Duration::ZERO, stored);
         core.start(Duration::ZERO);
         let (waiters, recovery_sends) = (BTreeMap::new(), Rc::default());
         let driver =
@@ -247,14 +251,14 @@
         let (handled_sender, handled) = oneshot::channel();
         self.submit(move |driver, now| {
             driver.paths.skip_retry_delay(from);
-            handled_sender.send(driver.core.hears(now, from, &frame).is_some()).ok();
+            handled_sender.send(driver.core.on_frame(now, from, &frame).is_some()).ok();
         });
         handled.await.unwrap_or(false)
     }
 
     /// Reports that a connection to a member could not be opened, or broke.
     pub(crate) fn on_unreachable(&self, member: Member) {
-        self.submit(move |driver, now| driver.core.unreached(now, member));
+        self.submit(move |driver, now| driver.core.on_unreachable(now, member));
     }
 
     /// Logs why a connection is refused, at most once per interval.
@@ -269,7 +273,7 @@
 
     /// Asks the acceptors of a paid session whether it may be set up. `within`: how long its viewer
     /// waits at most.
-    pub async fn claim(&self, session: SessionId, within: Duration) -> (Claimed, ClaimOutcome) {
+    pub async fn claim(&self, session: SessionId, within: Duration) -> (ClaimGuard, ClaimOutcome) {
         let (number_sender, number) = oneshot::channel();
         let (reply_sender, reply) = oneshot::channel();
         let time_limit = within.min(self.majority_timeout);
@@ -283,12 +287,12 @@
             }
         });
         let no = number.await.ok();
-        let claimed = Claimed { peers: self.clone(), session, no };
+        let claimed = ClaimGuard { peers: self.clone(), session, no };
         (claimed, reply.await.unwrap_or(ClaimOutcome::NoMajority))
     }
 
     /// How long claims and records are held.
-    pub fn span(&self) -> Duration {
+    pub fn retention(&self) -> Duration {
         self.retention
     }
 
@@ -304,7 +308,7 @@
 
     /// Subscribes to revoked sessions: first all that are known, then each new one. There is one
     /// subscriber at a time.
-    pub fn learns(&self) -> mpsc::UnboundedReceiver<SessionId> {
+    pub fn subscribe_revocations(&self) -> mpsc::UnboundedReceiver<SessionId> {
         let (subscriber, revoked_sessions) = mpsc::unbounded_channel();
         self.submit(|driver, _| {
             driver.revoked.borrow().keys().for_each(|session| subscriber.send(*session).unwrap_or_default());
@@ -314,7 +318,7 @@
     }
 
     /// State of the members, of this member's stores and of its claims, for the console.
-    pub async fn page(&self) -> Value {
+    pub async fn status(&self) -> Value {
         let (reply_sender, reply) = oneshot::channel();
         self.submit(move |driver, now| drop(reply_sender.send(driver.status(now))));
         reply.await.unwrap_or(Value::Null)
@@ -322,25 +326,25 @@
 }
 
 /// A claim of a paid session. Dropping it before its set-up is sent withdraws the claim.
-pub struct Claimed {
+pub struct ClaimGuard {
     peers: Peers,
     session: SessionId,
     no: Option<ClaimNo>,
 }
 
-impl Claimed {
+impl ClaimGuard {
     /// To be called just before the first byte of the set-up is sent: from then on it may have run.
-    pub fn goes_out(&mut self) -> Option<ClaimNo> {
+    pub fn mark_sent(&mut self) -> Option<ClaimNo> {
         self.no.take()
     }
 
     /// The set-up that was sent provably never ran; dropping the claim withdraws it again.
-    pub fn never_ran(&mut self, no: Option<ClaimNo>) {
+    pub fn mark_never_ran(&mut self, no: Option<ClaimNo>) {
         self.no = no;
     }
 }
 
-impl Drop for Claimed {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(no) = self.no {
             let session = self.session;
@@ -353,7 +357,7 @@
 }
 
 /// Writes a batch on a blocking thread.
-async fn write(store: &Store, writes: &Arc<Vec<Note>>) -> Result<(), String> {
+async fn write(store: &Store, writes: &Arc<Vec<StoreChange>>) -> Result<(), String> {
     let (store, writes) = (store.clone(), writes.clone());
     let result = spawn_blocking(move || store.write(&writes)).await;
     result.map_err(|error| error.to_string())?.map_err(|error| error.to_string())
@@ -374,7 +378,7 @@
             biased;
             _ = ticks.tick() => {
                 driver.paths.remove_closed();
-                driver.core.turn(peers.now());
+                driver.core.tick(peers.now());
             }
             () = sleep_until(next_retry_at), if has_open_claims => {
                 driver.core.retry(peers.now());
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -1,7 +1,7 @@
 //! The frames that managers exchange: one protobuf message each. Members are identified by name, so that
 //! they need not be numbered alike.
 
-use ivyward_replica::{Claim, ClaimNo, ClaimSet, Group, Log, Member, Record};
+use ivyward_replica::{Claim, ClaimNo, ClaimSet, Group, LogId, Member, Record};
 use ivyward_session::{Incarnation, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub const REVISION: u32 = 3;
 
 /// Length of the header of each frame, which is the frame's length.
-pub const HEAD: usize = 4;
+pub const FRAME_HEADER_BYTES: usize = 4;
 
 /// The first frame on each connection: who sends, and for which group and revision.
 pub const HELLO: u32 = 1;
@@ -129,7 +129,7 @@
 
 /// Encodes a claim.
 pub fn encode_claim(group: &Group, claim: Claim) -> ClaimMessage {
-    ClaimMessage { name: group.name(claim.by).into(), incarnation: claim.incarnation.0, no: claim.no.0 }
+    ClaimMessage { name: group.name(claim.proposer).into(), incarnation: claim.incarnation.0, no: claim.no.0 }
 }
 
 /// Encodes a member's start.
@@ -140,7 +140,7 @@
 /// None for a member that is not in the group.
 pub fn decode_claim(group: &Group, message: &ClaimMessage) -> Option<Claim> {
     Some(Claim {
-        by: group.member(&message.name)?,
+        proposer: group.member(&message.name)?,
         incarnation: Incarnation(message.incarnation),
         no: ClaimNo(message.no),
     })
@@ -160,15 +160,15 @@
 }
 
 /// Encodes the head of a log.
-pub fn encode_head(group: &Group, (log, head): (&Log, &u64)) -> ClaimMessage {
-    ClaimMessage { name: group.name(log.of).into(), incarnation: log.incarnation.0, no: *head }
+pub fn encode_head(group: &Group, (log, head): (&LogId, &u64)) -> ClaimMessage {
+    ClaimMessage { name: group.name(log.member).into(), incarnation: log.incarnation.0, no: *head }
 }
 
 /// Decodes the heads of logs.
-pub fn decode_heads(group: &Group, messages: &[ClaimMessage]) -> Option<BTreeMap<Log, u64>> {
+pub fn decode_heads(group: &Group, messages: &[ClaimMessage]) -> Option<BTreeMap<LogId, u64>> {
     let head = |message: &ClaimMessage| {
         Some((
-            Log { of: group.member(&message.name)?, incarnation: Incarnation(message.incarnation) },
+            LogId { member: group.member(&message.name)?, incarnation: Incarnation(message.incarnation) },
             message.no,
         ))
     };
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -9,12 +9,12 @@
 mod path;
 mod store;
 
-pub use driver::{Claimed, Peers};
-pub use frame::{Frame, HEAD};
-pub use link::{check_hello, hello};
-pub use member_core::{Cores, Outbox, QUIET, RETRIES_PER_TIMEOUT};
-pub use path::TOGETHER;
-pub use store::{Note, Store, Stored};
+pub use driver::{ClaimGuard, Peers};
+pub use frame::{FRAME_HEADER_BYTES, Frame};
+pub use link::{check_hello, hello_frame};
+pub use member_core::{IDLE_TIMEOUT_TICKS, MemberCore, Outbox, RETRIES_PER_TIMEOUT};
+pub use path::MAX_FLUSH_FRAME_COUNT;
+pub use store::{Store, StoreChange, StoredState};
 
 use ivyward_replica::Group;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
     /// Name of this member.
     pub name: String,
     /// The address that this member listens on, and those of the other members.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     pub others: Vec<(String, SocketAddr)>,
     /// How long a claim waits for a majority at most; also the interval between ticks.
-    pub word: Duration,
+    pub majority_timeout: Duration,
     /// How long claims and replicated records are held.
-    pub span: Duration,
+    pub retention: Duration,
     /// How long opening a connection may take.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Folder of the store.
     pub state_dir: String,
 }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Peers;
 use crate::frame::{self, Frame};
-use crate::member_core::QUIET;
+use crate::member_core::IDLE_TIMEOUT_TICKS;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use ivyward_replica::{Group, Member};
@@ -42,7 +42,7 @@
 }
 
 /// The first frame on each connection.
-pub fn hello(group: &Group, me: Member, incarnation: Incarnation) -> Frame {
+pub fn hello_frame(group: &Group, me: Member, incarnation: Incarnation) -> Frame {
     Frame {
         kind: frame::HELLO,
         name: group.name(me).into(),
@@ -140,7 +140,7 @@
 async fn receive_frames(
     stream: &mut Framed<TcpStream, LengthDelimitedCodec>, member: Member, peers: &Peers,
 ) -> bool {
-    let dead_after = peers.majority_timeout() * QUIET * DEAD_CONNECTION_FACTOR;
+    let dead_after = peers.majority_timeout() * IDLE_TIMEOUT_TICKS * DEAD_CONNECTION_FACTOR;
     loop {
         match timeout(dead_after, stream.next()).await {
             Ok(Some(Ok(bytes))) => {
--- a/crates/peers/src/member_core.rs
+++ b/crates/peers/src/member_core.rs
@@ -4,10 +4,10 @@
 //! sockets; simulations run the same code without them.
 
 use crate::frame::{self, Frame, encode_claim, encode_start};
-use crate::store::{Note, Stored};
+use crate::store::{StoreChange, StoredState};
 use ivyward_overlay::Overlay;
 use ivyward_replica::{
-    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, LogId, Member, Proposer, Record,
     ReplicatedSet, ReplicationEffects,
 };
 use ivyward_session::{Incarnation, SessionId};
@@ -19,7 +19,7 @@
 pub const RETRIES_PER_TIMEOUT: u32 = 4;
 /// Ticks without a frame after which a path is closed. Paths to neighbours stay open through the
 /// exchange at each tick; a path to an acceptor stays open as long as it gets a claim every few seconds.
-pub const QUIET: u32 = 16;
+pub const IDLE_TIMEOUT_TICKS: u32 = 16;
 /// Members asked for their claims at once at a start without stable storage; small enough for many
 /// members starting at the same time. Afterwards one member is asked every [`RECOVERY_RETRY_TICKS`], so
 /// that the cost of a recovery per second is the same in a group of any size.
@@ -40,17 +40,17 @@
     /// Frames to members, in order; any of them may be lost.
     pub frames: VecDeque<(Member, Frame)>,
     /// Recovery entries for a member: all of them must be sent, in order, however many there are.
-    pub rows: Vec<(Member, Vec<Frame>)>,
+    pub recovery_batches: Vec<(Member, Vec<Frame>)>,
     /// Recovery entries collected until the last one.
     recovery_frames: Vec<Frame>,
     /// Frames from this member to itself.
     self_frames: VecDeque<Frame>,
     /// Writes in order, and whether the driver reports each of them back once it is on disk.
-    pub notes: VecDeque<(Note, bool)>,
+    pub pending_writes: VecDeque<(StoreChange, bool)>,
     /// Outcomes of claims.
     pub decided: Vec<(ClaimNo, ClaimOutcome)>,
     /// Sessions that became revoked (true), or whose revocation expired (false).
-    pub revoked: Vec<(SessionId, bool)>,
+    pub revocation_changes: Vec<(SessionId, bool)>,
     /// Counters of the console.
     pub counts: BTreeMap<&'static str, u64>,
 }
@@ -129,23 +129,24 @@
             count,
             ..Frame::default()
         });
-        self.rows.push((to, entries));
+        self.recovery_batches.push((to, entries));
     }
 
     fn store(&mut self, session: SessionId, claim_set: &ClaimSet) {
-        self.notes.push_back((Note::claim_set(&self.group, session, claim_set), true));
+        self.pending_writes.push_back((StoreChange::claim_set(&self.group, session, claim_set), true));
     }
 
     fn store_start(&mut self, member: Member, incarnation: Incarnation) {
-        self.notes.push_back((Note::Start(self.group.name(member).into(), incarnation), true));
+        self.pending_writes
+            .push_back((StoreChange::PutStart(self.group.name(member).into(), incarnation), true));
     }
 
     fn store_recovered(&mut self) {
-        self.notes.push_back((Note::Whole, true));
+        self.pending_writes.push_back((StoreChange::MarkComplete, true));
     }
 
     fn forget(&mut self, session: SessionId) {
-        self.notes.push_back((Note::Forgotten(session), false));
+        self.pending_writes.push_back((StoreChange::RemoveClaims(session), false));
     }
 
     fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
@@ -167,12 +168,12 @@
         self.send(to, Frame { kind: frame::IN_SYNC, ..Frame::default() });
     }
 
-    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
+    fn heads(&mut self, to: Member, heads: &BTreeMap<LogId, u64>, is_reply: bool) {
         let starts = heads.iter().map(|head| frame::encode_head(&self.group, head)).collect();
         self.send(to, Frame { kind: frame::HEADS, starts, is_reply, ..Frame::default() });
     }
 
-    fn records(&mut self, to: Member, log: Log, number_range: Range<u64>, records: &[Record<SessionId>]) {
+    fn records(&mut self, to: Member, log: LogId, number_range: Range<u64>, records: &[Record<SessionId>]) {
         let (claim, count) =
             (Some(frame::encode_head(&self.group, (&log, &number_range.start))), number_range.end);
         let records = records.iter().map(frame::encode_record).collect();
@@ -180,16 +181,16 @@
     }
 
     fn added(&mut self, session: &SessionId) {
-        self.revoked.push((*session, true));
+        self.revocation_changes.push((*session, true));
     }
 
     fn expired(&mut self, session: &SessionId) {
-        self.revoked.push((*session, false));
+        self.revocation_changes.push((*session, false));
     }
 }
 
 /// The protocol state of one member.
-pub struct Cores {
+pub struct MemberCore {
     group: Group,
     me: Member,
     /// This start's number.
@@ -213,35 +214,35 @@
     pub out: Outbox,
 }
 
-impl Cores {
+impl MemberCore {
     /// `incarnation`: this start's number, greater than all earlier ones. `tick_interval`: how often the
     /// driver ticks. `retention`: how long claims and records are held. `stored`: what the store
     /// contained.
     pub fn new(
         group: Group, me: Member, incarnation: Incarnation, tick_interval: Duration, retention: Duration,
-        now: Duration, stored: Stored,
-    ) -> Cores {
+        now: Duration, stored: StoredState,
+    ) -> MemberCore {
         let stored_state = (stored.sessions, stored.starts);
         let out = Outbox {
             group: group.clone(),
             me,
             frames: VecDeque::new(),
-            rows: vec![],
+            recovery_batches: vec![],
             recovery_frames: vec![],
             self_frames: VecDeque::new(),
-            notes: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             decided: vec![],
-            revoked: vec![],
+            revocation_changes: vec![],
             counts: BTreeMap::new(),
         };
-        Cores {
+        MemberCore {
             acceptor: Acceptor::new(
                 group.clone(),
                 me,
                 incarnation,
                 retention,
                 now,
-                stored.whole,
+                stored.is_complete,
                 stored_state,
             ),
             proposer: Proposer::new(group.clone(), me, incarnation),
@@ -283,7 +284,7 @@
     }
 
     /// Must be called once per `tick_interval`, for the first time one interval after the start.
-    pub fn turn(&mut self, now: Duration) {
+    pub fn tick(&mut self, now: Duration) {
         if let Some(to) = self.overlay.tick(now) {
             self.revoked.tick(&mut self.out, now, to);
         }
@@ -310,12 +311,12 @@
     }
 
     /// Reports that a connection to a member could not be opened, or broke.
-    pub fn unreached(&mut self, now: Duration, member: Member) {
+    pub fn on_unreachable(&mut self, now: Duration, member: Member) {
         self.overlay.on_unreachable(now, member);
     }
 
     /// Handles a frame from another member; none if the frame is invalid.
-    pub fn hears(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
+    pub fn on_frame(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
         self.last_heard_at.insert(from, now);
         self.overlay.on_message(from);
         let handled = self.handle_frame(now, from, frame);
@@ -324,7 +325,7 @@
     }
 
     /// Reports that `write_count` more of the counted writes are on disk.
-    pub fn stored(&mut self, now: Duration, write_count: usize) {
+    pub fn on_stored(&mut self, now: Duration, write_count: usize) {
         self.acceptor.on_stored(&mut self.out, write_count);
         self.handle_self_frames(now);
     }
@@ -383,7 +384,9 @@
         let claim = || frame::decode_claim(group, frame.claim.as_ref()?);
         match frame.kind {
             // Guards against a disk that accepts no writes, or fewer than are claimed.
-            frame::CLAIM if out.notes.len() >= MAX_PENDING_WRITE_COUNT => out.count("claims_left_out"),
+            frame::CLAIM if out.pending_writes.len() >= MAX_PENDING_WRITE_COUNT => {
+                out.count("claims_left_out")
+            }
             frame::CLAIM => self.acceptor.on_claim(out, now, from, session()?, claim()?),
             frame::ACCEPTED => {
                 let starts = frame::decode_starts(group, &frame.starts)?;
@@ -407,7 +410,7 @@
             frame::RECORDS => {
                 let record_start = claim()?;
                 let (log, number_range) = (
-                    Log { of: record_start.by, incarnation: record_start.incarnation },
+                    LogId { member: record_start.proposer, incarnation: record_start.incarnation },
                     record_start.no.0..frame.count,
                 );
                 let (records, neighbours) =
--- a/crates/peers/src/path.rs
+++ b/crates/peers/src/path.rs
@@ -22,7 +22,7 @@
 pub const QUEUE_FRAME_COUNT: usize = 1024;
 /// Frames written with one flush. Guards against a path that always has more to write being taken for a
 /// stalled one.
-pub const TOGETHER: usize = 64;
+pub const MAX_FLUSH_FRAME_COUNT: usize = 64;
 /// A path that failed is reopened after the connection timeout, then after twice that, up to this many
 /// times the timeout. Bounds what an unreachable zone costs the members that have frames for it.
 const MAX_RETRY_DELAY_FACTOR: u32 = 8;
@@ -177,7 +177,7 @@
         let mut out = framed(stream);
         let hello = encode(&self.context.hello);
         add_to(&self.context.sent.frames, 1);
-        add_to(&self.context.sent.bytes, hello.len() + frame::HEAD);
+        add_to(&self.context.sent.bytes, hello.len() + frame::FRAME_HEADER_BYTES);
         if !matches!(timeout(STALL_TIMEOUT, out.feed(hello)).await, Ok(Ok(()))) {
             return ConnectionEnd::Broken;
         }
@@ -208,11 +208,11 @@
     /// and flushing each alone would cost a segment and its acknowledgement.
     async fn write_batch(&mut self, out: &mut Connection, first: Frame) -> std::io::Result<()> {
         let mut next = Some(first);
-        for batch_space_left in (0..TOGETHER).rev() {
+        for batch_space_left in (0..MAX_FLUSH_FRAME_COUNT).rev() {
             let Some(frame) = next.take() else { break };
             let bytes = encode(&frame);
             add_to(&self.context.sent.frames, 1);
-            add_to(&self.context.sent.bytes, bytes.len() + frame::HEAD);
+            add_to(&self.context.sent.bytes, bytes.len() + frame::FRAME_HEADER_BYTES);
             out.feed(bytes).await?;
             next = if batch_space_left > 0 { self.frames.try_recv().ok() } else { None };
         }
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -26,29 +26,32 @@
 const FORMAT_REVISION: u32 = 2;
 
 /// One change, written together with others in one sync.
-pub enum Note {
+pub enum StoreChange {
     /// Sets the claims of a session.
-    Held(SessionId, Vec<u8>),
+    PutClaims(SessionId, Vec<u8>),
     /// Removes a session.
-    Forgotten(SessionId),
+    RemoveClaims(SessionId),
     /// Sets the latest start without stable storage of a member.
-    Start(String, Incarnation),
+    PutStart(String, Incarnation),
     /// Marks the stored claims as complete.
-    Whole,
+    MarkComplete,
 }
 
-impl Note {
+impl StoreChange {
     /// The write of a session's claims.
-    pub fn claim_set(group: &Group, session: SessionId, claim_set: &ClaimSet) -> Note {
-        Note::Held(session, frame::encode_recovery_entry(group, session, claim_set).encode_to_vec())
+    pub fn claim_set(group: &Group, session: SessionId, claim_set: &ClaimSet) -> StoreChange {
+        StoreChange::PutClaims(
+            session,
+            frame::encode_recovery_entry(group, session, claim_set).encode_to_vec(),
+        )
     }
 }
 
 /// What the store contained.
 #[derive(Default)]
-pub struct Stored {
+pub struct StoredState {
     /// Whether the stored claims are complete.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The claims of each session.
     pub sessions: BTreeMap<SessionId, ClaimSet>,
     /// The latest start without stable storage of each member.
@@ -76,7 +79,7 @@
     /// # Errors
     /// It can't be read or written, belongs to another group, or holds something else; the message names
     /// the file.
-    pub fn open(dir: &str, group: &Group) -> Result<(Store, Stored), String> {
+    pub fn open(dir: &str, group: &Group) -> Result<(Store, StoredState), String> {
         let path = store_path(dir);
         fs::create_dir_all(dir).map_err(with_path(&path))?;
         let database = Database::create(&path).map_err(with_path(&path))?;
@@ -95,9 +98,9 @@
                 }
                 metadata.insert(name, expected.as_str()).map_err(with_path(&path))?;
             }
-            let mut stored = Stored {
-                whole: metadata.get(COMPLETE_KEY).map_err(with_path(&path))?.is_some(),
-                ..Stored::default()
+            let mut stored = StoredState {
+                is_complete: metadata.get(COMPLETE_KEY).map_err(with_path(&path))?.is_some(),
+                ..StoredState::default()
             };
             let sessions = transaction.open_table(SESSIONS).map_err(with_path(&path))?;
             for entry in sessions.iter().map_err(with_path(&path))? {
@@ -128,7 +131,7 @@
     ///
     /// # Errors
     /// There is a store already, or it can't be written.
-    pub fn begin(dir: &str, group: &Group) -> Result<PathBuf, String> {
+    pub fn create(dir: &str, group: &Group) -> Result<PathBuf, String> {
         let path = store_path(dir);
         if path.exists() {
             return Err(format!(
@@ -137,7 +140,7 @@
             ));
         }
         let (store, _) = Store::open(dir, group)?;
-        store.write(&[Note::Whole]).map_err(with_path(&path))?;
+        store.write(&[StoreChange::MarkComplete]).map_err(with_path(&path))?;
         Ok(path)
     }
 
@@ -145,7 +148,7 @@
     ///
     /// # Errors
     /// They could not be written: no reply that depends on them may be sent.
-    pub fn write(&self, writes: &[Note]) -> Result<(), redb::Error> {
+    pub fn write(&self, writes: &[StoreChange]) -> Result<(), redb::Error> {
         let transaction = self.0.begin_write()?;
         {
             let mut sessions = transaction.open_table(SESSIONS)?;
@@ -153,10 +156,14 @@
                 (transaction.open_table(STARTS)?, transaction.open_table(METADATA)?);
             for write in writes {
                 match write {
-                    Note::Held(session, entry) => drop(sessions.insert(session.0, entry.as_slice())?),
-                    Note::Forgotten(session) => drop(sessions.remove(session.0)?),
-                    Note::Start(name, incarnation) => drop(starts.insert(name.as_str(), incarnation.0)?),
-                    Note::Whole => drop(metadata.insert(COMPLETE_KEY, "yes")?),
+                    StoreChange::PutClaims(session, entry) => {
+                        drop(sessions.insert(session.0, entry.as_slice())?)
+                    }
+                    StoreChange::RemoveClaims(session) => drop(sessions.remove(session.0)?),
+                    StoreChange::PutStart(name, incarnation) => {
+                        drop(starts.insert(name.as_str(), incarnation.0)?)
+                    }
+                    StoreChange::MarkComplete => drop(metadata.insert(COMPLETE_KEY, "yes")?),
                 }
             }
         }
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -2,8 +2,10 @@
 
 use crate::frame::{self, ClaimMessage, RecordMessage};
 use crate::link::Refusal;
-use crate::store::Note;
-use crate::{Config, Cores, Frame, HEAD, Peers, Store, Stored, check_hello, hello};
+use crate::store::StoreChange;
+use crate::{
+    Config, FRAME_HEADER_BYTES, Frame, MemberCore, Peers, Store, StoredState, check_hello, hello_frame,
+};
 use futures_util::future::join_all;
 use ivyward_replica::{Claim, ClaimNo, ClaimOutcome, ClaimSet, Group, Member};
 use ivyward_session::{Incarnation, SessionId};
@@ -23,7 +25,7 @@
 
 fn claim_set(claim_number: u64) -> ClaimSet {
     let claim =
-        |claim_number| Claim { by: Member(1), incarnation: Incarnation(5), no: ClaimNo(claim_number) };
+        |claim_number| Claim { proposer: Member(1), incarnation: Incarnation(5), no: ClaimNo(claim_number) };
     ClaimSet {
         claims: BTreeSet::from([claim(claim_number)]),
         withdrawn: BTreeSet::from([claim(claim_number + 1)]),
@@ -35,24 +37,25 @@
     let dir = std::env::temp_dir().join(format!("ivyward-keeper-{}", std::process::id()));
     let (name, members_abc) = (dir.to_string_lossy().into_owned(), group(&["a", "b", "c"]));
     let open = |group: &Group| Store::open(&name, group);
-    let open_error = |result: Result<(Store, crate::store::Stored), String>| result.err().expect("an error");
+    let open_error =
+        |result: Result<(Store, crate::store::StoredState), String>| result.err().expect("an error");
     // A folder that is new, or was lost, is not a complete store.
-    assert!(!open(&members_abc).expect("a store").1.whole);
-    let error = Store::begin(&name, &members_abc).expect_err("the store exists");
+    assert!(!open(&members_abc).expect("a store").1.is_complete);
+    let error = Store::create(&name, &members_abc).expect_err("the store exists");
     assert!(error.contains("keeper.redb: the store already exists"), "{error}");
     fs::remove_dir_all(&dir).expect("folder removed");
-    Store::begin(&name, &members_abc).expect("store created");
+    Store::create(&name, &members_abc).expect("store created");
     {
         let (store, stored) = open(&members_abc).expect("a store");
-        assert!(stored.whole && stored.sessions.is_empty());
+        assert!(stored.is_complete && stored.sessions.is_empty());
         let writes = [
-            Note::claim_set(&members_abc, SessionId(1), &claim_set(1)),
-            Note::claim_set(&members_abc, SessionId(2), &claim_set(2)),
-            Note::claim_set(&members_abc, SessionId(1), &claim_set(7)),
-            Note::Start("b".into(), Incarnation(9)),
+            StoreChange::claim_set(&members_abc, SessionId(1), &claim_set(1)),
+            StoreChange::claim_set(&members_abc, SessionId(2), &claim_set(2)),
+            StoreChange::claim_set(&members_abc, SessionId(1), &claim_set(7)),
+            StoreChange::PutStart("b".into(), Incarnation(9)),
         ];
         store.write(&writes).expect("write succeeds");
-        store.write(&[Note::Forgotten(SessionId(2))]).expect("write succeeds");
+        store.write(&[StoreChange::RemoveClaims(SessionId(2))]).expect("write succeeds");
     }
     let (store, stored) = open(&members_abc).expect("a store");
     assert_eq!(stored.sessions.into_iter().collect::<Vec<_>>(), [(SessionId(1), claim_set(7))]);
@@ -85,11 +88,11 @@
     let config = |i: usize| Config {
         group: group(&names),
         name: names[i].into(),
-        listen: address(i),
+        listen_address: address(i),
         others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
-        word: Duration::from_secs(5),
-        span: Duration::from_secs(600),
-        connect: Duration::from_millis(250),
+        majority_timeout: Duration::from_secs(5),
+        retention: Duration::from_secs(600),
+        connect_timeout: Duration::from_millis(250),
         state_dir: dir.join(names[i]).to_string_lossy().into_owned(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -97,25 +100,25 @@
         let mut peers = vec![];
         for i in 0..2 {
             let config = config(i);
-            Store::begin(&config.state_dir, &config.group).expect("store created");
+            Store::create(&config.state_dir, &config.group).expect("store created");
             peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
         let claims = (1..=SESSION_COUNT).map(|session| {
             let peers = peers[0].clone();
             async move {
                 let (mut claimed, outcome) = peers.claim(SessionId(session), Duration::from_secs(5)).await;
-                claimed.goes_out();
+                claimed.mark_sent();
                 outcome
             }
         });
         assert!(join_all(claims).await.into_iter().all(|outcome| outcome == ClaimOutcome::Granted));
         let recovering = Peers::start(config(2), Incarnation(2)).await.expect("a member");
         let deadline = Instant::now() + Duration::from_secs(20);
-        while recovering.page().await["catching_up"] == true {
-            assert!(Instant::now() < deadline, "recovery did not finish: {}", recovering.page().await);
+        while recovering.status().await["catching_up"] == true {
+            assert!(Instant::now() < deadline, "recovery did not finish: {}", recovering.status().await);
             sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(recovering.page().await["sessions_kept"], SESSION_COUNT as u64);
+        assert_eq!(recovering.status().await["sessions_kept"], SESSION_COUNT as u64);
         let (_, outcome) = recovering.claim(SessionId(7), Duration::from_secs(1)).await;
         assert_eq!(outcome, ClaimOutcome::Taken);
     });
@@ -129,7 +132,10 @@
     stream.write_all(bytes).await.ok();
     let mut received = vec![];
     timeout(Duration::from_secs(2), stream.read_to_end(&mut received)).await.ok();
-    received.get(HEAD..).and_then(|frame| Frame::decode(frame).ok()).filter(|_| received.len() > HEAD)
+    received
+        .get(FRAME_HEADER_BYTES..)
+        .and_then(|frame| Frame::decode(frame).ok())
+        .filter(|_| received.len() > FRAME_HEADER_BYTES)
 }
 
 fn encode_frames(frames: &[Frame]) -> Vec<u8> {
@@ -149,19 +155,19 @@
     let config = |i: usize| Config {
         group: group(&names),
         name: names[i].into(),
-        listen: address(i),
+        listen_address: address(i),
         others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
-        word: Duration::from_millis(500),
-        span: Duration::from_secs(600),
-        connect: Duration::from_millis(250),
+        majority_timeout: Duration::from_millis(500),
+        retention: Duration::from_secs(600),
+        connect_timeout: Duration::from_millis(250),
         state_dir: dir.join(names[i]).to_string_lossy().into_owned(),
     };
     let (ours, member_c) = (group(&names), Member(2));
-    let valid_hello = hello(&ours, member_c, Incarnation(3));
+    let valid_hello = hello_frame(&ours, member_c, Incarnation(3));
     // Each hello and why it is refused; only a group mismatch is answered with the group's text.
     let other = group(&["a", "b", "d"]);
     let cases = [
-        ("another group", hello(&other, Member(0), Incarnation(1)), Refusal::Group("a".into())),
+        ("another group", hello_frame(&other, Member(0), Incarnation(1)), Refusal::Group("a".into())),
         (
             "another digest",
             Frame { digest: vec![1, 2, 3], ..valid_hello.clone() },
@@ -190,7 +196,7 @@
         let mut peers = vec![];
         for i in 0..2 {
             let config = config(i);
-            Store::begin(&config.state_dir, &config.group).expect("store created");
+            Store::create(&config.state_dir, &config.group).expect("store created");
             peers.push(Peers::start(config, Incarnation(1)).await.expect("a member"));
         }
         for (case, first, refusal) in &cases {
@@ -225,7 +231,7 @@
         peers[0].revoke(SessionId(7));
         let deadline = Instant::now() + Duration::from_secs(5);
         while !peers[1].is_revoked(SessionId(7)) {
-            assert!(Instant::now() < deadline, "{}", peers[1].page().await);
+            assert!(Instant::now() < deadline, "{}", peers[1].status().await);
             sleep(Duration::from_millis(10)).await;
         }
     });
@@ -253,18 +259,18 @@
     ];
     for (known_remaining, published_at_once, published_later) in cases {
         let mut now = Duration::from_secs(1);
-        let mut core = Cores::new(
+        let mut core = MemberCore::new(
             group.clone(),
             Member(0),
             Incarnation(2),
             tick_interval,
             retention,
             now,
-            Stored::default(),
+            StoredState::default(),
         );
         core.start(now);
         core.out.frames.clear();
-        let published_records = |core: &mut Cores, now| {
+        let published_records = |core: &mut MemberCore, now| {
             core.revoke(now, SessionId(7));
             let frames: Vec<_> = core.out.frames.drain(..).collect();
             frames.iter().filter(|(_, frame)| frame.kind == frame::RECORDS).count()
@@ -282,10 +288,10 @@
             };
             let records =
                 Frame { kind: frame::RECORDS, claim, count: 1, records: vec![record], ..Frame::default() };
-            core.hears(now, Member(1), &records).expect("valid frame");
+            core.on_frame(now, Member(1), &records).expect("valid frame");
             core.out.frames.clear();
         }
-        core.hears(now, Member(1), &Frame { kind: frame::IN_SYNC, ..Frame::default() });
+        core.on_frame(now, Member(1), &Frame { kind: frame::IN_SYNC, ..Frame::default() });
         let published_count =
             core.out.frames.drain(..).filter(|(_, frame)| frame.kind == frame::RECORDS).count();
         assert_eq!(published_count > 0, published_at_once, "{known_remaining:?}");
@@ -305,13 +311,20 @@
     }
     // Without any reply it is published after a few ticks.
     let mut now = Duration::ZERO;
-    let mut core =
-        Cores::new(group, Member(0), Incarnation(1), tick_interval, retention, now, Stored::default());
+    let mut core = MemberCore::new(
+        group,
+        Member(0),
+        Incarnation(1),
+        tick_interval,
+        retention,
+        now,
+        StoredState::default(),
+    );
     core.start(now);
     core.revoke(now, SessionId(7));
     (0..4).for_each(|_| {
         now += tick_interval;
-        core.turn(now);
+        core.tick(now);
     });
     assert_eq!(core.revoked.len(), 1);
 }
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -220,7 +220,7 @@
         let acceptors = self.group.acceptors(session);
         let of = |member: &Member| Some((*member, *self.starts.get(member)?));
         let starts: Vec<_> = acceptors.iter().filter_map(of).collect();
-        out.accepted(claim.by, session, claim, self.incarnation, &starts);
+        out.accepted(claim.proposer, session, claim, self.incarnation, &starts);
     }
 
     /// Handles a withdrawal: the set-up of the claim provably never ran.
@@ -333,7 +333,7 @@
                         self.send_accepted(out, session, claim);
                     }
                 }
-                AfterStore::Withdrawn(session, claim) => out.withdrawn(claim.by, session, claim),
+                AfterStore::Withdrawn(session, claim) => out.withdrawn(claim.proposer, session, claim),
                 AfterStore::RecoveryEntries(to, incarnation) => {
                     self.send_recovery_entries(out, to, incarnation)
                 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -25,7 +25,7 @@
 pub use acceptor::{Acceptor, ClaimSet};
 pub use group::Group;
 pub use proposer::{ClaimOutcome, Proposer};
-pub use replicated_set::{Log, Record, ReplicatedSet, ReplicationEffects};
+pub use replicated_set::{LogId, Record, ReplicatedSet, ReplicationEffects};
 
 use ivyward_session::{Incarnation, SessionId};
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
     /// The manager that made the claim.
-    pub by: Member,
+    pub proposer: Member,
     /// The start of that manager.
     pub incarnation: Incarnation,
     /// The claim's number within that start.
--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -75,7 +75,7 @@
     }
 
     fn claim(&self, no: ClaimNo) -> Claim {
-        Claim { by: self.me, incarnation: self.incarnation, no }
+        Claim { proposer: self.me, incarnation: self.incarnation, no }
     }
 
     /// Proposes a claim: a paid session is to be set up if a majority of its acceptors accepts the claim
@@ -98,7 +98,7 @@
             let latest_start = self.starts.entry(*member).or_insert(*incarnation);
             *latest_start = (*latest_start).max(*incarnation);
         }
-        if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
+        if (claim.proposer, claim.incarnation) != (self.me, self.incarnation) {
             return;
         }
         if let Some(proposal) =
@@ -112,7 +112,7 @@
 
     /// Handles a rejection.
     pub fn on_rejected(&mut self, out: &mut impl Effects, from: Member, claim: Claim, taken: bool) {
-        if (claim.by, claim.incarnation) != (self.me, self.incarnation) {
+        if (claim.proposer, claim.incarnation) != (self.me, self.incarnation) {
             return;
         }
         if let Some(proposal) =
@@ -175,7 +175,7 @@
 
     /// Handles the confirmation of a withdrawal.
     pub fn on_withdrawn(&mut self, from: Member, claim: Claim) {
-        if (claim.by, claim.incarnation) == (self.me, self.incarnation) {
+        if (claim.proposer, claim.incarnation) == (self.me, self.incarnation) {
             self.unconfirmed.remove(&(from, claim.no));
         }
     }
--- a/crates/replica/src/replicated_set.rs
+++ b/crates/replica/src/replicated_set.rs
@@ -24,9 +24,9 @@
 const ANSWER_RECORD_COUNT: usize = 16 * MESSAGE_RECORD_COUNT;
 /// Identifies the log of records that one start of a member adds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Log {
+pub struct LogId {
     /// The member that adds the records.
-    pub of: Member,
+    pub member: Member,
     /// The start of that member.
     pub incarnation: Incarnation,
 }
@@ -51,9 +51,9 @@
     fn in_sync(&mut self, to: Member);
     /// Sends what is held here: for each log the number after its last record. `is_reply`: whether it
     /// answers such a message.
-    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool);
+    fn heads(&mut self, to: Member, heads: &BTreeMap<LogId, u64>, is_reply: bool);
     /// Sends all records held of a log in a range of numbers.
-    fn records(&mut self, to: Member, log: Log, number_range: Range<u64>, records: &[Record<R>]);
+    fn records(&mut self, to: Member, log: LogId, number_range: Range<u64>, records: &[Record<R>]);
     /// Notifies the local user that a record was added.
     fn added(&mut self, value: &R);
     /// Notifies the local user that a record expired.
@@ -87,9 +87,9 @@
 /// One member's copy of the set.
 #[derive(Clone, Debug)]
 pub struct ReplicatedSet<R> {
-    own_log: Log,
+    own_log: LogId,
     retention: Duration,
-    logs: BTreeMap<Log, LogRecords<R>>,
+    logs: BTreeMap<LogId, LogRecords<R>>,
 }
 
 impl<R: Clone + PartialEq> ReplicatedSet<R> {
@@ -106,7 +106,7 @@
     /// Creates an empty copy. `incarnation`: this start's number, greater than all earlier ones.
     /// `retention`: the longest time that a record is held.
     pub fn new(me: Member, incarnation: Incarnation, retention: Duration) -> ReplicatedSet<R> {
-        ReplicatedSet { own_log: Log { of: me, incarnation }, retention, logs: BTreeMap::new() }
+        ReplicatedSet { own_log: LogId { member: me, incarnation }, retention, logs: BTreeMap::new() }
     }
 
     /// Number of records held.
@@ -120,7 +120,7 @@
     }
 
     /// Number of logs known, one per start of a member.
-    pub fn logs(&self) -> usize {
+    pub fn log_count(&self) -> usize {
         self.logs.len()
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// The number after the last record, for each log that holds any; empty logs are left out.
-    fn heads(&self) -> BTreeMap<Log, u64> {
+    fn heads(&self) -> BTreeMap<LogId, u64> {
         let held = self.logs.iter().filter(|(_, log)| !log.entries.is_empty());
         held.map(|(log, records)| (*log, records.head)).collect()
     }
@@ -184,7 +184,7 @@
     /// Handles another copy's heads: sends the records that it lacks and asks for those lacked here.
     pub fn on_heads(
         &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member,
-        their_heads: &BTreeMap<Log, u64>, is_reply: bool,
+        their_heads: &BTreeMap<LogId, u64>, is_reply: bool,
     ) {
         self.expire(out, now);
         let mut record_budget = ANSWER_RECORD_COUNT;
@@ -202,7 +202,7 @@
                 first = end;
             }
         }
-        let lacks_records = |(log, head): (&Log, &u64)| {
+        let lacks_records = |(log, head): (&LogId, &u64)| {
             *log != self.own_log && self.logs.get(log).map_or(0, |records| records.head) < *head
         };
         // Guards against two copies that ask each other endlessly while the records they send are lost.
@@ -214,7 +214,7 @@
     /// Handles all records that another copy holds of a log in a range of numbers; new records are
     /// passed on to the other neighbours.
     pub fn on_records(
-        &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member, log: Log,
+        &mut self, out: &mut impl ReplicationEffects<R>, now: Duration, from: Member, log: LogId,
         number_range: Range<u64>, records: Vec<Record<R>>, neighbours: &[Member],
     ) {
         self.expire(out, now);
@@ -255,9 +255,9 @@
         // more retention. Dropping it earlier would let a record that has expired here but not yet
         // elsewhere be learned again from other members, and again from here.
         let latest_incarnations: BTreeMap<_, _> =
-            self.logs.keys().map(|log| (log.of, log.incarnation)).collect();
+            self.logs.keys().map(|log| (log.member, log.incarnation)).collect();
         let (retention, is_latest) =
-            (self.retention, |log: &Log| latest_incarnations[&log.of] == log.incarnation);
+            (self.retention, |log: &LogId| latest_incarnations[&log.member] == log.incarnation);
         self.logs.retain(|log, held| {
             !held.entries.is_empty() || is_latest(log) || now < held.empty_since + retention
         });
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -3,7 +3,7 @@
 //! time.
 
 use crate::{
-    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, Log, Member, Proposer, Record,
+    Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, LogId, Member, Proposer, Record,
     ReplicatedSet, ReplicationEffects,
 };
 use ivyward_session::{Incarnation, SessionId};
@@ -155,7 +155,7 @@
     fn forget(&mut self, _: SessionId) {}
     fn claim_decided(&mut self, no: ClaimNo, outcome: ClaimOutcome) {
         if outcome == ClaimOutcome::Granted {
-            self.granted.insert(Claim { by: self.me, incarnation: self.incarnation, no });
+            self.granted.insert(Claim { proposer: self.me, incarnation: self.incarnation, no });
         }
     }
 }
@@ -264,7 +264,7 @@
         let incarnation = Incarnation(old.incarnation.0 + 1);
         self.nodes[usize::from(target.0)] = node(target, members, incarnation, disk);
         // Its claims that were granted but not yet set up are lost with it.
-        self.granted.retain(|claim| claim.by != target);
+        self.granted.retain(|claim| claim.proposer != target);
         self.with_node(target, defect, |node, out| node.acceptor.retry(out, NOW, usize::MAX));
     }
 
@@ -296,7 +296,9 @@
             // The servers rejected the set-up.
             Step::NeverRan(claim) => {
                 self.granted.remove(&claim);
-                self.with_node(claim.by, defect, |node, out| node.proposer.withdraw(out, SESSION, claim.no));
+                self.with_node(claim.proposer, defect, |node, out| {
+                    node.proposer.withdraw(out, SESSION, claim.no)
+                });
             }
             Step::Sync(target) => self.sync(target, defect),
             Step::Propose(target) => {
@@ -520,8 +522,8 @@
 enum ReplicationMessage {
     Digest(u64),
     InSync,
-    Heads(BTreeMap<Log, u64>, bool),
-    Records(Log, Range<u64>, Vec<Record<u32>>),
+    Heads(BTreeMap<LogId, u64>, bool),
+    Records(LogId, Range<u64>, Vec<Record<u32>>),
 }
 
 impl ReplicationEffects<u32> for CopyEffects {
@@ -533,11 +535,11 @@
         self.outbox.push((to, ReplicationMessage::InSync));
     }
 
-    fn heads(&mut self, to: Member, heads: &BTreeMap<Log, u64>, is_reply: bool) {
+    fn heads(&mut self, to: Member, heads: &BTreeMap<LogId, u64>, is_reply: bool) {
         self.outbox.push((to, ReplicationMessage::Heads(heads.clone(), is_reply)));
     }
 
-    fn records(&mut self, to: Member, log: Log, number_range: Range<u64>, records: &[Record<u32>]) {
+    fn records(&mut self, to: Member, log: LogId, number_range: Range<u64>, records: &[Record<u32>]) {
         self.outbox.push((to, ReplicationMessage::Records(log, number_range, records.to_vec())));
     }
 
@@ -775,7 +777,7 @@
     }
     assert!(cluster.copies.iter().all(|(copy, effects)| copy.is_empty() && effects.value_counts.is_empty()));
     // The logs of earlier starts are dropped too.
-    assert!(cluster.copies.iter().all(|(copy, _)| copy.logs() <= 3));
+    assert!(cluster.copies.iter().all(|(copy, _)| copy.log_count() <= 3));
 }
 
 #[test]
@@ -796,7 +798,7 @@
             cluster.forwards_records = true;
             cluster.add(0, 7);
             cluster.deliver_all(0, |_, to| to == 4 && !is_reached);
-            let log = Log { of: Member(0), incarnation: Incarnation(1) };
+            let log = LogId { member: Member(0), incarnation: Incarnation(1) };
             cluster.restart(0, 2);
             cluster.add(0, 8);
             cluster.deliver_all(0, |_, to| to == 4 && !is_reached);
@@ -821,7 +823,10 @@
             // Nothing of it is left after its lifetime.
             cluster.now += 2 * RETENTION;
             cluster.tick_all(0, |_, _| false);
-            assert!(cluster.copies.iter().all(|(copy, _)| copy.is_empty() && copy.logs() <= 1), "{case}");
+            assert!(
+                cluster.copies.iter().all(|(copy, _)| copy.is_empty() && copy.log_count() <= 1),
+                "{case}"
+            );
         }
     }
 }
--- a/crates/session/src/tests/harness.rs
+++ b/crates/session/src/tests/harness.rs
@@ -110,27 +110,32 @@
     fn of(probe: bool, sessions: Option<(Duration, Duration)>) -> Harness {
         let package = |once, seats| Package {
             value: 1.0,
-            target: ms(1000),
+            set_up_target: ms(1000),
             paid_once: once,
-            scale: 1.0,
-            floor: 0,
-            top: 1,
+            rate_scale: 1.0,
+            floor_rung: 0,
+            top_rung: 1,
             seats,
         };
         let policy = Manager::new(
-            (7, 1, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 }),
-            Ladder { rates: vec![100.0, 200.0], worths: vec![0.5, 1.0], switch: 0.5 },
+            (7, 1, ZoneId(0), Prices { cross_zone: 0.0, handshake: 0.0 }),
+            Ladder { rates_kb: vec![100.0, 200.0], worths: vec![0.5, 1.0], switch_cost_s: 0.5 },
             Network {
-                places: 6,
-                racks: 2,
-                links_kb: 600_000.0,
-                weight_kb: 100_000.0,
+                cell_count: 6,
+                rack_count: 2,
+                total_link_kb: 600_000.0,
+                kb_per_weight: 100_000.0,
                 uplink_kb: 300_000.0,
                 configured_report_interval: ms(3000),
                 report_delay: ms(1000),
             },
             SlowStart::new(1, &[1000.0], ms(100), 1.0, 100.0, ms(100)),
-            Limits { tune_ins: 3, call_off: true, probe: probe.then_some(0.0), come_back: Some(ms(2000)) },
+            Limits {
+                max_tune_ins: 3,
+                may_cancel: true,
+                probe_price: probe.then_some(0.0),
+                max_come_back_after: Some(ms(2000)),
+            },
             Some(RetryBudget::new(ms(5000), 1000.0, 1.0)),
             vec![package(false, 0), package(true, 0), package(false, 2)],
         );
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -433,7 +433,7 @@
             // first.
             let cold_until =
                 list_entry.started_at.unwrap_or_default().max(self.start_time) + self.slow_start.cold_for;
-            let link = Link::new(list_entry.weight * self.network.weight_kb, 0);
+            let link = Link::new(list_entry.weight * self.network.kb_per_weight, 0);
             let server = self.servers.entry(list_entry.server);
             let server = server.or_insert_with(|| Server::new(list_entry, link, cold_until));
             // Handles a start that is first reported while the server drains or is gone, and one that
@@ -542,7 +542,7 @@
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.answered = true;
         match viewing.server {
-            Some(_) if !viewing.playing && self.limits.call_off => {
+            Some(_) if !viewing.playing && self.limits.may_cancel => {
                 act.cancel_tune_in(viewing_id, viewing.tune_ins - 1)
             }
             Some(_) => {}
@@ -651,7 +651,7 @@
         let own_kb: f64 = placed.iter().map(|viewing| self.rung_kb(viewing, viewing.rung)).sum();
         let (placed_count, uplink_count) = (placed.len() as f64, self.uplinks.len() as f64);
         let capacities_kb =
-            [self.network.links_kb.max(1.0), (self.network.uplink_kb * uplink_count).max(1.0)];
+            [self.network.total_link_kb.max(1.0), (self.network.uplink_kb * uplink_count).max(1.0)];
         push_sample(&mut self.context.viewing_counts, 2 * MAX_SAMPLES, (now, placed_count));
         self.context.mean_viewing_counts =
             [placed_count / self.live_server_count.max(1) as f64, placed_count / uplink_count];
@@ -676,14 +676,14 @@
     fn insert_viewing(
         &mut self, viewing_id: ViewingId, package: PackageId, title: TitleId, cells: Cells, top_rung: usize,
     ) -> Option<&mut Viewing<Continuation>> {
-        let (package_settings, max_rung) = (self.packages.get(package.0)?, self.ladder.rates.len() - 1);
+        let (package_settings, max_rung) = (self.packages.get(package.0)?, self.ladder.rates_kb.len() - 1);
         let viewing = Viewing::new(
             package.0,
             title,
             cells,
             (
-                package_settings.floor,
-                top_rung.min(package_settings.top).min(max_rung).max(package_settings.floor),
+                package_settings.floor_rung,
+                top_rung.min(package_settings.top_rung).min(max_rung).max(package_settings.floor_rung),
             ),
         );
         self.remove_viewing(viewing_id);
@@ -750,13 +750,13 @@
     ) -> Result<ServerId, Option<(Duration, RefusalReason)>> {
         let (viewing, now, recent_for) =
             (&self.viewings[&viewing_id], self.context.now, self.slow_start.cold_for);
-        let backoff = self.packages.iter().map(|p| p.target).min().unwrap_or(CONTROL_INTERVAL) / 2;
+        let backoff = self.packages.iter().map(|p| p.set_up_target).min().unwrap_or(CONTROL_INTERVAL) / 2;
         let (mut min_wait, mut reason, mut rng) =
             (Duration::MAX, RefusalReason::NoReadyHolder, Pcg32(self.rng.0));
         // Estimates the request rate of all managers for this viewing's cells, assuming that all see our
         // rate. It is the load over which the cold holders' pacing is shared out.
         let cell_fraction =
-            f64::from(viewing.cells.spread.min(self.network.places)) / self.servers_by_cell.len() as f64;
+            f64::from(viewing.cells.spread.min(self.network.cell_count)) / self.servers_by_cell.len() as f64;
         let demand_rate = LazyCell::new(|| {
             // Some cells get far more requests than the mean; counts as far as it exceeds noise.
             let recent_requests = |warning: &EarlyWarning| {
@@ -822,7 +822,7 @@
             } else {
                 let uplink = &self.uplinks[self.network.rack_of_cell(entry.list_entry.cell)];
                 let cross_zone_cost =
-                    if entry.list_entry.zone == self.zone { 0.0 } else { self.prices.cross };
+                    if entry.list_entry.zone == self.zone { 0.0 } else { self.prices.cross_zone };
                 // There is no connection to a server that has sent no report since its start.
                 let connection_cost = if entry.link.reports.is_empty() { self.prices.handshake } else { 0.0 };
                 let utilization =
@@ -864,7 +864,7 @@
         let viewing = &self.viewings[&viewing_id];
         let probe_price = self
             .limits
-            .probe
+            .probe_price
             .filter(|_| viewing.tune_ins == 0 && candidates.is_empty() && drawn_two.len() == 2);
         if let Some(probe_price) = probe_price {
             // With many managers, few holders have viewings of ours; only a probe brings a report then.
@@ -913,7 +913,7 @@
         let patience_left = viewing.patience_ends_at.saturating_sub(now);
         let over_retry_budget =
             !is_first && self.retry_budget.as_mut().is_some_and(|budget| !budget.allows_retry(now));
-        let tune_ins_used_up = tune_ins >= self.limits.tune_ins;
+        let tune_ins_used_up = tune_ins >= self.limits.max_tune_ins;
         let refusals = [
             (!has_seat, RefusalReason::SeatsTaken),
             (patience_left.is_zero(), RefusalReason::PatienceOver),
@@ -928,11 +928,11 @@
         }
         // A paid viewing can't be retried after a timeout, and nothing follows a last tune-in; both may
         // use all the patience that is left.
-        let is_last = package_settings.paid_once || tune_ins + 1 == self.limits.tune_ins;
+        let is_last = package_settings.paid_once || tune_ins + 1 == self.limits.max_tune_ins;
         let timeout = if is_last {
             patience_left
         } else {
-            package_settings.target.mul_f64(TUNE_IN_TIMEOUT_FRACTION).min(patience_left)
+            package_settings.set_up_target.mul_f64(TUNE_IN_TIMEOUT_FRACTION).min(patience_left)
         };
         if viewing.candidates.is_empty() {
             push_sample(&mut self.placement_times, 32 * MAX_SAMPLES, now);
@@ -1006,7 +1006,7 @@
         self.remove_viewing(viewing_id);
         act.block(
             viewing_id,
-            self.limits.come_back.map(|max_wait| wait.min(max_wait)).filter(|wait| !wait.is_zero()),
+            self.limits.max_come_back_after.map(|max_wait| wait.min(max_wait)).filter(|wait| !wait.is_zero()),
             reason,
         );
     }
@@ -1073,9 +1073,9 @@
             let link = &self.servers[&server].link;
             links.entry(server).or_insert_with(|| (link.excess_demand(&self.context), headroom(link)));
             let package_settings = &self.packages[viewing.package];
-            let switch_cost = self.ladder.switch * package_settings.value
+            let switch_cost = self.ladder.switch_cost_s * package_settings.value
                 / (SWITCH_HORIZON_INTERVALS * CONTROL_INTERVAL.as_secs_f64());
-            let lower_rung = target_rung.min(viewing.rung.saturating_sub(1).max(package_settings.floor));
+            let lower_rung = target_rung.min(viewing.rung.saturating_sub(1).max(package_settings.floor_rung));
             if viewing.playing && lower_rung < viewing.rung {
                 let (kb, value) = self.rung_difference(viewing.package, lower_rung, viewing.rung);
                 let price_ratio = if link.viewing_count > 1 { 1.0 } else { value / kb / price };
@@ -1171,9 +1171,9 @@
 
     /// Ends the control interval of each server. Also removes servers that have left the list.
     fn close_interval(&mut self) {
-        let (own_fraction, lowest_rate_kb) = (1.0 / self.manager_count, self.ladder.rates[0].max(1e-6));
+        let (own_fraction, lowest_rate_kb) = (1.0 / self.manager_count, self.ladder.rates_kb[0].max(1e-6));
         let raised_servers =
-            self.viewings.values().filter(|viewing| viewing.rung > self.packages[viewing.package].floor);
+            self.viewings.values().filter(|viewing| viewing.rung > self.packages[viewing.package].floor_rung);
         let raised_servers: BTreeSet<_> = raised_servers.filter_map(|viewing| viewing.server).collect();
         for (server_id, entry) in &mut self.servers {
             let uplink_utilization =
--- a/src/state.rs
+++ b/src/state.rs
@@ -40,38 +40,38 @@
 /// The ladder of rates: kB per second and worth of each rung, and the seconds of value that a switch
 /// costs.
 pub struct Ladder {
-    pub rates: Vec<f64>,
+    pub rates_kb: Vec<f64>,
     pub worths: Vec<f64>,
-    pub switch: f64,
+    pub switch_cost_s: f64,
 }
 
 impl Ladder {
     /// Differences in kB and in worth between two rungs.
     pub(crate) fn rung_difference(&self, from: usize, to: usize) -> (f64, f64) {
-        (self.rates[to] - self.rates[from], self.worths[to] - self.worths[from])
+        (self.rates_kb[to] - self.rates_kb[from], self.worths[to] - self.worths[from])
     }
 }
 
 /// Settings of a package: value, set-up target, scale of its rates, lowest and highest rung.
 pub struct Package {
     pub value: f64,
-    pub target: Duration,
+    pub set_up_target: Duration,
     /// Paid at set-up, so it is never set up twice.
     pub paid_once: bool,
-    pub scale: f64,
-    pub floor: usize,
-    pub top: usize,
+    pub rate_scale: f64,
+    pub floor_rung: usize,
+    pub top_rung: usize,
     /// Maximum number of viewings of one title that a manager may hold; 0 for no limit.
     pub seats: usize,
 }
 
 /// Cells and racks, the capacities of links, and the timing of reports on them.
 pub struct Network {
-    pub places: u32,
-    pub racks: u32,
+    pub cell_count: u32,
+    pub rack_count: u32,
     /// Capacity of all servers' links together, at the start.
-    pub links_kb: f64,
-    pub weight_kb: f64,
+    pub total_link_kb: f64,
+    pub kb_per_weight: f64,
     pub uplink_kb: f64,
     /// Zero if reports come at no interval.
     pub configured_report_interval: Duration,
@@ -80,7 +80,7 @@
 
 impl Network {
     pub(crate) fn rack_of_cell(&self, cell: u32) -> usize {
-        (cell % self.racks.max(1)) as usize
+        (cell % self.rack_count.max(1)) as usize
     }
 }
 
@@ -88,16 +88,16 @@
 /// (none: no probes), and the longest time after which a blocked viewer is asked to come back (none:
 /// viewers get no such time).
 pub struct Limits {
-    pub tune_ins: u16,
-    pub call_off: bool,
-    pub probe: Option<f64>,
-    pub come_back: Option<Duration>,
+    pub max_tune_ins: u16,
+    pub may_cancel: bool,
+    pub probe_price: Option<f64>,
+    pub max_come_back_after: Option<Duration>,
 }
 
 /// Costs of a viewing as fractions of its value: crossing to another zone, and a new connection to a
 /// server.
 pub struct Prices {
-    pub cross: f64,
+    pub cross_zone: f64,
     pub handshake: f64,
 }
 
@@ -525,10 +525,11 @@
         slow_start: SlowStart, limits: Limits, retry_budget: Option<RetryBudget>, packages: Vec<Package>,
     ) -> Self {
         let (now, manager_count) = (Duration::ZERO, f64::from(manager_count.max(1)));
-        let uplinks: Vec<_> = (0..network.racks.max(1)).map(|_| Link::new(network.uplink_kb, 1)).collect();
+        let uplinks: Vec<_> =
+            (0..network.rack_count.max(1)).map(|_| Link::new(network.uplink_kb, 1)).collect();
         let racks = vec![Rack::default(); uplinks.len()];
         let (replan_count, viewings, servers) = (0, BTreeMap::new(), BTreeMap::new());
-        let servers_by_cell = vec![vec![]; network.places.max(1) as usize];
+        let servers_by_cell = vec![vec![]; network.cell_count.max(1) as usize];
         let (start_time, rng, context) =
             (now, Pcg32(seed), EstimateContext::new(network.report_interval(), manager_count));
         Manager {
@@ -576,7 +577,7 @@
 
     /// Value per kB and kB of each step above a viewing's floor.
     fn rung_steps(&self, viewing: &Viewing<Continuation>) -> Vec<(f64, f64)> {
-        let floor = self.packages[viewing.package].floor;
+        let floor = self.packages[viewing.package].floor_rung;
         let step = |rung| self.rung_difference(viewing.package, rung, rung + 1);
         (floor..viewing.top_rung).map(step).map(|(kb, value)| (value / kb, kb)).collect()
     }
@@ -588,7 +589,7 @@
         else {
             return;
         };
-        let (kb, floor) = (self.rung_kb(viewing, viewing.rung), self.packages[viewing.package].floor);
+        let (kb, floor) = (self.rung_kb(viewing, viewing.rung), self.packages[viewing.package].floor_rung);
         let demands = self.demand_by_server.entry(server).or_default();
         match (demands.binary_search_by_key(&viewing_id, |demand| demand.0), is_present) {
             (Ok(i), true) => demands[i].1 = kb,
@@ -727,14 +728,14 @@
 
     /// The kB per second of a viewing at a rung.
     pub(crate) fn rung_kb(&self, viewing: &Viewing<Continuation>, rung: usize) -> f64 {
-        self.ladder.rates[rung] * self.packages[viewing.package].scale
+        self.ladder.rates_kb[rung] * self.packages[viewing.package].rate_scale
     }
 
     /// Differences in kB and in value between two rungs of a package.
     pub(crate) fn rung_difference(&self, package: usize, from: usize, to: usize) -> (f64, f64) {
         let package_settings = &self.packages[package];
         let (kb, worth) = self.ladder.rung_difference(from, to);
-        ((kb * package_settings.scale).max(1e-6), worth * package_settings.value)
+        ((kb * package_settings.rate_scale).max(1e-6), worth * package_settings.value)
     }
 
     /// Number of entries held by server, viewing or tune-in; shows whether memory stays bounded.
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -67,30 +67,35 @@
 impl Harness {
     fn new(retry_budget: Option<RetryBudget>) -> Self {
         let (rates, worths) = (vec![100.0, 200.0, 400.0, 800.0], vec![0.25, 0.5, 0.75, 1.0]);
-        let ladder = Ladder { rates, worths, switch: 0.5 };
+        let ladder = Ladder { rates_kb: rates, worths, switch_cost_s: 0.5 };
         let (report_interval, report_delay) = (ms(3000), ms(1000));
         let network = Network {
-            places: 8,
-            racks: 2,
-            links_kb: 8000.0,
-            weight_kb: 1000.0,
+            cell_count: 8,
+            rack_count: 2,
+            total_link_kb: 8000.0,
+            kb_per_weight: 1000.0,
             uplink_kb: 8000.0,
             configured_report_interval: report_interval,
             report_delay,
         };
         let slow_start = SlowStart::new(2, &[40.0], ms(10_000), 0.4, 2.0, ms(1000));
-        let limits = Limits { tune_ins: 3, probe: None, call_off: true, come_back: Some(ms(2000)) };
+        let limits = Limits {
+            max_tune_ins: 3,
+            probe_price: None,
+            may_cancel: true,
+            max_come_back_after: Some(ms(2000)),
+        };
         let package = |paid_once, floor, seats| Package {
             value: 1.0,
-            target: ms(1000),
+            set_up_target: ms(1000),
             paid_once,
-            scale: 1.0,
-            floor,
-            top: 3,
+            rate_scale: 1.0,
+            floor_rung: floor,
+            top_rung: 3,
             seats,
         };
         let packages = vec![package(false, 0, 0), package(true, 0, 0), package(false, 1, 2)];
-        let identity = (7, 2, ZoneId(0), Prices { cross: 0.0, handshake: 0.0 });
+        let identity = (7, 2, ZoneId(0), Prices { cross_zone: 0.0, handshake: 0.0 });
         let manager = Manager::new(identity, ladder, network, slow_start, limits, retry_budget, packages);
         let mut harness = Harness { manager, recorder: Recorder::default(), now: START };
         harness.manager.start(&mut harness.recorder, START);
@@ -710,7 +715,7 @@
     ];
     for (price, recent, probe_count, results, chosen) in cases {
         let mut harness = Harness::new(None);
-        harness.manager.limits.probe = price;
+        harness.manager.limits.probe_price = price;
         for (server, utilization) in [(0, 0.1), (1, 0.5)] {
             harness.send_update(0, server, ServerUpdate::Link(utilization));
         }
@@ -1187,7 +1192,7 @@
             (0, 1),
             RefusalReason::RateLimited,
         ),
-        (|harness| harness.manager.limits.tune_ins = 0, 0, (0, 1), RefusalReason::TuneInsUsedUp),
+        (|harness| harness.manager.limits.max_tune_ins = 0, 0, (0, 1), RefusalReason::TuneInsUsedUp),
     ];
     for (prepare, package, (first, spread), reason) in cases {
         let mut harness = Harness::new(None);
--- a/src/tests/outage.rs
+++ b/src/tests/outage.rs
@@ -66,7 +66,7 @@
     manager.slow_start = SlowStart::new(managers, &[streams], COLD_DURATION, 0.4, 2.0, OVERLOAD_WINDOW);
     manager.rng = Pcg32(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     // Links have ample capacity, so only the outage limits set-ups.
-    (manager.network.links_kb, manager.network.uplink_kb) = (4e6, 4e6);
+    (manager.network.total_link_kb, manager.network.uplink_kb) = (4e6, 4e6);
     manager.uplinks.iter_mut().for_each(|uplink| uplink.capacity_kb = 4e6);
     manager.servers.values_mut().for_each(|server| server.link.capacity_kb = 1e6);
     if at_start {
