--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -117,7 +117,7 @@
         check_package_terms(terms, records),
         check_retry_budget(terms, records, requests, managers),
     ];
-    verdicts.map(|(checked, violations)| Judged { looked: checked, broken: violations })
+    verdicts.map(|(checked, messages)| Judged { looked: checked, broken: messages })
 }
 
 /// Judges an additional rule for servers that read immediately what is sent to them.
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -241,7 +241,7 @@
         let managers = managers.iter().map(|manager| ManagerNo(*manager)).collect();
         at(500, What::Died { server: ServerNo(0), managers })
     };
-    // Set-ups at a fixed interval in milliseconds from 2000 on, by these managers in turn. One second after
+    // Set-ups at a fixed interval in milliseconds from 2000 on, by these managers in rotation. One second after
     // its start the server may be sent nine in a second, and twelve more by chance; two seconds after it,
     // ten and thirteen more.
     let sent = |managers: &[u32], interval_ms: u64, count: u64| -> Vec<Record> {
@@ -257,26 +257,26 @@
         };
         (0..count).flat_map(pair).collect()
     };
-    let is_informed = |incarnation| server_notified(1500, Standing::Ready, incarnation);
+    let manager_notified = |incarnation| server_notified(1500, Standing::Ready, incarnation);
     let cases = [
         (
             "as many as it may be sent",
-            vec![server_started(), is_informed(2)],
+            vec![server_started(), manager_notified(2)],
             sent(&[0], 1, 21),
             vec![],
             false,
         ),
-        ("one more", vec![server_started(), is_informed(2)], sent(&[0], 1, 22), vec![], true),
+        ("one more", vec![server_started(), manager_notified(2)], sent(&[0], 1, 22), vec![], true),
         (
             "one more, the first a window before",
-            vec![server_started(), is_informed(2)],
+            vec![server_started(), manager_notified(2)],
             sent(&[0], 44, 24),
             vec![],
             false,
         ),
         (
             "one more, just within the window",
-            vec![server_started(), is_informed(2)],
+            vec![server_started(), manager_notified(2)],
             sent(&[0], 43, 24),
             vec![],
             true,
@@ -284,28 +284,28 @@
         ("no manager knew", vec![server_started()], sent(&[0], 1, 22), vec![], false),
         (
             "notified of the previous start only",
-            vec![server_started(), is_informed(1)],
+            vec![server_started(), manager_notified(1)],
             sent(&[0], 1, 22),
             vec![],
             false,
         ),
         (
             "warm for long",
-            vec![at(0, What::Born { server: ServerNo(1) }), is_informed(1)],
+            vec![at(0, What::Born { server: ServerNo(1) }), manager_notified(1)],
             sent(&[0], 1, 99),
             vec![],
             false,
         ),
         (
             "two managers together, most by the informed one",
-            vec![server_started(), is_informed(2)],
+            vec![server_started(), manager_notified(2)],
             sent(&[0, 0, 1], 1, 22),
             vec![],
             true,
         ),
         (
             "most by the uninformed one",
-            vec![server_started(), is_informed(2)],
+            vec![server_started(), manager_notified(2)],
             sent(&[0, 1, 1], 1, 22),
             vec![],
             false,
