--- a/crates/daemon/tests/flood.rs
+++ b/crates/daemon/tests/flood.rs
@@ -66,8 +66,8 @@
     );
 }
 
-fn is_at(what: &ivyward_standin::What, server: usize) -> bool {
-    matches!(what, ivyward_standin::What::SetUp { server: at, .. } if at.0 == server)
+fn is_at(what: &ivyward_standin::Event, server: usize) -> bool {
+    matches!(what, ivyward_standin::Event::SetUp { server: at, .. } if at.0 == server)
 }
 
 async fn get_at(harness: &Harness, at: SocketAddr, session: u128) -> u16 {
@@ -276,7 +276,7 @@
             // Nothing new later than the grace of 250 ms after news of an end that still stood.
             let records = harness.records();
             let late = records.iter().filter(|record| {
-                let ivyward_standin::What::SetUp { server, .. } = record.what else { return false };
+                let ivyward_standin::Event::SetUp { server, .. } = record.what else { return false };
                 let last = news.iter().rfind(|(at, told, _)| *at == server && *told <= record.at);
                 last.is_some_and(|(_, told, ends)| *ends && record.at > *told + ms(270))
             });
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 use ivyward_dash::{check, manifest};
 use ivyward_fleet::ServerNo;
 use ivyward_settings::Section;
-use ivyward_standin::{Record, Standins, What};
+use ivyward_standin::{Event, Record, Standins};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::future::Future;
@@ -122,7 +122,7 @@
         let harness = Harness { standins, address, settings, ahead, texts, text, end: Some(end), ended };
         // The list has come, and what started with the manager is warm.
         let told = |w: &Harness| {
-            w.standins.records().count(|what| matches!(what, What::Told { .. })) >= w.all().len()
+            w.standins.records().count(|what| matches!(what, Event::ServerNotified { .. })) >= w.all().len()
         };
         harness.until("the list", told).await;
         sleep(ms(400)).await;
@@ -178,7 +178,7 @@
 
     /// Set-ups that servers have read so far.
     pub fn sent(&self) -> usize {
-        self.standins.records().count(|what| matches!(what, What::SetUp { .. }))
+        self.standins.records().count(|what| matches!(what, Event::SetUp { .. }))
     }
 
     /// Waits until `fits`, for twenty seconds at most.
@@ -222,7 +222,7 @@
 
 pub fn set_ups(records: &[Record]) -> Vec<(ServerNo, u128, u16)> {
     let set_up = |record: &Record| match &record.what {
-        What::SetUp { server, session, key, .. } => Some((*server, *session, key.n)),
+        Event::SetUp { server, session, key, .. } => Some((*server, *session, key.n)),
         _ => None,
     };
     records.iter().filter_map(set_up).collect()
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,7 +1,10 @@
 //! The program as a viewing manager, on loopback, over stand-ins that speak the platform's protocol.
 
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
-use ivyward_rules::{Asked, Came, History, Life, Package, Record, Terms, What, gone, judge, table};
+use ivyward_rules::{
+    Event, History, ManagerLifetime, ManifestRequest, Package, Record, RequestOutcome, Terms, judge,
+    judge_closed_requests, table,
+};
 use ivyward_signal::{Field, Kind, SessionRef, line};
 use ivyward_standin::platform::{Behavior, Bus, Server, Viewer, answer, own_address};
 use serde_json::{Value, json};
@@ -737,7 +740,7 @@
 fn the_rules_are_kept_over_a_run_with_failures() {
     with(Behavior::Plays, |harness| async move {
         let begun = Instant::now();
-        let asked: Rc<std::cell::RefCell<Vec<Asked>>> = Rc::default();
+        let asked: Rc<std::cell::RefCell<Vec<ManifestRequest>>> = Rc::default();
         let left = Rc::new(Cell::new(0));
         let ways = [
             Behavior::Plays,
@@ -771,24 +774,24 @@
                     usize::from(viewer.receive(ms(200)).await.is_some())
                 };
                 // Answers as the checker knows them: playing, refused, failed.
-                let none = if leaves { Came::Closed } else { Came::Nothing };
+                let none = if leaves { RequestOutcome::Closed } else { RequestOutcome::NoAnswer };
                 let came = came.map_or(none, |came| match (came.kind, came.cause) {
-                    (Kind::Answer, _) => Came::Answer(200),
-                    (_, Some(34 | 42 | 102)) => Came::Answer(503),
-                    _ => Came::Answer(502),
+                    (Kind::Answer, _) => RequestOutcome::Answer(200),
+                    (_, Some(34 | 42 | 102)) => RequestOutcome::Answer(503),
+                    _ => RequestOutcome::Answer(502),
                 });
                 let session = u128::from(0x9000 + i);
-                told.borrow_mut().push(Asked {
+                told.borrow_mut().push(ManifestRequest {
                     manager: 0,
                     session,
                     package,
-                    at,
-                    came_at,
-                    came,
-                    new: true,
-                    refresh: false,
-                    sent: true,
-                    more,
+                    requested_at: at,
+                    ended_at: came_at,
+                    outcome: came,
+                    starts_viewing: true,
+                    is_refresh: false,
+                    was_connected: true,
+                    extra_answers: more,
                 });
                 waiting.set(waiting.get() - 1);
             });
@@ -810,14 +813,14 @@
             let server = ServerNo(*n);
             let (session, rung) = (seen.of.0.into(), seen.rung.unwrap_or_default() as usize);
             let package = usize::from(seen.package.as_deref() == Some("ticket"));
-            let what = What::SetUp { server, key, session, package, title: "t".into(), rung };
+            let what = Event::SetUp { server, key, session, package, title: "t".into(), rung };
             records.push(Record { at: seen.at.duration_since(begun), what });
             let ends = harness.servers[*n].set_up_ends.borrow();
             let end = ends
                 .iter()
                 .find(|end| (end.connection, end.of) == (seen.connection, seen.of) && end.at >= seen.at);
             records.extend(end.map(|end| {
-                let what = What::SetUpOver { server, key, how: end.how };
+                let what = Event::SetUpEnded { server, key, how: end.how };
                 Record { at: end.at.duration_since(begun), what }
             }));
         }
@@ -827,28 +830,31 @@
             patience: ms(1500),
             target: ms(800),
             value: 1.0,
-            once,
+            paid_once: once,
             floor: 0,
             seats: 0,
         };
         let terms = Terms {
             packages: vec![package("clip", false), package("ticket", true)],
             grace: ms(250),
-            ration: Some((ms(5000), 5.0, 0.2)),
+            retry_budget: Some((ms(5000), 5.0, 0.2)),
             slack: ms(90),
-            grain: ms(50),
-            cold: (Cold { warm_up: ms(100), from: 0.5, multiple: 2.0, fall: ms(1000) }, 1000),
+            time_tolerance: ms(50),
+            slow_start: (Cold { warm_up: ms(100), from: 0.5, multiple: 2.0, fall: ms(1000) }, 1000),
         };
         let asked = asked.take();
         assert_eq!(asked.len(), 135);
-        let history =
-            History { records, asked, managers: vec![Life { no: Some(ManagerNo(0)), gaps: vec![] }] };
-        let gone = gone(ms(100), &history);
-        println!("{} set-ups of viewers that left, {:?}", gone.looked, gone.broken);
-        assert!(gone.looked > 5 && gone.broken.is_empty(), "{:?}", gone.broken);
+        let history = History {
+            records,
+            viewer_requests: asked,
+            managers: vec![ManagerLifetime { manager_number: Some(ManagerNo(0)), downtimes: vec![] }],
+        };
+        let gone = judge_closed_requests(ms(100), &history);
+        println!("{} set-ups of viewers that left, {:?}", gone.check_count, gone.violations);
+        assert!(gone.check_count > 5 && gone.violations.is_empty(), "{:?}", gone.violations);
         let judged = judge(&terms, &history);
-        assert!(judged.iter().all(|rule| rule.broken.is_empty()), "{}", table(&judged));
-        let [lost, twice, _, _, _, ration] = judged.each_ref().map(|rule| rule.looked);
+        assert!(judged.iter().all(|rule| rule.violations.is_empty()), "{}", table(&judged));
+        let [lost, twice, _, _, _, ration] = judged.each_ref().map(|rule| rule.check_count);
         assert!(lost == 135 && twice > 10 && ration > 5, "{}", table(&judged));
     });
 }
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -5,7 +5,7 @@
 use harness::{Harness, get, looked_through, ms, places, set_ups, with};
 use hyper::StatusCode;
 use ivyward_fleet::ServerNo;
-use ivyward_standin::What;
+use ivyward_standin::Event;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -413,6 +413,6 @@
             assert_eq!(came.map(|ended| ended.breaches), Ok(0), "{}", bytes.escape_ascii());
             serving.abort();
         }
-        assert_eq!(harness.records().iter().filter(|r| matches!(r.what, What::SetUp { .. })).count(), 0);
+        assert_eq!(harness.records().iter().filter(|r| matches!(r.what, Event::SetUp { .. })).count(), 0);
     });
 }
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -8,7 +8,7 @@
 use ivyward_daemon::setup;
 use ivyward_fault_proxy::{Fault, FaultProxy};
 use ivyward_fleet::StreamEnd;
-use ivyward_standin::{Standins, What};
+use ivyward_standin::{Event, Standins};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -166,7 +166,7 @@
 
     /// Set-ups of a session that servers have read.
     fn sent(&self, session: u128) -> usize {
-        let of = |what: &What| matches!(what, What::SetUp { session: s, .. } if *s == session);
+        let of = |what: &Event| matches!(what, Event::SetUp { session: s, .. } if *s == session);
         self.standins.records().count(of)
     }
 
@@ -199,7 +199,7 @@
     fn released(&self) -> usize {
         self.standins
             .records()
-            .count(|what| matches!(what, What::StreamOver { why: StreamEnd::Released, .. }))
+            .count(|what| matches!(what, Event::StreamEnded { why: StreamEnd::Released, .. }))
     }
 
     async fn page(&self, i: usize) -> Value {
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -5,7 +5,7 @@
 use harness::{Harness, free, get, ms, places, set_ups, with};
 use hyper::StatusCode;
 use ivyward_fleet::ServerNo;
-use ivyward_standin::{SetUpEnd, Standing, What};
+use ivyward_standin::{Event, ServerStatus, SetUpEnd};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -189,7 +189,7 @@
             assert_eq!(get(&harness.url(&token)).await.status, StatusCode::BAD_GATEWAY);
             let records = harness.records();
             assert_eq!(set_ups(&records).len(), 1, "used: {used}");
-            let broke = |what: &What| matches!(what, What::SetUpOver { how: SetUpEnd::Broke, .. });
+            let broke = |what: &Event| matches!(what, Event::SetUpEnded { how: SetUpEnd::ServerClosed, .. });
             assert!(records.iter().any(|record| broke(&record.what)));
         });
     }
@@ -312,7 +312,8 @@
 fn nothing_goes_to_a_server_after_its_drain_was_told() {
     with(plain, |harness| async move {
         (0..3).for_each(|at| harness.standins.drain(ServerNo(at)));
-        let drained = |what: &What| matches!(what, What::Told { standing: Standing::Draining, .. });
+        let drained =
+            |what: &Event| matches!(what, Event::ServerNotified { standing: ServerStatus::Draining, .. });
         harness.until("the list told of it", |w| w.standins.records().count(drained) == 3).await;
         sleep(ms(250)).await;
         harness.records();
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -7,7 +7,7 @@
 use crate::{trouble, viewers};
 use ivyward_daemon::setup;
 use ivyward_fleet::Cold;
-use ivyward_rules::{History, Life, Package, Terms};
+use ivyward_rules::{History, ManagerLifetime, Package, Terms};
 use ivyward_settings::{Fault, Section};
 use ivyward_standin::Standins;
 use std::cell::RefCell;
@@ -81,7 +81,7 @@
         patience: package.duration("patience_s"),
         target: package.duration("join_target_s"),
         value: package.number("value"),
-        once: package.boolean("once"),
+        paid_once: package.boolean("once"),
         floor: package.count("floor"),
         seats: package.count("seats"),
     };
@@ -95,12 +95,12 @@
     Terms {
         packages: settings.sections("package").iter().map(package).collect(),
         grace: settings.section("network").duration("drain_grace_s"),
-        ration: settings
+        retry_budget: settings
             .has("ration")
             .then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share"))),
         slack: script.duration("slack_s"),
-        grain: script.duration("grain_s"),
-        cold: (cold, fleet.count("places")),
+        time_tolerance: script.duration("grain_s"),
+        slow_start: (cold, fleet.count("places")),
     }
 }
 
@@ -229,12 +229,13 @@
                 quality.push_str(&ivyward_daemon::quality::table(&page));
             }
             let ended = manager.end().await;
-            lives.push(Life { no, gaps: manager.gaps.borrow().clone() });
+            lives.push(ManagerLifetime { manager_number: no, downtimes: manager.gaps.borrow().clone() });
             all_ended.push(ended);
         }
         let records = standins.records().take();
         let streams = standins.model(|fleet| fleet.boxes().map(|at| fleet.streams(at)).sum());
-        let (terms, history) = (terms_of(script), History { records, asked: seen.asked, managers: lives });
+        let (terms, history) =
+            (terms_of(script), History { records, viewer_requests: seen.asked, managers: lives });
         if let Some(file) = record {
             fs::write(file, ivyward_rules::write(&terms, &history))
                 .map_err(|e| format!("{}: {e}", file.display()))?;
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -13,7 +13,9 @@
 use ivyward_fleet::{
     FetchOutcome, Fleet, LoadNote, ManagerNo, ServerNo, SetUpOutcome, StreamEnd as Ends, TuneInKey,
 };
-use ivyward_rules::{Asked, Came, History, Life, Record, SetUpEnd, Terms, What};
+use ivyward_rules::{
+    Event, History, ManagerLifetime, ManifestRequest, Record, RequestOutcome, SetUpEnd, Terms,
+};
 use ivyward_session::{
     Answer, AttemptResult, Effects, EndReason, Incarnation, Policy, RequestId, SessionCore, SessionId, Timer,
     TuneIn, Violation,
@@ -239,10 +241,10 @@
     let left = streams + held.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
     let lives = harness.managers.iter().enumerate().map(|(i, m)| {
         let gaps = m.gaps.iter().map(|(from, until)| (*from, *until)).collect();
-        Life { no: Some(ManagerNo(i as u32)), gaps }
+        ManagerLifetime { manager_number: Some(ManagerNo(i as u32)), downtimes: gaps }
     });
     harness.history.managers = lives.collect();
-    harness.history.asked.sort_by_key(|ask| ask.at);
+    harness.history.viewer_requests.sort_by_key(|ask| ask.requested_at);
     Played { terms: harness.terms, history: harness.history, breaches: harness.breaches, left }
 }
 
@@ -302,8 +304,9 @@
         }
         // Who got nothing until now gets nothing.
         let now = self.now;
-        let waiting = self.history.asked.iter_mut().filter(|ask| ask.came == Came::Nothing);
-        waiting.for_each(|ask| ask.came_at = now);
+        let waiting =
+            self.history.viewer_requests.iter_mut().filter(|ask| ask.outcome == RequestOutcome::NoAnswer);
+        waiting.for_each(|ask| ask.ended_at = now);
     }
 
     fn after(&mut self, span: Duration, job: impl FnOnce(&mut Harness) + 'static) {
@@ -316,7 +319,7 @@
         Duration::from_micros(self.chance.random_range(100..4000))
     }
 
-    fn record(&mut self, what: What) {
+    fn record(&mut self, what: Event) {
         self.history.records.push(Record { at: self.now, what });
     }
 
@@ -374,7 +377,7 @@
                 let key = key(of, viewing_id, n);
                 self.after(way, move |w| {
                     w.at_server(server, move |w| {
-                        w.record(What::Rung { server, key, rung });
+                        w.record(Event::RungChanged { server, key, rung });
                         w.fleet.rung(server, key, rung);
                     });
                 });
@@ -427,7 +430,7 @@
             return self.happened(manager, key, AttemptResult::NotConnected);
         }
         let mut allowed = false;
-        let once = self.terms.packages[sent.package].once;
+        let once = self.terms.packages[sent.package].paid_once;
         if once {
             // On disk before it goes out.
             let until = self.now + Duration::from_secs(600);
@@ -460,11 +463,11 @@
         }
         let (session, package, title) = (sent.session.0, sent.package, sent.title.to_string());
         let rung = sent.rung;
-        self.record(What::SetUp { server, key, session, package, title, rung });
+        self.record(Event::SetUp { server, key, session, package, title, rung });
         match self.out.get_mut(&key) {
             Some(out) if out.0 == server => out.1 = true,
             // The connection was closed just before, or this one is not its own.
-            _ => self.over(server, key, SetUpEnd::Closed),
+            _ => self.over(server, key, SetUpEnd::ManagerClosed),
         }
         self.at_server(server, move |w| w.runs(manager, server, sent));
     }
@@ -480,7 +483,7 @@
             self.abouts.insert((server, key), (sent.session, sent.package, sent.title, sent.top));
         }
         if !self.fleet.fallen().is_empty() {
-            self.record(What::Fell { server });
+            self.record(Event::ServerOverloaded { server });
             self.gone(server, &[]);
         }
         let (how, what, span) = match came {
@@ -488,8 +491,8 @@
             SetUpOutcome::Full | SetUpOutcome::Draining | SetUpOutcome::Stale => {
                 (SetUpEnd::Refused, AttemptResult::Refused, Duration::ZERO)
             }
-            SetUpOutcome::Error => (SetUpEnd::Errored, AttemptResult::ServerError, Duration::ZERO),
-            SetUpOutcome::Breaks => (SetUpEnd::Broke, AttemptResult::ConnectionBroken, Duration::ZERO),
+            SetUpOutcome::Error => (SetUpEnd::ErrorAnswer, AttemptResult::ServerError, Duration::ZERO),
+            SetUpOutcome::Breaks => (SetUpEnd::ServerClosed, AttemptResult::ConnectionBroken, Duration::ZERO),
             SetUpOutcome::AnswerLost => return,
         };
         self.after(span, move |w| {
@@ -504,7 +507,7 @@
     }
 
     fn over(&mut self, server: ServerNo, key: TuneInKey, how: SetUpEnd) {
-        self.record(What::SetUpOver { server, key, how });
+        self.record(Event::SetUpEnded { server, key, how });
     }
 
     /// The manager hears what became of a set-up.
@@ -524,14 +527,14 @@
     /// The manager closes the connection of a set-up.
     fn closes_set_up(&mut self, key: TuneInKey) {
         if let Some((server, true)) = self.out.remove(&key) {
-            self.over(server, key, SetUpEnd::Closed);
+            self.over(server, key, SetUpEnd::ManagerClosed);
         }
     }
 
     fn releases(&mut self, server: ServerNo, key: TuneInKey) {
         if self.fleet.release(self.now, server, key, Duration::from_secs(60)) {
             self.abouts.remove(&(server, key));
-            self.record(What::StreamOver { server, key, why: Ends::Released });
+            self.record(Event::StreamEnded { server, key, why: Ends::Released });
         }
     }
 
@@ -541,18 +544,18 @@
         given: Option<(TokenOrigin, (ServerNo, TuneInKey))>, ends: Duration,
     ) -> usize {
         let (at, up) = (self.now, self.managers[manager].core.is_some());
-        let number = self.history.asked.len();
-        self.history.asked.push(Asked {
+        let number = self.history.viewer_requests.len();
+        self.history.viewer_requests.push(ManifestRequest {
             manager,
             session: session.0,
             package,
-            at,
-            came_at: at,
-            came: if up { Came::Nothing } else { Came::Cut },
-            new: given.is_none(),
-            refresh: given.is_some(),
-            sent: up,
-            more: 0,
+            requested_at: at,
+            ended_at: at,
+            outcome: if up { RequestOutcome::NoAnswer } else { RequestOutcome::ConnectionFailed },
+            starts_viewing: given.is_none(),
+            is_refresh: given.is_some(),
+            was_connected: up,
+            extra_answers: 0,
         });
         self.plans.insert(number, (session, package, title, ends, given.map(|given| given.1)));
         let title_of = &setup::titles(&self.settings)[title as usize];
@@ -567,11 +570,11 @@
     }
 
     fn closes(&mut self, number: usize) {
-        let ask = &mut self.history.asked[number];
-        if ask.came != Came::Nothing {
+        let ask = &mut self.history.viewer_requests[number];
+        if ask.outcome != RequestOutcome::NoAnswer {
             return;
         }
-        (ask.came, ask.came_at) = (Came::Closed, self.now);
+        (ask.outcome, ask.ended_at) = (RequestOutcome::Closed, self.now);
         let (manager, session) = (ask.manager, SessionId(ask.session));
         let incarnation = self.managers[manager].incarnation;
         self.turn(manager, incarnation, |f, h, now| {
@@ -584,7 +587,7 @@
         match self.spoilt {
             Some(Spoilt::AnswerLost) if !std::mem::replace(&mut self.once, true) => return,
             Some(Spoilt::AnswerTwice) if !std::mem::replace(&mut self.once, true) => {
-                self.history.asked[number].more += 1;
+                self.history.viewer_requests[number].extra_answers += 1;
             }
             _ => {}
         }
@@ -595,15 +598,15 @@
             Answer::Conflict => 409,
             Answer::Replayed | Answer::Revoked => 401,
         };
-        let ask = &mut self.history.asked[number];
-        if matches!(ask.came, Came::Answer(_)) {
-            ask.more += 1;
+        let ask = &mut self.history.viewer_requests[number];
+        if matches!(ask.outcome, RequestOutcome::Answer(_)) {
+            ask.extra_answers += 1;
             return;
         }
-        if ask.came == Came::Closed {
+        if ask.outcome == RequestOutcome::Closed {
             return;
         }
-        (ask.came, ask.came_at) = (Came::Answer(status), self.now);
+        (ask.outcome, ask.ended_at) = (RequestOutcome::Answer(status), self.now);
         let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
         match answer {
             Answer::Plays { server, incarnation, viewing_id, tune_in, sequence, .. } => {
@@ -615,11 +618,11 @@
                 };
                 let origin = TokenOrigin::Manager { incarnation: incarnation.0, server, sequence };
                 // What plays no more is taken as another viewing when its player asks again.
-                self.history.asked[number].new = before != Some((no(server), key));
+                self.history.viewer_requests[number].starts_viewing = before != Some((no(server), key));
                 let next = (manager, session, package, title);
                 self.after(SEGMENT, move |w| w.watches(next, (no(server), key), origin, ends, 1));
             }
-            _ if before.is_some() => self.history.asked[number].new = true,
+            _ if before.is_some() => self.history.viewer_requests[number].starts_viewing = true,
             // Most come again, to any manager.
             Answer::Blocked { .. } if self.now < ends && self.chance.random_bool(0.7) => {
                 let (to, again) = (self.chance.random_range(0..MANAGERS), SessionId(self.chance.random()));
@@ -720,11 +723,16 @@
 
     fn told(&mut self, manager: usize, at: ServerNo, standing: ServerState, incarnation: u64) {
         let standing = match standing {
-            ServerState::Ready => ivyward_rules::Standing::Ready,
-            ServerState::Draining => ivyward_rules::Standing::Draining,
-            ServerState::Gone => ivyward_rules::Standing::Gone,
+            ServerState::Ready => ivyward_rules::ServerStatus::Ready,
+            ServerState::Draining => ivyward_rules::ServerStatus::Draining,
+            ServerState::Gone => ivyward_rules::ServerStatus::Gone,
         };
-        self.record(What::Told { manager: ManagerNo(manager as u32), server: at, standing, incarnation });
+        self.record(Event::ServerNotified {
+            manager: ManagerNo(manager as u32),
+            server: at,
+            standing,
+            incarnation,
+        });
     }
 
     /// The whole list, as it stands.
@@ -844,7 +852,7 @@
     fn tick(&mut self) {
         for (at, key, why) in self.fleet.expire(self.now) {
             self.abouts.remove(&(at, key));
-            self.record(What::StreamOver { server: at, key, why });
+            self.record(Event::StreamEnded { server: at, key, why });
             let over = if why == Ends::Ended { EndReason::Completed } else { EndReason::ViewerLeft };
             self.notes(at, key, move |f, h, now| {
                 f.on_viewing_ended(
@@ -885,7 +893,7 @@
     fn gone(&mut self, at: ServerNo, keys: &[TuneInKey]) {
         for key in keys {
             self.abouts.remove(&(at, *key));
-            self.record(What::StreamOver { server: at, key: *key, why: Ends::Died });
+            self.record(Event::StreamEnded { server: at, key: *key, why: Ends::Died });
         }
         self.still.remove(&at);
         let broken: Vec<_> = self
@@ -895,7 +903,7 @@
             .map(|(key, _)| *key)
             .collect();
         for key in broken {
-            self.over(at, key, SetUpEnd::Broke);
+            self.over(at, key, SetUpEnd::ServerClosed);
             let way = self.way();
             self.after(way, move |w| {
                 w.happened(key.manager.0 as usize, key, AttemptResult::ConnectionBroken)
@@ -915,7 +923,7 @@
             return;
         }
         let managers = self.fleet.managers(at);
-        self.record(What::Died { server: at, managers });
+        self.record(Event::ServerDied { server: at, managers });
         let keys = self.fleet.die(at);
         self.gone(at, &keys);
     }
@@ -925,7 +933,7 @@
             return;
         }
         self.fleet.start(self.now, at);
-        self.record(What::Born { server: at });
+        self.record(Event::ServerStarted { server: at });
         // Some starts are told of as draining first; some are met by a crowd.
         let late = Duration::from_millis(self.chance.random_range(50..900));
         if self.chance.random_bool(0.3) {
@@ -972,10 +980,13 @@
         }
         let now = self.now;
         self.managers[manager].gaps.push((now, None));
-        for ask in
-            self.history.asked.iter_mut().filter(|ask| ask.manager == manager && ask.came == Came::Nothing)
+        for ask in self
+            .history
+            .viewer_requests
+            .iter_mut()
+            .filter(|ask| ask.manager == manager && ask.outcome == RequestOutcome::NoAnswer)
         {
-            (ask.came, ask.came_at) = (Came::Cut, now);
+            (ask.outcome, ask.ended_at) = (RequestOutcome::ConnectionFailed, now);
         }
         let out: Vec<_> = self.out.keys().filter(|key| key.manager.0 as usize == manager).copied().collect();
         out.into_iter().for_each(|key| self.closes_set_up(key));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -245,7 +245,7 @@
     })?;
     let rules = ivyward_rules::judge(&terms, &history);
     print!("{}", ivyward_rules::table(&rules));
-    Ok(rules.iter().all(|rule| rule.broken.is_empty()))
+    Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
 fn history(seed: u64, spoilt: Option<&str>, record: Option<&Path>) -> Result<bool, String> {
@@ -266,7 +266,7 @@
     let rules = ivyward_rules::judge(&played.terms, &played.history);
     print!("{}", ivyward_rules::table(&rules));
     println!("left {}, assertions that failed in managers {}", played.left, played.breaches);
-    Ok(rules.iter().all(|rule| rule.broken.is_empty()))
+    Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
 fn slopes(only: &[String], sizes: &ivyward_lab::slopes::Sizes) -> Result<(), String> {
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -4,7 +4,7 @@
 use crate::verdict::judge;
 use ivyward_daemon::Ended;
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
-use ivyward_rules::{History, Package, Record, SetUpEnd, Terms, What};
+use ivyward_rules::{Event, History, Package, Record, SetUpEnd, Terms};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -17,10 +17,10 @@
     let terms = Terms {
         packages: vec![],
         grace: ms(250),
-        ration: None,
+        retry_budget: None,
         slack: ms(100),
-        grain: ms(10),
-        cold: (cold, 100),
+        time_tolerance: ms(10),
+        slow_start: (cold, 100),
     };
     for (breaches, kept) in [(Some(0), true), (Some(1), false), (None, false)] {
         let ended = breaches.map(|breaches| Ended { breaches, ..Default::default() });
@@ -28,7 +28,7 @@
     }
     let (server, key) =
         (ServerNo(0), |viewing_id| TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id, n: 0 });
-    let set_up = |viewing_id| What::SetUp {
+    let set_up = |viewing_id| Event::SetUp {
         server,
         key: key(viewing_id),
         session: u128::from(viewing_id),
@@ -38,7 +38,7 @@
     };
     let records = [
         (100, set_up(1)),
-        (150, What::SetUpOver { server, key: key(1), how: SetUpEnd::Broke }),
+        (150, Event::SetUpEnded { server, key: key(1), how: SetUpEnd::ServerClosed }),
         (1100, set_up(2)),
     ];
     let records = records.map(|(at, what)| Record { at: ms(at), what }).to_vec();
@@ -47,7 +47,7 @@
         patience: ms(3000),
         target: ms(1000),
         value: 1.0,
-        once: false,
+        paid_once: false,
         floor: 0,
         seats: 0,
     };
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use ivyward_daemon::Ended;
 use ivyward_fleet::ServerNo;
-use ivyward_rules::{Came, History, Judged, Life, Record, SetUpEnd, Terms, What};
+use ivyward_rules::{Event, History, ManagerLifetime, Record, RequestOutcome, RuleVerdict, SetUpEnd, Terms};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub title: String,
-    pub rules: [Judged; 6],
+    pub rules: [RuleVerdict; 6],
     pub answers: BTreeMap<(String, &'static str), u64>,
     pub joins: BTreeMap<String, (Duration, Duration)>,
     pub set_ups: u64,
@@ -60,7 +60,7 @@
     pub fn kept(&self) -> bool {
         let nothing = (0, 0, 0, 0);
         let clear = |(streams, left): &Left| *streams == 0 && left.iter().all(|left| *left == nothing);
-        self.rules.iter().all(|rule| rule.broken.is_empty())
+        self.rules.iter().all(|rule| rule.violations.is_empty())
             && self.unfinished == 0
             && self.breaches == 0
             && self.manifests.1.is_empty()
@@ -72,10 +72,10 @@
 pub fn judge(
     terms: &Terms, history: &History, watched: &[Watched], ended: &[Option<Ended>], played: &[Played],
 ) -> Verdict {
-    let History { records, asked, managers } = history;
+    let History { records, viewer_requests, managers } = history;
     let mut verdict = Verdict {
         rules: ivyward_rules::judge(terms, history),
-        set_ups: records.iter().filter(|r| matches!(r.what, What::SetUp { .. })).count() as u64,
+        set_ups: records.iter().filter(|r| matches!(r.what, Event::SetUp { .. })).count() as u64,
         viewers: watched.len(),
         stalls: watched.iter().map(|w| w.stalls).sum(),
         breaks: watched.iter().map(|w| w.breaks).sum(),
@@ -101,15 +101,15 @@
             .fold((0, 0), |sum, ended| (sum.0 + ended.orphans, sum.1 + ended.taken_over)),
         ..Default::default()
     };
-    for ask in asked.iter().filter(|ask| ask.new) {
-        let kind = match ask.came {
-            Came::Answer(200) => "plays",
-            Came::Answer(503) => "blocked",
-            Came::Answer(502 | 504) => "aborted",
-            Came::Answer(_) => "other",
-            Came::Closed => "closed by the viewer",
-            Came::Cut => "cut off",
-            Came::Nothing => "nothing",
+    for ask in viewer_requests.iter().filter(|ask| ask.starts_viewing) {
+        let kind = match ask.outcome {
+            RequestOutcome::Answer(200) => "plays",
+            RequestOutcome::Answer(503) => "blocked",
+            RequestOutcome::Answer(502 | 504) => "aborted",
+            RequestOutcome::Answer(_) => "other",
+            RequestOutcome::Closed => "closed by the viewer",
+            RequestOutcome::ConnectionFailed => "cut off",
+            RequestOutcome::NoAnswer => "nothing",
         };
         *verdict.answers.entry((terms.packages[ask.package].name.clone(), kind)).or_default() += 1;
     }
@@ -140,42 +140,46 @@
 }
 
 /// How often a trouble was seen to act in the record.
-fn acted(trouble: &Played, records: &[Record], managers: &[Life]) -> u64 {
+fn acted(trouble: &Played, records: &[Record], managers: &[ManagerLifetime]) -> u64 {
     // What ends a trouble is recorded just after its end.
     let until = trouble.until + Duration::from_millis(500);
     let within = records.iter().filter(|record| trouble.from <= record.at && record.at <= until);
     let there = |server: &ServerNo| trouble.servers.contains(server);
     let count =
-        |fits: &dyn Fn(&What) -> bool| within.clone().filter(|record| fits(&record.what)).count() as u64;
-    let set_ups = || count(&|what| matches!(what, What::SetUp { server, .. } if there(server)));
+        |fits: &dyn Fn(&Event) -> bool| within.clone().filter(|record| fits(&record.what)).count() as u64;
+    let set_ups = || count(&|what| matches!(what, Event::SetUp { server, .. } if there(server)));
     let ended = |wanted: SetUpEnd| {
-        count(&|what| matches!(what, What::SetUpOver { server, how, .. } if there(server) && *how == wanted))
+        count(
+            &|what| matches!(what, Event::SetUpEnded { server, how, .. } if there(server) && *how == wanted),
+        )
     };
     match trouble.kind.as_str() {
         "FREEZE" | "SLOW" | "LINK" | "NEIGHBOUR" => set_ups(),
-        "CRASH" | "VANISH" => count(&|what| matches!(what, What::Died { server, .. } if there(server))),
+        "CRASH" | "VANISH" => {
+            count(&|what| matches!(what, Event::ServerDied { server, .. } if there(server)))
+        }
         "DEPLOY" => {
             let drained =
-                |what: &What| matches!(what, What::Fault { server, name: "drain", .. } if there(server));
+                |what: &Event| matches!(what, Event::Fault { server, name: "drain", .. } if there(server));
             count(&drained)
         }
-        "ANSWER_LOST" => ended(SetUpEnd::Closed),
-        "FAST_ERRORS" => ended(SetUpEnd::Errored),
-        "BREAK" => ended(SetUpEnd::Broke),
+        "ANSWER_LOST" => ended(SetUpEnd::ManagerClosed),
+        "FAST_ERRORS" => ended(SetUpEnd::ErrorAnswer),
+        "BREAK" => ended(SetUpEnd::ServerClosed),
         "CLOCK" => {
             let jumped =
-                |what: &What| matches!(what, What::Fault { server, name: "clock", .. } if there(server));
+                |what: &Event| matches!(what, Event::Fault { server, name: "clock", .. } if there(server));
             count(&jumped)
         }
         "MANAGER_KILL" => {
             let killed = |at: &Duration| trouble.from <= *at && *at <= trouble.until;
-            managers.iter().flat_map(|manager| &manager.gaps).filter(|gap| killed(&gap.0)).count() as u64
-        }
-        "BURST" => count(&|what| matches!(what, What::SetUp { .. })),
-        "LIST_LATE" => {
-            count(&|what| matches!(what, What::Fault { .. } | What::Died { .. } | What::Born { .. }))
+            managers.iter().flat_map(|manager| &manager.downtimes).filter(|gap| killed(&gap.0)).count() as u64
         }
-        _ => count(&|what| matches!(what, What::SetUp { .. } | What::Rung { .. })),
+        "BURST" => count(&|what| matches!(what, Event::SetUp { .. })),
+        "LIST_LATE" => count(&|what| {
+            matches!(what, Event::Fault { .. } | Event::ServerDied { .. } | Event::ServerStarted { .. })
+        }),
+        _ => count(&|what| matches!(what, Event::SetUp { .. } | Event::RungChanged { .. })),
     }
 }
 
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -9,7 +9,7 @@
 use ivyward_daemon::{date, setup};
 use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
-use ivyward_rules::{Asked, Came};
+use ivyward_rules::{ManifestRequest, RequestOutcome};
 use ivyward_settings::Section;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -50,7 +50,7 @@
 /// What viewers saw.
 #[derive(Default)]
 pub struct Seen {
-    pub asked: Vec<Asked>,
+    pub asked: Vec<ManifestRequest>,
     pub watched: Vec<Watched>,
     /// Manifests that were looked through, and what was wrong with any.
     pub manifests: (u64, Vec<String>),
@@ -327,9 +327,9 @@
         let (came, got) = match came {
             Err(_) => {
                 line.0 = None;
-                (if limit < patience { Came::Closed } else { Came::Nothing }, Got::Lost)
+                (if limit < patience { RequestOutcome::Closed } else { RequestOutcome::NoAnswer }, Got::Lost)
             }
-            Ok(None) => (Came::Cut, Got::Lost),
+            Ok(None) => (RequestOutcome::ConnectionFailed, Got::Lost),
             Ok(Some((status, [come_back, _], body))) => {
                 let got = match status {
                     StatusCode::OK => {
@@ -349,7 +349,7 @@
                     }
                     _ => Got::Failed,
                 };
-                (Came::Answer(status.as_u16()), got)
+                (RequestOutcome::Answer(status.as_u16()), got)
             }
         };
         let (session, package) = (viewer.session, viewer.package);
@@ -366,17 +366,17 @@
         if let Got::Manifest { base, text, .. } = &got {
             self.checked(text, base, refreshes.filter(|_| !new).map(|(_, text)| text));
         }
-        self.seen.borrow_mut().asked.push(Asked {
+        self.seen.borrow_mut().asked.push(ManifestRequest {
             manager,
             session,
             package,
-            at,
-            came_at,
-            came,
-            new,
-            refresh,
-            sent,
-            more: 0,
+            requested_at: at,
+            ended_at: came_at,
+            outcome: came,
+            starts_viewing: new,
+            is_refresh: refresh,
+            was_connected: sent,
+            extra_answers: 0,
         });
         got
     }
--- a/crates/lab/tests/histories.rs
+++ b/crates/lab/tests/histories.rs
@@ -10,7 +10,7 @@
 /// The rules that a history breaks, by their number from 1, and all that is said of it.
 fn broken(played: &Played) -> (Vec<usize>, String) {
     let rules = judge(&played.terms, &played.history);
-    ((1..=6).filter(|rule| !rules[rule - 1].broken.is_empty()).collect(), table(&rules))
+    ((1..=6).filter(|rule| !rules[rule - 1].violations.is_empty()).collect(), table(&rules))
 }
 
 #[test]
@@ -23,7 +23,7 @@
         assert_eq!((rules, played.breaches), (vec![], 0), "{again}\n{told}");
         assert_eq!(played.left, 0, "what is held after the last viewer: {again}");
         let rules = judge(&played.terms, &played.history);
-        looked.iter_mut().zip(&rules).for_each(|(sum, rule)| *sum += u64::from(rule.looked > 0));
+        looked.iter_mut().zip(&rules).for_each(|(sum, rule)| *sum += u64::from(rule.check_count > 0));
     }
     // Each rule is put to the test by nearly every history.
     assert!(looked.iter().all(|histories| *histories > SEEDS * 9 / 10), "{looked:?}");
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -8,7 +8,7 @@
 mod record;
 mod text;
 
-pub use record::{Asked, Came, Record, SetUpEnd, Standing, What};
+pub use record::{Event, ManifestRequest, Record, RequestOutcome, ServerStatus, SetUpEnd};
 pub use text::{read, write};
 
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
@@ -23,14 +23,14 @@
     /// How long after the notification of its drain or departure a server may still be sent set-ups.
     pub grace: Duration,
     /// The retry budget: window, free retries, and retries per accepted viewing.
-    pub ration: Option<(Duration, f64, f64)>,
+    pub retry_budget: Option<(Duration, f64, f64)>,
     /// How long after the end of the patience an answer still counts as in time.
     pub slack: Duration,
     /// Tolerance when times of events on different sockets are compared.
-    pub grain: Duration,
+    pub time_tolerance: Duration,
     /// The slow start of servers and the load that overloads them, and the greatest number of streams on a
     /// server.
-    pub cold: (Cold, usize),
+    pub slow_start: (Cold, usize),
 }
 
 /// The terms of a package.
@@ -43,7 +43,7 @@
     pub target: Duration,
     pub value: f64,
     /// Whether the package is paid at set-up and must not be set up twice.
-    pub once: bool,
+    pub paid_once: bool,
     /// The lowest rung that may be served.
     pub floor: usize,
     /// Viewings of a title that a manager may hold at the same time; 0 for no limit.
@@ -52,32 +52,32 @@
 
 /// The downtimes of a manager.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Life {
+pub struct ManagerLifetime {
     /// The manager's number at the servers, if it ever connected to one.
-    pub no: Option<ManagerNo>,
+    pub manager_number: Option<ManagerNo>,
     /// When it was killed, and when it was up again, if it was.
-    pub gaps: Vec<(Duration, Option<Duration>)>,
+    pub downtimes: Vec<(Duration, Option<Duration>)>,
 }
 
 /// Everything that was observed; records and requests are in order of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     pub records: Vec<Record>,
-    pub asked: Vec<Asked>,
-    pub managers: Vec<Life>,
+    pub viewer_requests: Vec<ManifestRequest>,
+    pub managers: Vec<ManagerLifetime>,
 }
 
 /// The verdict on a rule: how often it was checked, and each violation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Judged {
-    pub looked: u64,
-    pub broken: Vec<String>,
+pub struct RuleVerdict {
+    pub check_count: u64,
+    pub violations: Vec<String>,
 }
 
-impl Judged {
+impl RuleVerdict {
     /// The verdict in a few words.
-    pub fn word(&self) -> &'static str {
-        match (self.looked, self.broken.is_empty()) {
+    pub fn verdict(&self) -> &'static str {
+        match (self.check_count, self.violations.is_empty()) {
             (_, false) => "BROKEN",
             (0, true) => "not exercised",
             _ => "kept",
@@ -96,19 +96,19 @@
 ];
 
 /// The verdict as a table, with the first few violations of each rule.
-pub fn table(rules: &[Judged; 6]) -> String {
-    let row = |(name, rule): (&&str, &Judged)| {
-        let Judged { looked, broken } = rule;
-        let summary = rule.word();
-        let row = format!("rule  {name:<28} {summary:<7} {looked:>7} checked, {} broken\n", broken.len());
-        row + &broken.iter().take(5).map(|what| format!("        {what}\n")).collect::<String>()
+pub fn table(rules: &[RuleVerdict; 6]) -> String {
+    let row = |(name, rule): (&&str, &RuleVerdict)| {
+        let RuleVerdict { check_count: looked, violations } = rule;
+        let summary = rule.verdict();
+        let row = format!("rule  {name:<28} {summary:<7} {looked:>7} checked, {} broken\n", violations.len());
+        row + &violations.iter().take(5).map(|what| format!("        {what}\n")).collect::<String>()
     };
     RULES.iter().zip(rules).map(row).collect()
 }
 
 /// Judges a history by each of the rules.
-pub fn judge(terms: &Terms, history: &History) -> [Judged; 6] {
-    let History { records, asked: requests, managers } = history;
+pub fn judge(terms: &Terms, history: &History) -> [RuleVerdict; 6] {
+    let History { records, viewer_requests: requests, managers } = history;
     let verdicts = [
         check_answers(terms, requests, managers),
         check_duplicate_set_ups(terms, records, requests, managers),
@@ -117,33 +117,36 @@
         check_package_terms(terms, records),
         check_retry_budget(terms, records, requests, managers),
     ];
-    verdicts.map(|(checked, messages)| Judged { looked: checked, broken: messages })
+    verdicts.map(|(checked, messages)| RuleVerdict { check_count: checked, violations: messages })
 }
 
 /// Judges an additional rule for servers that read immediately what is sent to them.
 ///
 /// After a viewer has closed its request, no set-up for its session is read later than `after`, unless
 /// another request of the session is waiting then.
-pub fn gone(after: Duration, history: &History) -> Judged {
-    let mut verdict = Judged::default();
-    let mut requests_by_session: BTreeMap<u128, Vec<&Asked>> = BTreeMap::new();
+pub fn judge_closed_requests(after: Duration, history: &History) -> RuleVerdict {
+    let mut verdict = RuleVerdict::default();
+    let mut requests_by_session: BTreeMap<u128, Vec<&ManifestRequest>> = BTreeMap::new();
     history
-        .asked
+        .viewer_requests
         .iter()
         .for_each(|request| requests_by_session.entry(request.session).or_default().push(request));
     for record in &history.records {
-        let What::SetUp { server, session, .. } = &record.what else { continue };
+        let Event::SetUp { server, session, .. } = &record.what else { continue };
         let session_requests = requests_by_session.get(session).map_or(&[][..], Vec::as_slice);
-        let is_waiting = |request: &&&Asked| request.at <= record.at && record.at <= request.came_at + after;
-        let closed =
-            session_requests.iter().rfind(|request| request.came == Came::Closed && request.at <= record.at);
+        let is_waiting = |request: &&&ManifestRequest| {
+            request.requested_at <= record.at && record.at <= request.ended_at + after
+        };
+        let closed = session_requests
+            .iter()
+            .rfind(|request| request.outcome == RequestOutcome::Closed && request.requested_at <= record.at);
         let Some(closed) = closed else { continue };
-        verdict.looked += 1;
+        verdict.check_count += 1;
         if !session_requests.iter().any(|request| is_waiting(&request)) {
-            verdict.broken.push(format!(
+            verdict.violations.push(format!(
                 "session {session:032x}: to {server:?} at {:.3}, its viewer had closed the request at {:.3}",
                 seconds(record.at),
-                seconds(closed.came_at)
+                seconds(closed.ended_at)
             ));
         }
     }
@@ -155,44 +158,49 @@
 }
 
 /// Rule 1: each accepted request gets one answer before the patience ends, unless its manager was killed.
-fn check_answers(terms: &Terms, requests: &[Asked], managers: &[Life]) -> (u64, Vec<String>) {
+fn check_answers(
+    terms: &Terms, requests: &[ManifestRequest], managers: &[ManagerLifetime],
+) -> (u64, Vec<String>) {
     let (mut checked, mut violations) = (0, vec![]);
     for request in requests {
         let patience = terms.packages[request.package].patience;
         // Killed between the request and its end, or down when the request arrived.
         let was_down = managers.get(request.manager).is_some_and(|manager| {
-            manager.gaps.iter().any(|(from, until)| {
-                request.at <= *from + terms.slack && *from <= request.came_at + terms.slack
-                    || *from <= request.at && until.is_none_or(|until| request.at <= until)
+            manager.downtimes.iter().any(|(from, until)| {
+                request.requested_at <= *from + terms.slack && *from <= request.ended_at + terms.slack
+                    || *from <= request.requested_at
+                        && until.is_none_or(|until| request.requested_at <= until)
             })
         });
-        let is_late = request.came_at.saturating_sub(request.at) > patience + terms.slack;
+        let is_late = request.ended_at.saturating_sub(request.requested_at) > patience + terms.slack;
         let label = format!(
             "session {:032x}, request at {:.3} to manager {}",
             request.session,
-            seconds(request.at),
+            seconds(request.requested_at),
             request.manager + 1
         );
         checked += 1;
-        match request.came {
-            Came::Closed => {}
-            Came::Answer(_) if request.more > 0 => {
+        match request.outcome {
+            RequestOutcome::Closed => {}
+            RequestOutcome::Answer(_) if request.extra_answers > 0 => {
                 violations.push(format!(
                     "{label}: {} answers, the last at {:.3}",
-                    request.more + 1,
-                    seconds(request.came_at)
+                    request.extra_answers + 1,
+                    seconds(request.ended_at)
                 ));
             }
-            Came::Answer(_) if is_late => {
-                violations.push(format!("{label}: answered at {:.3}", seconds(request.came_at)))
+            RequestOutcome::Answer(_) if is_late => {
+                violations.push(format!("{label}: answered at {:.3}", seconds(request.ended_at)))
+            }
+            RequestOutcome::Answer(_) => {}
+            RequestOutcome::ConnectionFailed | RequestOutcome::NoAnswer if was_down => {}
+            RequestOutcome::ConnectionFailed if !request.was_connected => {
+                violations.push(format!("{label}: no connection"))
             }
-            Came::Answer(_) => {}
-            Came::Cut | Came::Nothing if was_down => {}
-            Came::Cut if !request.sent => violations.push(format!("{label}: no connection")),
-            Came::Cut => {
-                violations.push(format!("{label}: connection lost at {:.3}", seconds(request.came_at)))
+            RequestOutcome::ConnectionFailed => {
+                violations.push(format!("{label}: connection lost at {:.3}", seconds(request.ended_at)))
             }
-            Came::Nothing => violations.push(format!("{label}: no answer")),
+            RequestOutcome::NoAnswer => violations.push(format!("{label}: no answer")),
         }
     }
     (checked, violations)
@@ -202,7 +210,7 @@
 ///
 /// A paid viewing may be set up again or blocked only if all its earlier tune-ins provably never ran.
 fn check_duplicate_set_ups(
-    terms: &Terms, records: &[Record], requests: &[Asked], managers: &[Life],
+    terms: &Terms, records: &[Record], requests: &[ManifestRequest], managers: &[ManagerLifetime],
 ) -> (u64, Vec<String>) {
     let ends = set_up_ends(records);
     let (mut checked, mut violations) = (0, vec![]);
@@ -212,7 +220,7 @@
     // By session and manager, when the first set-up that may have run was read.
     let mut first_run_by: BTreeMap<(u128, ManagerNo), Duration> = BTreeMap::new();
     for record in records {
-        let What::SetUp { key, session, package, server, .. } = &record.what else { continue };
+        let Event::SetUp { key, session, package, server, .. } = &record.what else { continue };
         let end = ends.get(&(*server, *key)).copied();
         let ended_at = end.map(|(at, _)| at);
         let never_ran = matches!(end, Some((_, SetUpEnd::Refused)));
@@ -221,21 +229,21 @@
             checked += 1;
             // An abandoned set-up may be read just after the next one. If its connection is closed at once,
             // it was no longer outstanding.
-            let was_abandoned = matches!(end, Some((at, SetUpEnd::Closed)) if at <= record.at + terms.grain)
-                && !terms.packages[*package].once;
+            let was_abandoned = matches!(end, Some((at, SetUpEnd::ManagerClosed)) if at <= record.at + terms.time_tolerance)
+                && !terms.packages[*package].paid_once;
             let is_older_attempt = was_abandoned
                 && (key.incarnation, key.viewing_id) == (earlier.incarnation, earlier.viewing_id)
                 && key.n < earlier.n;
             if is_older_attempt {
                 continue;
             }
-            if ended_at.is_none_or(|ended_at| ended_at > record.at + terms.grain) {
+            if ended_at.is_none_or(|ended_at| ended_at > record.at + terms.time_tolerance) {
                 let at = seconds(record.at);
                 violations.push(format!(
                     "session {session:032x}: {key:?} to {server:?} at {at:.3} during {earlier:?}"
                 ));
             }
-            if possible_run_at.is_some() && terms.packages[*package].once {
+            if possible_run_at.is_some() && terms.packages[*package].paid_once {
                 let at = seconds(record.at);
                 violations
                     .push(format!("session {session:032x}: paid, set up again to {server:?} at {at:.3}"));
@@ -247,19 +255,18 @@
             first_run_by.entry((*session, key.manager)).or_insert(record.at);
         }
     }
-    for request in requests
-        .iter()
-        .filter(|request| request.came == Came::Answer(503) && terms.packages[request.package].once)
-    {
+    for request in requests.iter().filter(|request| {
+        request.outcome == RequestOutcome::Answer(503) && terms.packages[request.package].paid_once
+    }) {
         checked += 1;
         // A manager that is partitioned from the others can't know what they set up: it may ask the viewer
         // to come back, as long as it sets nothing up.
-        let possible_run_at = match managers.get(request.manager).and_then(|manager| manager.no) {
+        let possible_run_at = match managers.get(request.manager).and_then(|manager| manager.manager_number) {
             Some(number) => first_run_by.get(&(request.session, number)).copied(),
             None => latest_set_ups.get(&request.session).and_then(|latest| latest.2),
         };
         if let Some(possible_run_at) =
-            possible_run_at.filter(|possible_run_at| *possible_run_at < request.came_at)
+            possible_run_at.filter(|possible_run_at| *possible_run_at < request.ended_at)
         {
             violations.push(format!(
                 "session {:032x}: paid, blocked after a set-up at {:.3}",
@@ -276,7 +283,7 @@
 /// A refused set-up never ran, even if its server died before the refusal arrived.
 fn set_up_ends(records: &[Record]) -> BTreeMap<(ServerNo, TuneInKey), (Duration, SetUpEnd)> {
     let end = |record: &Record| match &record.what {
-        What::SetUpOver { server, key, how } => Some(((*server, *key), (record.at, *how))),
+        Event::SetUpEnded { server, key, how } => Some(((*server, *key), (record.at, *how))),
         _ => None,
     };
     // The records are reversed, so that the first end of a set-up overwrites later ones.
@@ -285,14 +292,16 @@
 
 /// Rule 3: no set-up is sent to a server after the grace period that follows the notification of its drain
 /// or end.
-fn check_drains(terms: &Terms, records: &[Record], managers: &[Life]) -> (u64, Vec<String>) {
+fn check_drains(terms: &Terms, records: &[Record], managers: &[ManagerLifetime]) -> (u64, Vec<String>) {
     let (mut checked, mut violations) = (0, vec![]);
     let mut notified_at: BTreeMap<(ManagerNo, ServerNo), Duration> = BTreeMap::new();
     // A manager that restarts has received no notifications yet.
     let mut kills: Vec<_> = managers
         .iter()
         .filter_map(|manager| {
-            manager.no.map(|number| manager.gaps.iter().map(move |(from, _)| (*from, number)))
+            manager
+                .manager_number
+                .map(|number| manager.downtimes.iter().map(move |(from, _)| (*from, number)))
         })
         .flatten()
         .collect();
@@ -303,19 +312,19 @@
             notified_at.retain(|(manager, _), _| *manager != number);
         }
         match &record.what {
-            What::Told { manager, server, standing: Standing::Ready, .. } => {
+            Event::ServerNotified { manager, server, standing: ServerStatus::Ready, .. } => {
                 notified_at.remove(&(*manager, *server));
             }
-            What::Told { manager, server, .. } => {
+            Event::ServerNotified { manager, server, .. } => {
                 notified_at.entry((*manager, *server)).or_insert(record.at);
             }
-            What::SetUp { server, key, .. } => {
+            Event::SetUp { server, key, .. } => {
                 // Each set-up that a manager sends anywhere while it knows of an ending server counts as a
                 // check.
                 checked += u64::from(notified_at.keys().any(|(manager, _)| *manager == key.manager));
                 let notified = notified_at.get(&(key.manager, *server));
                 if let Some(notified) =
-                    notified.filter(|notified| record.at > **notified + terms.grace + terms.grain)
+                    notified.filter(|notified| record.at > **notified + terms.grace + terms.time_tolerance)
                 {
                     let elapsed = record.at - *notified;
                     violations.push(format!(
@@ -336,28 +345,28 @@
 /// A server is overloaded by more set-ups than a multiple of its pace within a window. The rule is violated
 /// if most of these came from managers that knew of the start: the list notified them, they had streams on
 /// the server when it died, or they started later.
-fn check_slow_start(terms: &Terms, records: &[Record], managers: &[Life]) -> (u64, Vec<String>) {
-    let (mut checked, mut violations, (slow_start, capacity)) = (0, vec![], &terms.cold);
+fn check_slow_start(terms: &Terms, records: &[Record], managers: &[ManagerLifetime]) -> (u64, Vec<String>) {
+    let (mut checked, mut violations, (slow_start, capacity)) = (0, vec![], &terms.slow_start);
     let mut informed: BTreeSet<(ManagerNo, ServerNo)> = BTreeSet::new();
     let mut starts: BTreeMap<ServerNo, (Duration, u64)> = BTreeMap::new();
     let mut recent_set_ups: BTreeMap<ServerNo, VecDeque<(Duration, ManagerNo)>> = BTreeMap::new();
     for record in records {
         match &record.what {
-            What::Died { server, managers } => {
+            Event::ServerDied { server, managers } => {
                 informed.retain(|(_, known)| known != server);
                 informed.extend(managers.iter().map(|manager| (*manager, *server)));
             }
-            What::Born { server } => {
+            Event::ServerStarted { server } => {
                 let incarnation = starts.get(server).map_or(2, |(_, incarnation)| incarnation + 1);
                 starts.insert(*server, (record.at, incarnation));
                 recent_set_ups.remove(server);
             }
-            What::Told { manager, server, incarnation, .. }
+            Event::ServerNotified { manager, server, incarnation, .. }
                 if starts.get(server).is_some_and(|(_, latest)| incarnation >= latest) =>
             {
                 informed.insert((*manager, *server));
             }
-            What::SetUp { server, key, .. } => {
+            Event::SetUp { server, key, .. } => {
                 let Some((started_at, _)) = starts.get(server).copied() else { continue };
                 checked += u64::from(record.at < started_at + slow_start.warm_up);
                 let server_set_ups = recent_set_ups.entry(*server).or_default();
@@ -366,9 +375,9 @@
                     continue;
                 }
                 let started_later = |manager: &ManagerNo| {
-                    let lifetime = managers.iter().find(|found| found.no == Some(*manager));
+                    let lifetime = managers.iter().find(|found| found.manager_number == Some(*manager));
                     lifetime.is_some_and(|process| {
-                        process.gaps.iter().any(|(_, up)| up.is_some_and(|up| up > started_at))
+                        process.downtimes.iter().any(|(_, up)| up.is_some_and(|up| up > started_at))
                     })
                 };
                 let informed_count = server_set_ups
@@ -407,7 +416,7 @@
     };
     for record in records {
         match &record.what {
-            What::SetUp { server, key, package, title, rung, .. } => {
+            Event::SetUp { server, key, package, title, rung, .. } => {
                 let (package_terms, content) = (&terms.packages[*package], (*package, title.clone()));
                 checked += u64::from(package_terms.floor > 0 || package_terms.seats > 0);
                 let at = seconds(record.at);
@@ -419,18 +428,18 @@
                 // As for rule 2, an abandoned tune-in may be read just after the viewing's next one: it
                 // holds no second seat.
                 let was_abandoned = matches!(ends.get(&(*server, *key)),
-                    Some((at, SetUpEnd::Closed)) if *at <= record.at + terms.grain);
+                    Some((at, SetUpEnd::ManagerClosed)) if *at <= record.at + terms.time_tolerance);
                 let is_later_attempt = |other: &TuneInKey| {
                     (other.manager, other.incarnation, other.viewing_id)
                         == (key.manager, key.incarnation, key.viewing_id)
                         && other.n > key.n
                 };
-                if was_abandoned && !package_terms.once && group_holders.keys().any(is_later_attempt) {
+                if was_abandoned && !package_terms.paid_once && group_holders.keys().any(is_later_attempt) {
                     continue;
                 }
                 // Tune-ins that ended within the tolerance stay: an abandoned set-up of the same viewing
                 // may still arrive.
-                group_holders.retain(|_, ended| ended.is_none_or(|at| at + terms.grain > record.at));
+                group_holders.retain(|_, ended| ended.is_none_or(|at| at + terms.time_tolerance > record.at));
                 group_holders.insert(*key, None);
                 let active_count = group_holders.values().filter(|ended| ended.is_none()).count();
                 if package_terms.seats > 0 && active_count > package_terms.seats {
@@ -440,7 +449,7 @@
                 }
                 contents.insert(*key, content);
             }
-            What::Rung { server, key, rung } => {
+            Event::RungChanged { server, key, rung } => {
                 let floor = contents.get(key).map_or(0, |content| terms.packages[content.0].floor);
                 checked += u64::from(floor > 0);
                 if *rung < floor {
@@ -450,8 +459,8 @@
                     ));
                 }
             }
-            What::SetUpOver { key, how, .. } if *how == SetUpEnd::Plays => {}
-            What::SetUpOver { key, .. } | What::StreamOver { key, .. } => {
+            Event::SetUpEnded { key, how, .. } if *how == SetUpEnd::Plays => {}
+            Event::SetUpEnded { key, .. } | Event::StreamEnded { key, .. } => {
                 let group_holders =
                     contents.get(key).and_then(|content| holders.get_mut(&seat_group(key, content)));
                 if let Some(ended) = group_holders.and_then(|group_holders| group_holders.get_mut(key)) {
@@ -469,9 +478,9 @@
 /// Retries that reached no server are inferred from the number of the next tune-in. They count at the
 /// earliest possible time: that of the previous set-up, or of the viewer's request.
 fn check_retry_budget(
-    terms: &Terms, records: &[Record], requests: &[Asked], managers: &[Life],
+    terms: &Terms, records: &[Record], requests: &[ManifestRequest], managers: &[ManagerLifetime],
 ) -> (u64, Vec<String>) {
-    let Some((window, free, share)) = terms.ration else { return (0, vec![]) };
+    let Some((window, free, share)) = terms.retry_budget else { return (0, vec![]) };
     let (mut checked, mut violations) = (0, vec![]);
     let mut retries: BTreeMap<(ManagerNo, u64), Vec<Duration>> = BTreeMap::new();
     let mut latest: BTreeMap<(ManagerNo, u64, u32), (u16, Duration)> = BTreeMap::new();
@@ -482,21 +491,23 @@
     // arrived, which then is a viewing of its own.
     let playing_sessions: BTreeSet<_> = requests
         .iter()
-        .filter(|request| request.came == Came::Answer(200))
+        .filter(|request| request.outcome == RequestOutcome::Answer(200))
         .map(|request| request.session)
         .collect();
-    for request in requests.iter().filter(|request| request.new && request.sent) {
-        let Some(number) = managers.get(request.manager).and_then(|manager| manager.no) else { continue };
+    for request in requests.iter().filter(|request| request.starts_viewing && request.was_connected) {
+        let Some(number) = managers.get(request.manager).and_then(|manager| manager.manager_number) else {
+            continue;
+        };
         let (times, pending_until) = sessions.entry(request.session).or_default();
-        let is_concurrent = !times.is_empty() && request.at <= *pending_until;
-        times.push(request.at);
-        *pending_until = request.came_at.max(*pending_until);
-        if !is_concurrent || request.refresh || !playing_sessions.contains(&request.session) {
-            accepted.entry(number).or_default().push(request.at);
+        let is_concurrent = !times.is_empty() && request.requested_at <= *pending_until;
+        times.push(request.requested_at);
+        *pending_until = request.ended_at.max(*pending_until);
+        if !is_concurrent || request.is_refresh || !playing_sessions.contains(&request.session) {
+            accepted.entry(number).or_default().push(request.requested_at);
         }
     }
     for record in records {
-        let What::SetUp { server, key, session, .. } = &record.what else { continue };
+        let Event::SetUp { server, key, session, .. } = &record.what else { continue };
         let times = sessions.get(session).map_or(&[][..], |(times, _)| times);
         let requested_at = times.iter().rfind(|at| **at <= record.at).copied().unwrap_or(record.at);
         let (previous_number, previous_at) = latest
@@ -508,10 +519,12 @@
         times.extend((retry_count > 0).then_some(record.at));
         checked += u64::from(retry_count);
         if retry_count > 0 {
-            let used = times.iter().filter(|at| **at + window > record.at + terms.grain).count() as f64;
+            let used =
+                times.iter().filter(|at| **at + window > record.at + terms.time_tolerance).count() as f64;
             let accepted_by_manager = accepted.get(&key.manager).map_or(&[][..], Vec::as_slice);
-            let is_in_window =
-                |at: &&Duration| **at + window + terms.grain > record.at && **at <= record.at + terms.grain;
+            let is_in_window = |at: &&Duration| {
+                **at + window + terms.time_tolerance > record.at && **at <= record.at + terms.time_tolerance
+            };
             let allowed = free + share * accepted_by_manager.iter().filter(is_in_window).count() as f64;
             if used > allowed {
                 let at = seconds(record.at);
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -5,44 +5,44 @@
 
 /// How a request for a manifest ended at the viewer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum RequestOutcome {
     /// An answer with this HTTP status arrived.
     Answer(u16),
     /// The viewer closed the request.
     Closed,
     /// The connection broke, or was never established.
-    Cut,
+    ConnectionFailed,
     /// No answer arrived.
-    Nothing,
+    NoAnswer,
 }
 
 /// One request for a manifest.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct ManifestRequest {
     /// Index of the manager among the managers of the history.
     pub manager: usize,
     pub session: u128,
     /// Index of the package in the terms.
     pub package: usize,
     /// When it was made.
-    pub at: Duration,
+    pub requested_at: Duration,
     /// When it ended.
-    pub came_at: Duration,
+    pub ended_at: Duration,
     /// How it ended.
-    pub came: Came,
+    pub outcome: RequestOutcome,
     /// It starts a viewing, rather than refreshing one that plays.
-    pub new: bool,
+    pub starts_viewing: bool,
     /// It was sent to the address that a manifest gives for its refresh.
-    pub refresh: bool,
+    pub is_refresh: bool,
     /// The connection was open when it was made.
-    pub sent: bool,
+    pub was_connected: bool,
     /// Number of answers beyond the first.
-    pub more: usize,
+    pub extra_answers: usize,
 }
 
 /// The state of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     Ready,
     Draining,
     Gone,
@@ -56,34 +56,34 @@
     /// The server refused it and confirmed that it never ran.
     Refused,
     /// The server answered with an error.
-    Errored,
+    ErrorAnswer,
     /// The manager closed the connection first.
-    Closed,
+    ManagerClosed,
     /// The server closed the connection first.
-    Broke,
+    ServerClosed,
 }
 
 /// An event at a server or of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Event {
     /// A server read a set-up from a socket.
     SetUp { server: ServerNo, key: TuneInKey, session: u128, package: usize, title: String, rung: usize },
     /// A set-up ended on its socket.
-    SetUpOver { server: ServerNo, key: TuneInKey, how: SetUpEnd },
+    SetUpEnded { server: ServerNo, key: TuneInKey, how: SetUpEnd },
     /// A set-up started to run.
-    Ran { server: ServerNo, key: TuneInKey },
+    SetUpStarted { server: ServerNo, key: TuneInKey },
     /// The rung of a stream was changed.
-    Rung { server: ServerNo, key: TuneInKey, rung: usize },
+    RungChanged { server: ServerNo, key: TuneInKey, rung: usize },
     /// A stream ended.
-    StreamOver { server: ServerNo, key: TuneInKey, why: StreamEnd },
+    StreamEnded { server: ServerNo, key: TuneInKey, why: StreamEnd },
     /// The list notified a manager of a server's state. `incarnation`: of the server's process.
-    Told { manager: ManagerNo, server: ServerNo, standing: Standing, incarnation: u64 },
+    ServerNotified { manager: ManagerNo, server: ServerNo, standing: ServerStatus, incarnation: u64 },
     /// A server started.
-    Born { server: ServerNo },
+    ServerStarted { server: ServerNo },
     /// A server died on which these managers had streams.
-    Died { server: ServerNo, managers: Vec<ManagerNo> },
+    ServerDied { server: ServerNo, managers: Vec<ManagerNo> },
     /// Set-ups overloaded a server.
-    Fell { server: ServerNo },
+    ServerOverloaded { server: ServerNo },
     /// An injected fault began or ended.
     Fault { server: ServerNo, name: &'static str, on: bool },
 }
@@ -92,5 +92,5 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     pub at: Duration,
-    pub what: What,
+    pub what: Event,
 }
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -18,17 +18,17 @@
         patience: ms(3000),
         target: ms(1000),
         value: 1.0,
-        once,
+        paid_once: once,
         floor,
         seats,
     };
     Terms {
         packages: vec![package("clip", false, 0, 0), package("ticket", true, 1, 2)],
         grace: ms(250),
-        ration: Some((ms(5000), 1.0, 0.5)),
+        retry_budget: Some((ms(5000), 1.0, 0.5)),
         slack: ms(100),
-        grain: ms(10),
-        cold: (Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) }, 100),
+        time_tolerance: ms(10),
+        slow_start: (Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) }, 100),
     }
 }
 
@@ -37,7 +37,7 @@
 }
 
 fn set_up(at: u64, server: usize, viewing_id: u32, n: u16, package: usize) -> Record {
-    let what = What::SetUp {
+    let what = Event::SetUp {
         server: ServerNo(server),
         key: key(viewing_id, n),
         session: u128::from(viewing_id),
@@ -49,62 +49,70 @@
 }
 
 fn set_up_ended(at: u64, server: usize, viewing_id: u32, n: u16, how: SetUpEnd) -> Record {
-    Record { at: ms(at), what: What::SetUpOver { server: ServerNo(server), key: key(viewing_id, n), how } }
+    Record { at: ms(at), what: Event::SetUpEnded { server: ServerNo(server), key: key(viewing_id, n), how } }
 }
 
-fn server_notified(at: u64, standing: Standing, incarnation: u64) -> Record {
+fn server_notified(at: u64, standing: ServerStatus, incarnation: u64) -> Record {
     Record {
         at: ms(at),
-        what: What::Told { manager: ManagerNo(0), server: ServerNo(0), standing, incarnation },
+        what: Event::ServerNotified { manager: ManagerNo(0), server: ServerNo(0), standing, incarnation },
     }
 }
 
-fn request(session: u128, package: usize, at: u64, came_at: u64, came: Came) -> Asked {
-    Asked {
+fn request(session: u128, package: usize, at: u64, came_at: u64, came: RequestOutcome) -> ManifestRequest {
+    ManifestRequest {
         manager: 0,
         session,
         package,
-        at: ms(at),
-        came_at: ms(came_at),
-        came,
-        new: true,
-        refresh: false,
-        sent: true,
-        more: 0,
+        requested_at: ms(at),
+        ended_at: ms(came_at),
+        outcome: came,
+        starts_viewing: true,
+        is_refresh: false,
+        was_connected: true,
+        extra_answers: 0,
     }
 }
 
-fn lifetime(gaps: &[(u64, u64)]) -> Life {
+fn lifetime(gaps: &[(u64, u64)]) -> ManagerLifetime {
     let gaps = gaps.iter().map(|(from, until)| (ms(*from), Some(ms(*until)))).collect();
-    Life { no: Some(ManagerNo(0)), gaps }
+    ManagerLifetime { manager_number: Some(ManagerNo(0)), downtimes: gaps }
 }
 
 /// The rules that a history violates, by index, and the verdict as a table.
-fn violated_rules(records: &[Record], requests: &[Asked], managers: &[Life]) -> (Vec<usize>, String) {
+fn violated_rules(
+    records: &[Record], requests: &[ManifestRequest], managers: &[ManagerLifetime],
+) -> (Vec<usize>, String) {
     let (records, requests, managers) = (records.to_vec(), requests.to_vec(), managers.to_vec());
-    let verdicts = judge(&terms(), &History { records, asked: requests, managers });
-    ((0..6).filter(|rule| !verdicts[*rule].broken.is_empty()).collect(), table(&verdicts))
+    let verdicts = judge(&terms(), &History { records, viewer_requests: requests, managers });
+    ((0..6).filter(|rule| !verdicts[*rule].violations.is_empty()).collect(), table(&verdicts))
 }
 
 #[test]
 fn requests_without_exactly_one_answer_in_time_are_found() {
-    let playing = Came::Answer(200);
+    let playing = RequestOutcome::Answer(200);
     let cases = [
         ("in time", playing, 3100, vec![], false),
         ("late", playing, 3101, vec![], true),
-        ("nothing", Came::Nothing, 5000, vec![], true),
-        ("connection lost", Came::Cut, 200, vec![], true),
-        ("connection lost by a kill", Came::Cut, 200, vec![(150, 900)], false),
-        ("requested while the manager was down", Came::Cut, 200, vec![(0, 900)], false),
-        ("killed long after", Came::Cut, 200, vec![(2000, 2100)], true),
-        ("closed by the viewer", Came::Closed, 200, vec![], false),
+        ("nothing", RequestOutcome::NoAnswer, 5000, vec![], true),
+        ("connection lost", RequestOutcome::ConnectionFailed, 200, vec![], true),
+        ("connection lost by a kill", RequestOutcome::ConnectionFailed, 200, vec![(150, 900)], false),
+        (
+            "requested while the manager was down",
+            RequestOutcome::ConnectionFailed,
+            200,
+            vec![(0, 900)],
+            false,
+        ),
+        ("killed long after", RequestOutcome::ConnectionFailed, 200, vec![(2000, 2100)], true),
+        ("closed by the viewer", RequestOutcome::Closed, 200, vec![], false),
         ("late beside a kill", playing, 4000, vec![(3900, 4100)], true),
     ];
-    let answered_twice = Asked { more: 1, ..request(1, CLIP, 0, 200, playing) };
+    let answered_twice = ManifestRequest { extra_answers: 1, ..request(1, CLIP, 0, 200, playing) };
     assert_eq!(violated_rules(&[], &[answered_twice], &[lifetime(&[])]).0, [0], "answered twice");
-    for (name, came, came_at, gaps, is_violation) in cases {
+    for (name, came, came_at, downtimes, is_violation) in cases {
         let requests = [request(1, CLIP, 0, came_at, came)];
-        let (rules, report) = violated_rules(&[], &requests, &[lifetime(&gaps)]);
+        let (rules, report) = violated_rules(&[], &requests, &[lifetime(&downtimes)]);
         assert_eq!(rules, if is_violation { vec![0] } else { vec![] }, "{name}: {report}");
     }
 }
@@ -114,28 +122,29 @@
     // How the request ended at 200, when another request of the session began and ended, when the set-up
     // was read; the number of set-ups checked and of violations.
     let cases = [
-        ("just in time", Came::Closed, None, 300, 1, 0),
-        ("too late", Came::Closed, None, 301, 1, 1),
-        ("long after", Came::Closed, None, 2500, 1, 1),
-        ("answered, not closed", Came::Answer(503), None, 301, 0, 0),
-        ("another is waiting", Came::Closed, Some((250, 900)), 800, 1, 0),
-        ("another waited", Came::Closed, Some((250, 600)), 800, 1, 1),
-        ("another arrives later", Came::Closed, Some((900, 950)), 800, 1, 1),
+        ("just in time", RequestOutcome::Closed, None, 300, 1, 0),
+        ("too late", RequestOutcome::Closed, None, 301, 1, 1),
+        ("long after", RequestOutcome::Closed, None, 2500, 1, 1),
+        ("answered, not closed", RequestOutcome::Answer(503), None, 301, 0, 0),
+        ("another is waiting", RequestOutcome::Closed, Some((250, 900)), 800, 1, 0),
+        ("another waited", RequestOutcome::Closed, Some((250, 600)), 800, 1, 1),
+        ("another arrives later", RequestOutcome::Closed, Some((900, 950)), 800, 1, 1),
     ];
     for (name, came, other, read_at, checked_count, violation_count) in cases {
         let mut session_requests = vec![request(1, CLIP, 0, 200, came)];
-        session_requests.extend(other.map(|(at, came_at)| request(1, CLIP, at, came_at, Came::Answer(200))));
+        session_requests
+            .extend(other.map(|(at, came_at)| request(1, CLIP, at, came_at, RequestOutcome::Answer(200))));
         let history = History {
             records: vec![set_up(read_at, 0, 1, 0, CLIP)],
-            asked: session_requests,
+            viewer_requests: session_requests,
             managers: vec![],
         };
-        let verdict = gone(ms(100), &history);
+        let verdict = judge_closed_requests(ms(100), &history);
         assert_eq!(
-            (verdict.looked, verdict.broken.len()),
+            (verdict.check_count, verdict.violations.len()),
             (checked_count, violation_count),
             "{name}: {:?}",
-            verdict.broken
+            verdict.violations
         );
     }
 }
@@ -147,12 +156,12 @@
     // second set-up is read at 500.
     let cases = [
         ("one after the other", Some((400, Refused)), CLIP, false),
-        ("within the tolerance", Some((509, Closed)), CLIP, false),
-        ("concurrent", Some((511, Closed)), CLIP, true),
+        ("within the tolerance", Some((509, ManagerClosed)), CLIP, false),
+        ("concurrent", Some((511, ManagerClosed)), CLIP, true),
         ("the first never ended", None, CLIP, true),
         ("paid, the first proved not to have run", Some((400, Refused)), TICKET, false),
-        ("paid, the first may have run", Some((400, Closed)), TICKET, true),
-        ("paid, the first failed", Some((400, Errored)), TICKET, true),
+        ("paid, the first may have run", Some((400, ManagerClosed)), TICKET, true),
+        ("paid, the first failed", Some((400, ErrorAnswer)), TICKET, true),
         ("paid, the first played", Some((400, Plays)), TICKET, true),
     ];
     for (name, end, package, is_violation) in cases {
@@ -166,24 +175,26 @@
     // The first set-up is read after the second: abandoned in transit, or still outstanding.
     for (closed, rules) in [(510, vec![]), (511, vec![1])] {
         let mut records = vec![set_up(400, 1, 1, 1, CLIP), set_up_ended(600, 1, 1, 1, Plays)];
-        records.extend([set_up(500, 0, 1, 0, CLIP), set_up_ended(closed, 0, 1, 0, Closed)]);
+        records.extend([set_up(500, 0, 1, 0, CLIP), set_up_ended(closed, 0, 1, 0, ManagerClosed)]);
         records.sort_by_key(|record| record.at);
         assert_eq!(violated_rules(&records, &[], &[lifetime(&[])]).0, rules, "closed at {closed}");
     }
     for (package, how, is_violation) in
-        [(TICKET, Refused, false), (TICKET, Closed, true), (CLIP, Closed, false)]
+        [(TICKET, Refused, false), (TICKET, ManagerClosed, true), (CLIP, ManagerClosed, false)]
     {
         let records = [set_up(100, 0, 1, 0, package), set_up_ended(200, 0, 1, 0, how)];
-        let requests = [request(1, package, 0, 300, Came::Answer(503))];
+        let requests = [request(1, package, 0, 300, RequestOutcome::Answer(503))];
         let (rules, _) = violated_rules(&records, &requests, &[lifetime(&[])]);
         assert_eq!(!rules.is_empty(), is_violation, "blocked after {how:?} of package {package}");
     }
     // A manager that may not know what another one set up may block the viewing, but may not set it up
     // again.
-    let (one, other) = (lifetime(&[]), Life { no: Some(ManagerNo(1)), ..lifetime(&[]) });
+    let (one, other) =
+        (lifetime(&[]), ManagerLifetime { manager_number: Some(ManagerNo(1)), ..lifetime(&[]) });
     let ran_by_first = [set_up(100, 0, 1, 0, TICKET), set_up_ended(200, 0, 1, 0, Plays)];
     for (manager, expected_rules) in [(0, vec![1]), (1, vec![])] {
-        let blocked_request = Asked { manager, ..request(1, TICKET, 0, 300, Came::Answer(503)) };
+        let blocked_request =
+            ManifestRequest { manager, ..request(1, TICKET, 0, 300, RequestOutcome::Answer(503)) };
         let lifetimes = [one.clone(), other.clone()];
         assert_eq!(
             violated_rules(&ran_by_first, &[blocked_request], &lifetimes).0,
@@ -193,7 +204,7 @@
     }
     let second_set_up = Record {
         at: ms(400),
-        what: What::SetUp {
+        what: Event::SetUp {
             server: ServerNo(1),
             key: TuneInKey { manager: ManagerNo(1), ..key(9, 0) },
             session: 1,
@@ -208,7 +219,7 @@
 
 #[test]
 fn set_ups_after_the_drain_grace_are_found() {
-    use Standing::*;
+    use ServerStatus::*;
     let drain = || server_notified(1000, Draining, 1);
     let cases = [
         ("never notified", vec![], vec![], 9000, false),
@@ -236,10 +247,10 @@
 #[test]
 fn servers_overloaded_by_informed_managers_are_found() {
     let at = |at, what| Record { at: ms(at), what };
-    let server_started = || at(1000, What::Born { server: ServerNo(0) });
+    let server_started = || at(1000, Event::ServerStarted { server: ServerNo(0) });
     let server_died = |managers: &[u32]| {
         let managers = managers.iter().map(|manager| ManagerNo(*manager)).collect();
-        at(500, What::Died { server: ServerNo(0), managers })
+        at(500, Event::ServerDied { server: ServerNo(0), managers })
     };
     // Set-ups at a fixed interval in milliseconds from 2000 on, by these managers in rotation. One second after
     // its start the server may be sent nine in a second, and twelve more by chance; two seconds after it,
@@ -249,15 +260,15 @@
             let manager = ManagerNo(managers[i as usize % managers.len()]);
             let key = TuneInKey { manager, ..key(i as u32, 0) };
             let (server, session) = (ServerNo(0), u128::from(i));
-            let what = What::SetUp { server, key, session, package: CLIP, title: "t".into(), rung: 1 };
+            let what = Event::SetUp { server, key, session, package: CLIP, title: "t".into(), rung: 1 };
             [
                 at(2000 + interval_ms * i, what),
-                at(2000 + interval_ms * i, What::SetUpOver { server, key, how: SetUpEnd::Refused }),
+                at(2000 + interval_ms * i, Event::SetUpEnded { server, key, how: SetUpEnd::Refused }),
             ]
         };
         (0..count).flat_map(pair).collect()
     };
-    let manager_notified = |incarnation| server_notified(1500, Standing::Ready, incarnation);
+    let manager_notified = |incarnation| server_notified(1500, ServerStatus::Ready, incarnation);
     let cases = [
         (
             "as many as it may be sent",
@@ -291,7 +302,7 @@
         ),
         (
             "warm for long",
-            vec![at(0, What::Born { server: ServerNo(1) }), manager_notified(1)],
+            vec![at(0, Event::ServerStarted { server: ServerNo(1) }), manager_notified(1)],
             sent(&[0], 1, 99),
             vec![],
             false,
@@ -313,8 +324,8 @@
         ("a witness of its end", vec![server_died(&[0]), server_started()], sent(&[0], 1, 22), vec![], true),
         ("started since", vec![server_started()], sent(&[0], 1, 22), vec![(900, 1100)], true),
     ];
-    for (name, events, sent, gaps, is_violation) in cases {
-        let (rules, report) = violated_rules(&[events, sent].concat(), &[], &[lifetime(&gaps)]);
+    for (name, events, sent, downtimes, is_violation) in cases {
+        let (rules, report) = violated_rules(&[events, sent].concat(), &[], &[lifetime(&downtimes)]);
         assert_eq!(rules, if is_violation { vec![3] } else { vec![] }, "{name}: {report}");
         assert!(!is_violation || report.contains("ServerNo(0) born at 1.000 pushed over at 2."), "{report}");
     }
@@ -330,13 +341,14 @@
     };
     let ended = |at: u64, viewing_id: u32| Record {
         at: ms(at),
-        what: What::StreamOver {
+        what: Event::StreamEnded {
             server: ServerNo(viewing_id as usize),
             key: key(viewing_id, 0),
             why: StreamEnd::Ended,
         },
     };
-    let rung = |rung| Record { at: ms(400), what: What::Rung { server: ServerNo(1), key: key(1, 0), rung } };
+    let rung =
+        |rung| Record { at: ms(400), what: Event::RungChanged { server: ServerNo(1), key: key(1, 0), rung } };
     let two_playing = || [playing(100, 1), playing(200, 2)].concat();
     let cases = [
         ("two seats", two_playing(), false),
@@ -361,13 +373,13 @@
     // and how that tune-in ended, its viewing and package, and whether it counts as holding a seat.
     use SetUpEnd::*;
     let cases = [
-        ("closed at once", Some((301, Closed)), 2, REPLAY, false),
-        ("closed within the tolerance", Some((311, Closed)), 2, REPLAY, false),
-        ("closed later", Some((312, Closed)), 2, REPLAY, true),
+        ("closed at once", Some((301, ManagerClosed)), 2, REPLAY, false),
+        ("closed within the tolerance", Some((311, ManagerClosed)), 2, REPLAY, false),
+        ("closed later", Some((312, ManagerClosed)), 2, REPLAY, true),
         ("not closed", None, 2, REPLAY, true),
         ("refused, not closed", Some((301, Refused)), 2, REPLAY, true),
-        ("of another viewing", Some((301, Closed)), 3, REPLAY, true),
-        ("paid", Some((301, Closed)), 2, TICKET, true),
+        ("of another viewing", Some((301, ManagerClosed)), 3, REPLAY, true),
+        ("paid", Some((301, ManagerClosed)), 2, TICKET, true),
     ];
     for (name, end, viewing_id, package, counts) in cases {
         let mut records = vec![
@@ -378,10 +390,10 @@
         ];
         records.extend(end.map(|(at, how)| set_up_ended(at, 6, viewing_id, 0, how)));
         let mut terms = terms();
-        terms.packages.push(Package { once: false, ..terms.packages[TICKET].clone() });
-        let history = History { records, asked: vec![], managers: vec![lifetime(&[])] };
+        terms.packages.push(Package { paid_once: false, ..terms.packages[TICKET].clone() });
+        let history = History { records, viewer_requests: vec![], managers: vec![lifetime(&[])] };
         let seats = &judge(&terms, &history)[4];
-        assert_eq!(!seats.broken.is_empty(), counts, "{name}: {:?}", seats.broken);
+        assert_eq!(!seats.violations.is_empty(), counts, "{name}: {:?}", seats.violations);
     }
 }
 
@@ -391,8 +403,9 @@
     let retry = |at: u64, viewing_id: u32, n: u16| {
         [set_up(at, 0, viewing_id, n, CLIP), set_up_ended(at + 10, 0, viewing_id, n, SetUpEnd::Refused)]
     };
-    let accepted =
-        |count: u128| (0..count).map(|i| request(i, CLIP, 50, 90, Came::Answer(200))).collect::<Vec<_>>();
+    let accepted = |count: u128| {
+        (0..count).map(|i| request(i, CLIP, 50, 90, RequestOutcome::Answer(200))).collect::<Vec<_>>()
+    };
     let cases = [
         ("one is free", vec![retry(100, 1, 1)], 0, false),
         ("two are too many", vec![retry(100, 1, 1), retry(200, 2, 1)], 1, true),
@@ -422,8 +435,11 @@
     let cases =
         [(51, 503, false, false), (51, 200, false, true), (90, 200, false, true), (51, 200, true, false)];
     for (at, came, refresh, is_violation) in cases.into_iter().chain([(91, 200, false, false)]) {
-        let second = Asked { refresh, ..request(1, CLIP, at, at.max(90), Came::Answer(came)) };
-        let both_requests = [request(1, CLIP, 50, 90, Came::Answer(503)), second];
+        let second = ManifestRequest {
+            is_refresh: refresh,
+            ..request(1, CLIP, at, at.max(90), RequestOutcome::Answer(came))
+        };
+        let both_requests = [request(1, CLIP, 50, 90, RequestOutcome::Answer(503)), second];
         let (rules, report) = violated_rules(&records, &both_requests, &[lifetime(&[])]);
         assert_eq!(rules.contains(&5), is_violation, "{came}: {report}");
     }
@@ -432,26 +448,33 @@
 #[test]
 fn a_rule_without_checks_is_reported_as_not_exercised() {
     let verdicts = judge(&terms(), &History::default());
-    assert!(verdicts.iter().all(|rule| rule.word() == "not exercised"), "{}", table(&verdicts));
-    let asked = vec![request(1, CLIP, 0, 10, Came::Answer(200))];
-    let verdicts = judge(&terms(), &History { asked, ..Default::default() });
-    assert_eq!(verdicts.each_ref().map(Judged::word)[..2], ["kept", "not exercised"]);
+    assert!(verdicts.iter().all(|rule| rule.verdict() == "not exercised"), "{}", table(&verdicts));
+    let asked = vec![request(1, CLIP, 0, 10, RequestOutcome::Answer(200))];
+    let verdicts = judge(&terms(), &History { viewer_requests: asked, ..Default::default() });
+    assert_eq!(verdicts.each_ref().map(RuleVerdict::verdict)[..2], ["kept", "not exercised"]);
 }
 
 /// A history with an entry of each kind.
 fn full_history() -> History {
     let (server, at) = (ServerNo(0), |at, what| Record { at: ms(at), what });
     let records = vec![
-        at(40, What::Died { server, managers: vec![ManagerNo(0), ManagerNo(3)] }),
-        at(50, What::Born { server }),
-        server_notified(60, Standing::Draining, 2),
+        at(40, Event::ServerDied { server, managers: vec![ManagerNo(0), ManagerNo(3)] }),
+        at(50, Event::ServerStarted { server }),
+        server_notified(60, ServerStatus::Draining, 2),
         set_up(100, 0, 1, 0, TICKET),
         set_up_ended(110, 0, 1, 0, SetUpEnd::Plays),
-        at(120, What::Rung { server, key: key(1, 0), rung: 2 }),
-        at(130, What::StreamOver { server, key: key(1, 0), why: StreamEnd::Lease }),
+        at(120, Event::RungChanged { server, key: key(1, 0), rung: 2 }),
+        at(130, Event::StreamEnded { server, key: key(1, 0), why: StreamEnd::Lease }),
     ];
-    let requests = vec![request(1, TICKET, 90, 115, Came::Answer(200)), request(2, CLIP, 90, 95, Came::Cut)];
-    History { records, asked: requests, managers: vec![lifetime(&[(1, 9)]), Life::default()] }
+    let requests = vec![
+        request(1, TICKET, 90, 115, RequestOutcome::Answer(200)),
+        request(2, CLIP, 90, 95, RequestOutcome::ConnectionFailed),
+    ];
+    History {
+        records,
+        viewer_requests: requests,
+        managers: vec![lifetime(&[(1, 9)]), ManagerLifetime::default()],
+    }
 }
 
 #[test]
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -3,22 +3,22 @@
 //! Each line is one entry in protobuf text format (`proto/history.proto`). A text that is malformed, out of
 //! order or incomplete is rejected as a whole, so that it is never judged.
 
-use crate::record::{Asked, Came, Record, SetUpEnd, Standing, What};
-use crate::{History, Life, Package, Terms};
+use crate::record::{Event, ManifestRequest, Record, RequestOutcome, ServerStatus, SetUpEnd};
+use crate::{History, ManagerLifetime, Package, Terms};
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, StreamEnd, TuneInKey};
 use ivyward_settings::{Fault, Section};
 use std::time::Duration;
 
 /// States of servers in the text.
-const SERVER_STATES: [(&str, Standing); 3] =
-    [("ready", Standing::Ready), ("draining", Standing::Draining), ("gone", Standing::Gone)];
+const SERVER_STATES: [(&str, ServerStatus); 3] =
+    [("ready", ServerStatus::Ready), ("draining", ServerStatus::Draining), ("gone", ServerStatus::Gone)];
 /// Ends of set-ups in the text.
 const SET_UP_ENDS: [(&str, SetUpEnd); 5] = [
     ("plays", SetUpEnd::Plays),
     ("refused", SetUpEnd::Refused),
-    ("errored", SetUpEnd::Errored),
-    ("closed", SetUpEnd::Closed),
-    ("broke", SetUpEnd::Broke),
+    ("errored", SetUpEnd::ErrorAnswer),
+    ("closed", SetUpEnd::ManagerClosed),
+    ("broke", SetUpEnd::ServerClosed),
 ];
 /// Ends of streams in the text.
 const STREAM_ENDS: [(&str, StreamEnd); 4] = [
@@ -28,8 +28,11 @@
     ("died", StreamEnd::Died),
 ];
 /// Outcomes of requests in the text, besides HTTP statuses.
-const REQUEST_OUTCOMES: [(&str, Came); 3] =
-    [("closed", Came::Closed), ("cut", Came::Cut), ("nothing", Came::Nothing)];
+const REQUEST_OUTCOMES: [(&str, RequestOutcome); 3] = [
+    ("closed", RequestOutcome::Closed),
+    ("cut", RequestOutcome::ConnectionFailed),
+    ("nothing", RequestOutcome::NoAnswer),
+];
 /// Kinds of entries in the text.
 const ENTRY_KINDS: [&str; 11] =
     ["terms", "life", "asked", "set_up", "set_up_over", "rung", "stream_over", "told", "born", "died", "end"];
@@ -50,14 +53,14 @@
 /// Writes a history as text.
 pub fn write(terms: &Terms, history: &History) -> String {
     let packages = terms.packages.iter().map(|package_terms| {
-        let Package { name, patience, target, value, once, floor, seats } = package_terms;
+        let Package { name, patience, target, value, paid_once, floor, seats } = package_terms;
         let (patience, target) = (to_micros(*patience), to_micros(*target));
         format!(
-            "package {{ name: {name:?} patience_us: {patience} target_us: {target} value: {value:?} once: {once} floor: {floor} seats: {seats} }} "
+            "package {{ name: {name:?} patience_us: {patience} target_us: {target} value: {value:?} once: {paid_once} floor: {floor} seats: {seats} }} "
         )
     });
-    let (slow_start, capacity) = &terms.cold;
-    let ration = terms.ration.map(|(window, free, share)| {
+    let (slow_start, capacity) = &terms.slow_start;
+    let ration = terms.retry_budget.map(|(window, free, share)| {
         format!("ration_us: {} ration_free: {free:?} ration_share: {share:?} ", to_micros(window))
     });
     let mut text = format!(
@@ -65,22 +68,25 @@
         packages.collect::<String>(),
         to_micros(terms.grace),
         to_micros(terms.slack),
-        to_micros(terms.grain),
+        to_micros(terms.time_tolerance),
         ration.unwrap_or_default(),
         slow_start.from,
         to_micros(slow_start.warm_up),
         slow_start.multiple,
         to_micros(slow_start.fall),
     );
-    for Life { no, gaps } in &history.managers {
+    for ManagerLifetime { manager_number: no, downtimes } in &history.managers {
         let no = no.map(|no| format!("no: {} ", no.0)).unwrap_or_default();
         let gap = |(from, until): &(Duration, Option<Duration>)| {
             format!("from_us: {} until_us: {} ", to_micros(*from), until.map_or(0, to_micros))
         };
-        text += &format!("at_us: 0 life {{ {no}{}}}\n", gaps.iter().map(gap).collect::<String>());
+        text += &format!("at_us: 0 life {{ {no}{}}}\n", downtimes.iter().map(gap).collect::<String>());
     }
-    let mut entries: Vec<_> =
-        history.asked.iter().map(|request| (request.at, write_request(request))).collect();
+    let mut entries: Vec<_> = history
+        .viewer_requests
+        .iter()
+        .map(|request| (request.requested_at, write_request(request)))
+        .collect();
     let records = history.records.iter().filter_map(|record| Some((record.at, write_event(&record.what)?)));
     entries.extend(records);
     entries.sort_by_key(|(at, _)| *at);
@@ -89,12 +95,22 @@
     text + &format!("at_us: {last_at} end {{ }}\n")
 }
 
-fn write_request(request: &Asked) -> String {
-    let came = match &request.came {
-        Came::Answer(status) => status.to_string(),
+fn write_request(request: &ManifestRequest) -> String {
+    let came = match &request.outcome {
+        RequestOutcome::Answer(status) => status.to_string(),
         other => name_of(other, &REQUEST_OUTCOMES).into(),
     };
-    let Asked { manager, session, package, came_at, new, refresh, sent, more, .. } = request;
+    let ManifestRequest {
+        manager,
+        session,
+        package,
+        ended_at: came_at,
+        starts_viewing: new,
+        is_refresh: refresh,
+        was_connected: sent,
+        extra_answers: more,
+        ..
+    } = request;
     let came_at = to_micros(*came_at);
     format!(
         "asked {{ manager: {manager} session: \"{session:032x}\" package: {package} came_at_us: {came_at} came: {came:?} fresh: {new} refresh: {refresh} sent: {sent} more: {more} }}"
@@ -102,14 +118,14 @@
 }
 
 /// Writes an event; none if no rule uses it.
-fn write_event(event: &What) -> Option<String> {
+fn write_event(event: &Event) -> Option<String> {
     Some(match event {
-        What::SetUp { server, key: tune_in, session, package, title, rung } => format!(
+        Event::SetUp { server, key: tune_in, session, package, title, rung } => format!(
             "set_up {{ server: {} {} session: \"{session:032x}\" package: {package} title: {title:?} rung: {rung} }}",
             server.0,
             write_key(tune_in)
         ),
-        What::SetUpOver { server, key: tune_in, how } => {
+        Event::SetUpEnded { server, key: tune_in, how } => {
             format!(
                 "set_up_over {{ server: {} {} how: {:?} }}",
                 server.0,
@@ -117,10 +133,10 @@
                 name_of(how, &SET_UP_ENDS)
             )
         }
-        What::Rung { server, key: tune_in, rung } => {
+        Event::RungChanged { server, key: tune_in, rung } => {
             format!("rung {{ server: {} {} rung: {rung} }}", server.0, write_key(tune_in))
         }
-        What::StreamOver { server, key: tune_in, why } => {
+        Event::StreamEnded { server, key: tune_in, why } => {
             format!(
                 "stream_over {{ server: {} {} why: {:?} }}",
                 server.0,
@@ -128,20 +144,20 @@
                 name_of(why, &STREAM_ENDS)
             )
         }
-        What::Told { manager, server, standing, incarnation } => {
+        Event::ServerNotified { manager, server, standing, incarnation } => {
             let standing = name_of(standing, &SERVER_STATES);
             format!(
                 "told {{ manager: {} server: {} standing: {standing:?} birth: {incarnation} }}",
                 manager.0, server.0
             )
         }
-        What::Born { server } => format!("born {{ server: {} }}", server.0),
-        What::Died { server, managers } => {
+        Event::ServerStarted { server } => format!("born {{ server: {} }}", server.0),
+        Event::ServerDied { server, managers } => {
             let managers: String =
                 managers.iter().map(|manager| format!("manager: {} ", manager.0)).collect();
             format!("died {{ server: {} {managers}}}", server.0)
         }
-        What::Ran { .. } | What::Fell { .. } | What::Fault { .. } => return None,
+        Event::SetUpStarted { .. } | Event::ServerOverloaded { .. } | Event::Fault { .. } => return None,
     })
 }
 
@@ -234,31 +250,32 @@
                 .zip(&until)
                 .map(|(from, until)| (to_duration(from), Some(to_duration(until)).filter(|u| !u.is_zero())));
             let no = fields.has("no").then(|| ManagerNo(fields.count("no") as u32));
-            history.managers.push(Life { no, gaps: gaps.collect() });
+            history.managers.push(ManagerLifetime { manager_number: no, downtimes: gaps.collect() });
         }
         "asked" => {
             let (came, came_at) = (fields.text("came"), read_duration(&fields, "came_at_us"));
             if came_at < at {
                 return Err(fields.fault("came_at_us", "is earlier than at_us"));
             }
-            let status = came.parse().ok().filter(|status| (100..600).contains(status)).map(Came::Answer);
+            let status =
+                came.parse().ok().filter(|status| (100..600).contains(status)).map(RequestOutcome::Answer);
             let came = status.or_else(|| value_of(&came, &REQUEST_OUTCOMES));
-            history.asked.push(Asked {
+            history.viewer_requests.push(ManifestRequest {
                 manager: fields.count("manager"),
                 session: session()?,
                 package: package()?,
-                at,
-                came_at,
-                came: came.ok_or_else(|| {
+                requested_at: at,
+                ended_at: came_at,
+                outcome: came.ok_or_else(|| {
                     fields.fault("came", "is neither an HTTP status nor closed, cut or nothing")
                 })?,
-                new: fields.boolean("fresh"),
-                refresh: fields.boolean("refresh"),
-                sent: fields.boolean("sent"),
-                more: fields.count("more"),
+                starts_viewing: fields.boolean("fresh"),
+                is_refresh: fields.boolean("refresh"),
+                was_connected: fields.boolean("sent"),
+                extra_answers: fields.count("more"),
             });
         }
-        "set_up" => history.records.push(record(What::SetUp {
+        "set_up" => history.records.push(record(Event::SetUp {
             server,
             key: read_key(&fields),
             session: session()?,
@@ -268,30 +285,30 @@
         })),
         "set_up_over" => {
             let how = read_named(&fields, "how", &SET_UP_ENDS)?;
-            history.records.push(record(What::SetUpOver { server, key: read_key(&fields), how }));
+            history.records.push(record(Event::SetUpEnded { server, key: read_key(&fields), how }));
         }
         "rung" => {
             let rung = fields.count("rung");
-            history.records.push(record(What::Rung { server, key: read_key(&fields), rung }));
+            history.records.push(record(Event::RungChanged { server, key: read_key(&fields), rung }));
         }
         "stream_over" => {
             let why = read_named(&fields, "why", &STREAM_ENDS)?;
-            history.records.push(record(What::StreamOver { server, key: read_key(&fields), why }));
+            history.records.push(record(Event::StreamEnded { server, key: read_key(&fields), why }));
         }
         "told" => {
             let (manager, standing) =
                 (ManagerNo(fields.count("manager") as u32), read_named(&fields, "standing", &SERVER_STATES)?);
-            history.records.push(record(What::Told {
+            history.records.push(record(Event::ServerNotified {
                 manager,
                 server,
                 standing,
                 incarnation: fields.integer("birth"),
             }));
         }
-        "born" => history.records.push(record(What::Born { server })),
+        "born" => history.records.push(record(Event::ServerStarted { server })),
         "died" => {
             let managers = fields.numbers("manager").into_iter().map(|no| ManagerNo(no as u32)).collect();
-            history.records.push(record(What::Died { server, managers }));
+            history.records.push(record(Event::ServerDied { server, managers }));
         }
         _ => *ended = true,
     }
@@ -321,7 +338,7 @@
         patience: read_duration(package_fields, "patience_us"),
         target: read_duration(package_fields, "target_us"),
         value: package_fields.number("value"),
-        once: package_fields.boolean("once"),
+        paid_once: package_fields.boolean("once"),
         floor: package_fields.count("floor"),
         seats: package_fields.count("seats"),
     };
@@ -334,11 +351,11 @@
     Terms {
         packages: fields.sections("package").iter().map(read_package).collect(),
         grace: read_duration(fields, "grace_us"),
-        ration: fields.has("ration_us").then(|| {
+        retry_budget: fields.has("ration_us").then(|| {
             (read_duration(fields, "ration_us"), fields.number("ration_free"), fields.number("ration_share"))
         }),
         slack: read_duration(fields, "slack_us"),
-        grain: read_duration(fields, "grain_us"),
-        cold: (cold, fields.count("places")),
+        time_tolerance: read_duration(fields, "grain_us"),
+        slow_start: (cold, fields.count("places")),
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -9,7 +9,7 @@
 mod server;
 
 pub use given::fleet;
-pub use ivyward_rules::{Record, SetUpEnd, Standing, What};
+pub use ivyward_rules::{Event, Record, ServerStatus, SetUpEnd};
 pub use record::Records;
 
 use bytes::Bytes;
@@ -172,7 +172,7 @@
         &self.0.records
     }
 
-    fn record(&self, what: What) {
+    fn record(&self, what: Event) {
         self.0.records.add(self.now(), what);
     }
 
@@ -233,9 +233,9 @@
                 self.over(at, key, why);
             }
             for at in self.model(Fleet::fallen) {
-                self.record(What::Fell { server: at });
+                self.record(Event::ServerOverloaded { server: at });
                 self.closed(at);
-                self.list_soon(at, Standing::Gone);
+                self.list_soon(at, ServerStatus::Gone);
             }
             for (at, key, note) in self.model(|fleet| fleet.notes(now)) {
                 let (what, x) = match note {
@@ -255,7 +255,7 @@
     /// A stream is over: its manager is told.
     fn over(&self, at: ServerNo, key: TuneInKey, why: StreamEnd) {
         self.0.abouts.borrow_mut().remove(&(at, key));
-        self.record(What::StreamOver { server: at, key, why });
+        self.record(Event::StreamEnded { server: at, key, why });
         let why = match why {
             StreamEnd::Ended => "ended",
             StreamEnd::Lease => "left",
@@ -284,13 +284,13 @@
 
     /// Stands still: takes what comes and answers nothing.
     pub fn freeze(&self, at: ServerNo) {
-        self.record(What::Fault { server: at, name: "freeze", on: true });
+        self.record(Event::Fault { server: at, name: "freeze", on: true });
         self.model(|fleet| fleet.faults(at).frozen = true);
     }
 
     /// Goes on with what it took.
     pub fn thaw(&self, at: ServerNo) {
-        self.record(What::Fault { server: at, name: "freeze", on: false });
+        self.record(Event::Fault { server: at, name: "freeze", on: false });
         self.model(|fleet| fleet.faults(at).frozen = false);
         self.0.doors[at.0].silent.set(false);
         self.0.doors[at.0].thawed.notify_waiters();
@@ -305,12 +305,12 @@
     /// The process dies.
     pub fn crash(&self, at: ServerNo) {
         let managers = self.model(|fleet| fleet.managers(at));
-        self.record(What::Died { server: at, managers });
+        self.record(Event::ServerDied { server: at, managers });
         for key in self.model(|fleet| fleet.die(at)) {
             self.over(at, key, StreamEnd::Died);
         }
         self.closed(at);
-        self.list_soon(at, Standing::Gone);
+        self.list_soon(at, ServerStatus::Gone);
     }
 
     /// A process starts there, cold, as soon as its address is free.
@@ -320,15 +320,15 @@
             let listener = standins.listener(at).await;
             let now = standins.now();
             standins.model(|fleet| fleet.start(now, at));
-            standins.record(What::Born { server: at });
+            standins.record(Event::ServerStarted { server: at });
             standins.serve(at, listener);
-            standins.list_soon(at, Standing::Ready);
+            standins.list_soon(at, ServerStatus::Ready);
         });
     }
 
     /// Its sockets close and nobody listens there, while the process lives on and the list knows of nothing.
     pub fn refuse(&self, at: ServerNo) {
-        self.record(What::Fault { server: at, name: "refuse", on: true });
+        self.record(Event::Fault { server: at, name: "refuse", on: true });
         self.closed(at);
     }
 
@@ -337,7 +337,7 @@
         let standins = self.clone();
         spawn_local(async move {
             let listener = standins.listener(at).await;
-            standins.record(What::Fault { server: at, name: "refuse", on: false });
+            standins.record(Event::Fault { server: at, name: "refuse", on: false });
             standins.serve(at, listener);
         });
     }
@@ -353,14 +353,14 @@
     }
 
     pub fn drain(&self, at: ServerNo) {
-        self.record(What::Fault { server: at, name: "drain", on: true });
+        self.record(Event::Fault { server: at, name: "drain", on: true });
         self.model(|fleet| fleet.drain(at));
-        self.list_soon(at, Standing::Draining);
+        self.list_soon(at, ServerStatus::Draining);
     }
 
     /// Its clock jumps so many seconds ahead of the right one, or back behind it.
     pub fn clock(&self, at: ServerNo, ahead: i64) {
-        self.record(What::Fault { server: at, name: "clock", on: ahead != 0 });
+        self.record(Event::Fault { server: at, name: "clock", on: ahead != 0 });
         self.0.doors[at.0].ahead.set(ahead);
     }
 
@@ -378,7 +378,7 @@
     pub fn fault(
         &self, at: ServerNo, name: &'static str, on: bool, change: impl FnOnce(&mut ivyward_fleet::Faults),
     ) {
-        self.record(What::Fault { server: at, name, on });
+        self.record(Event::Fault { server: at, name, on });
         self.model(|fleet| change(fleet.faults(at)));
     }
 
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use ivyward_fleet::{ManagerNo, ServerNo};
-use ivyward_rules::{Standing, What};
+use ivyward_rules::{Event, ServerStatus};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -24,14 +24,14 @@
 pub(crate) struct Row {
     address: SocketAddr,
     cell: usize,
-    standing: Standing,
+    standing: ServerStatus,
     incarnation: u64,
     born: Option<Duration>,
 }
 
 impl Row {
     pub fn new(address: SocketAddr, cell: usize) -> Self {
-        Row { address, cell, standing: Standing::Ready, incarnation: 1, born: None }
+        Row { address, cell, standing: ServerStatus::Ready, incarnation: 1, born: None }
     }
 }
 
@@ -52,7 +52,7 @@
 
 impl Standins {
     /// The list hears of a server now and tells of it late.
-    pub(crate) fn list_soon(&self, at: ServerNo, standing: Standing) {
+    pub(crate) fn list_soon(&self, at: ServerNo, standing: ServerStatus) {
         let (standins, list) = (self.clone(), &self.0.list);
         let late = list.late + list.stale.get();
         let (incarnation, born) = self.model(|fleet| fleet.incarnation(at));
@@ -70,7 +70,7 @@
             let row = standins.row(at);
             let mut readers = list.readers.borrow_mut();
             readers.retain_mut(|(manager, sender)| {
-                let told = What::Told { manager: *manager, server: at, standing, incarnation };
+                let told = Event::ServerNotified { manager: *manager, server: at, standing, incarnation };
                 standins.record(told);
                 sender.try_send(event(json!({"changes": [row]}))).is_ok()
             });
@@ -80,9 +80,9 @@
     fn row(&self, at: ServerNo) -> Value {
         let row = self.0.list.rows.borrow()[at.0];
         let standing = match row.standing {
-            Standing::Ready => "ready",
-            Standing::Draining => "draining",
-            Standing::Gone => "gone",
+            ServerStatus::Ready => "ready",
+            ServerStatus::Draining => "draining",
+            ServerStatus::Gone => "gone",
         };
         let age = row.born.map(|born| self.now().saturating_sub(born).as_millis() as u64);
         json!({
@@ -103,7 +103,7 @@
         let boxes: Vec<_> = self.model(|fleet| fleet.boxes().collect());
         for at in &boxes {
             let row = self.0.list.rows.borrow()[at.0];
-            self.record(What::Told {
+            self.record(Event::ServerNotified {
                 manager,
                 server: *at,
                 standing: row.standing,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -197,7 +197,8 @@
             let (lost, others) = open.into_iter().partition(|(connection, _)| *connection == number);
             *serves.open_set_ups.borrow_mut() = others;
             let lost: BTreeSet<(usize, SessionRef)> = lost;
-            lost.into_iter().for_each(|(connection, of)| serves.record_end(connection, of, SetUpEnd::Closed));
+            lost.into_iter()
+                .for_each(|(connection, of)| serves.record_end(connection, of, SetUpEnd::ManagerClosed));
         });
     }
 
@@ -252,7 +253,7 @@
         if signal.kind == Kind::SetUp {
             self.open_set_ups.borrow_mut().insert((connection, of));
         } else if signal.kind == Kind::Release {
-            self.end_set_up(connection, of, SetUpEnd::Closed);
+            self.end_set_up(connection, of, SetUpEnd::ManagerClosed);
         }
         self.signals.borrow_mut().push(ReceivedSignal {
             at: Instant::now(),
@@ -311,7 +312,7 @@
     pub fn release(&self, connection: usize, of: SessionRef, cause: u8) {
         // Full and moot: it never ran.
         let never = [34, 102].contains(&cause);
-        self.end_set_up(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::Errored });
+        self.end_set_up(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer });
         self.send_bytes(
             connection,
             binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default(),
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,6 +1,6 @@
 //! What passed on the stand-ins' sockets, and what was done to them.
 
-use ivyward_rules::{Record, What};
+use ivyward_rules::{Event, Record};
 use std::cell::RefCell;
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 pub struct Records(RefCell<Vec<Record>>);
 
 impl Records {
-    pub(crate) fn add(&self, at: Duration, what: What) {
+    pub(crate) fn add(&self, at: Duration, what: Event) {
         self.0.borrow_mut().push(Record { at, what });
     }
 
@@ -18,7 +18,7 @@
     }
 
     /// Records so far that fit.
-    pub fn count(&self, fits: impl Fn(&What) -> bool) -> usize {
+    pub fn count(&self, fits: impl Fn(&Event) -> bool) -> usize {
         self.0.borrow().iter().filter(|record| fits(&record.what)).count()
     }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use ivyward_dash::token::{GrantedTuneIn, Refusal};
 use ivyward_fleet::{FetchOutcome, ServerNo, SetUpOutcome, StreamEnd, TuneInKey};
-use ivyward_rules::{SetUpEnd, What};
+use ivyward_rules::{Event, SetUpEnd};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -59,7 +59,7 @@
 
 impl Drop for Watch<'_> {
     fn drop(&mut self) {
-        self.standins.record(What::SetUpOver { server: self.server, key: self.key, how: self.how.get() });
+        self.standins.record(Event::SetUpEnded { server: self.server, key: self.key, how: self.how.get() });
     }
 }
 
@@ -171,8 +171,8 @@
         let began = whole("began").unwrap_or_default();
         let about = About { session, package, title: title.into(), top, segments, span, began };
         let rung = rung as usize;
-        self.record(What::SetUp { server: at, key, session, package, title: title.into(), rung });
-        let watch = Watch { standins: &self, server: at, key, how: Cell::new(SetUpEnd::Closed) };
+        self.record(Event::SetUp { server: at, key, session, package, title: title.into(), rung });
+        let watch = Watch { standins: &self, server: at, key, how: Cell::new(SetUpEnd::ManagerClosed) };
         let off = 1.0 + self.0.vary * spread(self.0.seed, title);
         let rates: Vec<_> = rates.iter().map(|kb| kb * off).collect();
         let (tell, told) = oneshot::channel();
@@ -189,7 +189,7 @@
             if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost)
                 || came == SetUpOutcome::Breaks && standins.model(|f| f.up(at))
             {
-                standins.record(What::Ran { server: at, key });
+                standins.record(Event::SetUpStarted { server: at, key });
                 standins.0.abouts.borrow_mut().insert((at, key), about);
             }
             tell.send(came).ok();
@@ -210,12 +210,12 @@
             SetUpOutcome::Draining => turned_away("draining"),
             SetUpOutcome::Stale => turned_away("stale"),
             SetUpOutcome::Error => {
-                watch.how.set(SetUpEnd::Errored);
+                watch.how.set(SetUpEnd::ErrorAnswer);
                 Ok(self.loaded(at, says(StatusCode::INTERNAL_SERVER_ERROR, "it failed\n")))
             }
             SetUpOutcome::AnswerLost => pending().await,
             SetUpOutcome::Breaks => {
-                watch.how.set(SetUpEnd::Broke);
+                watch.how.set(SetUpEnd::ServerClosed);
                 Err(io::Error::other("the connection breaks"))
             }
         }
@@ -244,7 +244,7 @@
         let now = self.now();
         let found = match rung {
             Some(rung) => {
-                self.record(What::Rung { server: at, key, rung });
+                self.record(Event::RungChanged { server: at, key, rung });
                 self.model(|fleet| fleet.rung(at, key, rung))
             }
             None => {
