--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -40,7 +40,7 @@
             Err(error) => return drop(tell.send(Err(error))),
         };
         local.block_on(&runtime, async move {
-            let opened = open();
+            let opened = open_standins();
             let running = opened.as_ref().ok().cloned();
             tell.send(opened.map(|standins| standins.list_address())).ok();
             if running.is_some() {
@@ -51,7 +51,7 @@
     told.recv().map_err(|_| "the stand-ins did not start".to_string())?
 }
 
-fn open() -> Result<Standins, String> {
+fn open_standins() -> Result<Standins, String> {
     let parts = |text, kind| ivyward_settings::read(kind, text).map_err(|faults| format!("{faults:?}"));
     let (settings, fleet) = (parts(SETTINGS, "Settings")?, parts(FLEET, "Fleet")?);
     let tokens = settings.section("tokens");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -111,11 +111,11 @@
     let listener = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("{wanted}: {e}"))?;
     let incarnation = incarnation::next(&manager.text("state_dir"), (outside.clock)())?;
-    let paid = paid::Paid::open(&manager.text("state_dir"), (outside.clock)())?;
+    let paid = paid::PaidSessionLog::open(&manager.text("state_dir"), (outside.clock)())?;
     let local = LocalSet::new();
     local
         .run_until(async {
-            let peers = match setup::peers(settings) {
+            let peers = match setup::peers_config(settings) {
                 Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(incarnation)).await?),
                 None => None,
             };
@@ -127,7 +127,7 @@
                 let wanted = manager.text("console");
                 let console = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
                 tracing::info!(console = %console.local_addr().map_err(|e| e.to_string())?, "the operators' pages");
-                tokio::task::spawn_local(viewers::console(console, shell.clone(), quality.clone()));
+                tokio::task::spawn_local(viewers::serve_console(console, shell.clone(), quality.clone()));
             }
             let taking = tokio::task::spawn_local(viewers::serve(
                 shell.clone(),
@@ -140,7 +140,7 @@
             ended.await;
             taking.abort();
             tracing::info!("ends: nothing new is taken");
-            shell.end(manager.duration("end_within_s")).await
+            shell.shut_down(manager.duration("end_within_s")).await
         })
         .await
 }
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -1,6 +1,6 @@
 //! What passes between the manager and one video server: set-ups, rungs, releases, probes, and its notes.
 
-use crate::pool::{Connection, Failed};
+use crate::pool::{Connection, RequestFailure};
 use crate::setup::{self, server_address};
 use crate::shell::Shell;
 use bytes::Bytes;
@@ -24,11 +24,11 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// No answer of a server is longer, but for its notes.
-const LONGEST: usize = 16 << 10;
+const MAX_RESPONSE_BYTES: usize = 16 << 10;
 /// The first pause before something is tried again, and the longest; each is twice the last, less some by chance.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+const RETRY_INTERVALS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-fn request(method: Method, server: ServerId, path: &str, body: &Value) -> Request<Full<Bytes>> {
+fn build_request(method: Method, server: ServerId, path: &str, body: &Value) -> Request<Full<Bytes>> {
     let body = if body.is_null() { Bytes::new() } else { Bytes::from(body.to_string()) };
     let mut request = Request::new(Full::from(body));
     *request.method_mut() = method;
@@ -41,13 +41,13 @@
 }
 
 /// A name as a part of a path (RFC 3986, 2.1).
-pub fn encoded(name: &str) -> String {
+pub fn percent_encode(name: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     name.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
 /// The load that came with an answer: a dictionary of link and uplink (RFC 9651, 3.2).
-fn load(answer: &Response<Incoming>) -> LoadReport {
+fn parse_load_report(answer: &Response<Incoming>) -> LoadReport {
     let text = answer.headers().get("ivy-load").map(HeaderValue::as_bytes).unwrap_or_default();
     let report: sfv::Dictionary = sfv::Parser::new(text).parse().unwrap_or_default();
     let of = |name: &str| match report.get(name) {
@@ -62,17 +62,17 @@
 }
 
 /// The date of an answer, which tells how its server's clock goes (RFC 9110, 6.6.1).
-fn dated(shell: &Shell, server: ServerId, answer: &Response<Incoming>) {
+fn record_date(shell: &Shell, server: ServerId, answer: &Response<Incoming>) {
     let date =
         answer.headers().get("date").and_then(|date| httpdate::parse_http_date(date.to_str().ok()?).ok());
     if let Some(date) = date.and_then(|date| date.duration_since(SystemTime::UNIX_EPOCH).ok()) {
-        shell.dated(server, date);
+        shell.record_server_date(server, date);
     }
 }
 
 /// Reads an answer to its end; the connection is then fit to be used again.
 async fn read(answer: Response<Incoming>) -> Option<()> {
-    Limited::new(answer.into_body(), LONGEST).collect().await.ok().map(drop)
+    Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await.ok().map(drop)
 }
 
 /// One tune-in on its socket, from the connection to what became of it. `until`: when nobody waits for it any more.
@@ -80,8 +80,8 @@
     shell: Shell, who: (SessionId, usize), (viewing_id, tune_in): (ViewingId, TuneIn), server: ServerId,
     rung: usize, about: (PackageId, TitleId), until: Duration,
 ) {
-    let (attempt_result, load) = match shell.place(server, Purpose::SetUp, until).await {
-        Some(_place) => tried(&shell, who, viewing_id, tune_in, server, rung, about, until).await,
+    let (attempt_result, load) = match shell.connection_slot(server, Purpose::SetUp, until).await {
+        Some(_place) => attempt_set_up(&shell, who, viewing_id, tune_in, server, rung, about, until).await,
         // Guards against a queue at one server that outlasts its viewers.
         None => (Some(AttemptResult::NotWritten), LoadReport::default()),
     };
@@ -89,23 +89,23 @@
         && matches!(attempt_result, None | Some(AttemptResult::NotWritten | AttemptResult::Refused))
     {
         // It provably never ran: a later start may set it up. Without this line that is only refused for longer.
-        shell.0.paid.add((who.0, server, Duration::ZERO)).await.ok();
+        shell.0.paid.log_session((who.0, server, Duration::ZERO)).await.ok();
     }
     let Some(attempt_result) = attempt_result else { return };
     tracing::debug!(viewing = viewing_id.0, tune_in = tune_in.0, server = %server_address(server), happened = ?attempt_result, "set-up");
-    shell.tell(move |core, host, now| {
-        host.over(viewing_id, tune_in);
+    shell.enqueue(move |core, host, now| {
+        host.set_up_finished(viewing_id, tune_in);
         core.on_attempt_result(host, now, viewing_id, tune_in, attempt_result, load);
     });
 }
 
-async fn tried(
+async fn attempt_set_up(
     shell: &Shell, (session, top): (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
     server: ServerId, rung: usize, (package, title): (PackageId, TitleId), until: Duration,
 ) -> (Option<AttemptResult>, LoadReport) {
     let none = LoadReport::default();
     let address = server_address(server);
-    let mut used = shell.0.pool.used(address);
+    let mut used = shell.0.pool.take_idle(address);
     let (mut allowed, mut claimed, mut no) = (false, None, None);
     loop {
         let again = used.is_some();
@@ -126,32 +126,32 @@
                 let (claim, word) = peers.claim(session, until.saturating_sub(shell.now())).await;
                 if word != ClaimOutcome::Granted {
                     let (taken, come_back) = (word == ClaimOutcome::Taken, shell.0.come_back);
-                    shell.tell(move |core, host, now| {
-                        host.over(viewing_id, tune_in);
+                    shell.enqueue(move |core, host, now| {
+                        host.set_up_finished(viewing_id, tune_in);
                         core.on_claim_denied(host, now, viewing_id, tune_in, taken, come_back);
                     });
-                    shell.0.pool.put(address, connection);
+                    shell.0.pool.return_idle(address, connection);
                     return (None, none);
                 }
                 claimed = Some(claim);
             }
             if once {
-                let until = shell.date() + shell.0.paid_for;
+                let until = shell.trusted_date() + shell.0.paid_for;
                 // Guards against a paid session set up again by a later start: what isn't on disk isn't sent.
-                if let Err(error) = shell.0.paid.add((session, server, until)).await {
-                    if let Some(left_out) = shell.line("paid") {
+                if let Err(error) = shell.0.paid.log_session((session, server, until)).await {
+                    if let Some(left_out) = shell.allow_log_line("paid") {
                         tracing::error!(%error, left_out, "the record of paid sessions can't be written");
                     }
                     return (Some(AttemptResult::NotWritten), none);
                 }
             }
             let (tell, told) = oneshot::channel();
-            shell.tell(move |core, host, now| {
+            shell.enqueue(move |core, host, now| {
                 let _ = tell.send(core.may_send_set_up(host, now, viewing_id, tune_in));
             });
             allowed = told.await.unwrap_or(false);
             if !allowed {
-                shell.0.pool.put(address, connection);
+                shell.0.pool.return_idle(address, connection);
                 return (None, none);
             }
             // From here on a server may run it, whatever becomes of this task.
@@ -167,23 +167,23 @@
             "session": format!("{:032x}", session.0), "package": package.0,
             "title": title.map_or("", |title| title.name.as_str()), "rung": rung, "top": top, "rates": rates,
             "lease_ms": inner.lease.as_millis() as u64, "segment_ms": inner.segment.as_millis() as u64,
-            "segments": segments, "began": shell.began(session, None).as_secs(),
+            "segments": segments, "began": shell.playback_start(session, None).as_secs(),
         });
-        let answer = match connection.ask(request(Method::POST, server, "/viewings", &body)).await {
+        let answer = match connection.ask(build_request(Method::POST, server, "/viewings", &body)).await {
             Ok(answer) => answer,
             // A connection that had been closed while it stood idle: nothing went out, so a fresh one is no second try.
-            Err(Failed::NotWritten) if again => continue,
-            Err(Failed::NotWritten) => {
+            Err(RequestFailure::NotWritten) if again => continue,
+            Err(RequestFailure::NotWritten) => {
                 claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
                 return (Some(AttemptResult::NotWritten), none);
             }
-            Err(Failed::Broke) => return (Some(AttemptResult::ConnectionBroken), none),
+            Err(RequestFailure::Broken) => return (Some(AttemptResult::ConnectionBroken), none),
         };
-        dated(shell, server, &answer);
-        let (load, status) = (load(&answer), answer.status());
+        record_date(shell, server, &answer);
+        let (load, status) = (parse_load_report(&answer), answer.status());
         let never_ran = answer.headers().contains_key("ivy-never-ran");
         if read(answer).await.is_some() {
-            shell.0.pool.put(address, connection);
+            shell.0.pool.return_idle(address, connection);
         }
         let attempt_result = match status {
             StatusCode::CREATED => AttemptResult::Playing,
@@ -198,99 +198,106 @@
 }
 
 /// What came with an answer: the load, and how long ago a player last fetched, where that was asked.
-struct Came {
-    load: LoadReport,
-    quiet: Option<Duration>,
+struct ControlResponse {
+    load_report: LoadReport,
+    since_last_fetch: Option<Duration>,
 }
 
 /// One request and its answer, for what may be asked twice; it is of use for `within`.
-async fn ask(
+async fn send_control_request(
     shell: &Shell, server: ServerId, method: Method, path: &str, body: &Value, within: Duration,
-) -> Option<Came> {
-    let _place = shell.place(server, Purpose::Control, shell.now() + within).await?;
+) -> Option<ControlResponse> {
+    let _place = shell.connection_slot(server, Purpose::Control, shell.now() + within).await?;
     let address = server_address(server);
     loop {
-        let used = shell.0.pool.used(address);
+        let used = shell.0.pool.take_idle(address);
         let again = used.is_some();
         let mut connection = match used {
             Some(connection) => connection,
             None => Connection::open(address, shell.0.connect).await.ok()?,
         };
-        match connection.ask(request(method.clone(), server, path, body)).await {
+        match connection.ask(build_request(method.clone(), server, path, body)).await {
             Ok(answer) => {
-                dated(shell, server, &answer);
+                record_date(shell, server, &answer);
                 let quiet =
                     answer.headers().get("ivy-quiet-ms").and_then(|ms| ms.to_str().ok()?.parse().ok());
-                let came = Came { load: load(&answer), quiet: quiet.map(Duration::from_millis) };
+                let came = ControlResponse {
+                    load_report: parse_load_report(&answer),
+                    since_last_fetch: quiet.map(Duration::from_millis),
+                };
                 if read(answer).await.is_some() {
-                    shell.0.pool.put(address, connection);
+                    shell.0.pool.return_idle(address, connection);
                 }
                 return Some(came);
             }
-            Err(Failed::NotWritten) if again => {}
+            Err(RequestFailure::NotWritten) if again => {}
             Err(_) => return None,
         }
     }
 }
 
-fn path(shell: &Shell, (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn)) -> String {
-    format!("/viewings/{}/{}/{}/{}", encoded(&shell.0.name), incarnation.0, viewing_id.0, tune_in.0)
+fn viewing_path(
+    shell: &Shell, (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn),
+) -> String {
+    format!("/viewings/{}/{}/{}/{}", percent_encode(&shell.0.name), incarnation.0, viewing_id.0, tune_in.0)
 }
 
 /// Asks again and again, with growing pauses, until it is answered or no longer matters.
-async fn insist(shell: &Shell, server: ServerId, method: Method, path: &str, body: &Value) {
-    let (until, mut pause) = (Instant::now() + shell.0.lease * 2, PAUSES.0);
-    while Instant::now() < until && !shell.gone(server) {
-        let asked = ask(shell, server, method.clone(), path, body, shell.0.lease);
+async fn repeat_until_answered(shell: &Shell, server: ServerId, method: Method, path: &str, body: &Value) {
+    let (until, mut pause) = (Instant::now() + shell.0.lease * 2, RETRY_INTERVALS.0);
+    while Instant::now() < until && !shell.is_gone(server) {
+        let asked = send_control_request(shell, server, method.clone(), path, body, shell.0.lease);
         // One that waits at a server which stands still is heard in the moment in which it goes on.
         if let Ok(Some(_)) = timeout(shell.0.lease, asked).await {
             return;
         }
         sleep(pause).await;
-        pause = (pause * 2).min(PAUSES.1);
+        pause = (pause * 2).min(RETRY_INTERVALS.1);
     }
 }
 
 pub async fn release(shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn)) {
-    insist(&shell, server, Method::DELETE, &path(&shell, tune_in), &Value::Null).await;
+    repeat_until_answered(&shell, server, Method::DELETE, &viewing_path(&shell, tune_in), &Value::Null).await;
 }
 
 pub async fn change_rung(
     shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn), rung: usize,
 ) {
-    let path = path(&shell, tune_in);
+    let path = viewing_path(&shell, tune_in);
     let body = json!({"rung": rung});
-    let asked = ask(&shell, server, Method::PATCH, &path, &body, PAUSES.1);
-    if !matches!(timeout(PAUSES.1, asked).await, Ok(Some(_))) {
+    let asked = send_control_request(&shell, server, Method::PATCH, &path, &body, RETRY_INTERVALS.1);
+    if !matches!(timeout(RETRY_INTERVALS.1, asked).await, Ok(Some(_))) {
         tracing::debug!(viewing = tune_in.1.0, rung, "a rung didn't reach its server");
     }
 }
 
 pub async fn probe(shell: Shell, server: ServerId) {
-    let asked = ask(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect);
-    let load = timeout(shell.0.connect, asked).await.ok().flatten().map(|came| came.load);
-    shell.tell(move |core, host, now| core.on_probe_result(host, now, server, load));
+    let asked = send_control_request(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect);
+    let load = timeout(shell.0.connect, asked).await.ok().flatten().map(|came| came.load_report);
+    shell.enqueue(move |core, host, now| core.on_probe_result(host, now, server, load));
 }
 
 /// Asks a server when the player last fetched of a tune-in.
 pub async fn query_last_fetch(shell: Shell, server: ServerId, tune_in: (Incarnation, ViewingId, TuneIn)) {
-    let (path, within) = (path(&shell, tune_in), shell.0.lease);
-    let asked = ask(&shell, server, Method::GET, &path, &Value::Null, within);
+    let (path, within) = (viewing_path(&shell, tune_in), shell.0.lease);
+    let asked = send_control_request(&shell, server, Method::GET, &path, &Value::Null, within);
     let came = timeout(within, asked).await.ok().flatten();
-    let quiet = came.and_then(|came| came.quiet);
-    shell.tell(move |core, host, now| core.on_last_fetch(host, now, server, tune_in, quiet));
+    let quiet = came.and_then(|came| came.since_last_fetch);
+    shell.enqueue(move |core, host, now| core.on_last_fetch(host, now, server, tune_in, quiet));
 }
 
 /// Asks a server for an answer only to hear its date, on a connection of its own: none is kept for that.
 pub async fn ask_date(shell: Shell, server: ServerId) {
     let within = shell.0.connect;
-    let Some(_place) = shell.place(server, Purpose::Control, shell.now() + within).await else { return };
+    let Some(_place) = shell.connection_slot(server, Purpose::Control, shell.now() + within).await else {
+        return;
+    };
     let asked = async {
         let mut connection = Connection::open(server_address(server), within).await.ok()?;
-        connection.ask(request(Method::GET, server, "/load", &Value::Null)).await.ok()
+        connection.ask(build_request(Method::GET, server, "/load", &Value::Null)).await.ok()
     };
     if let Ok(Some(answer)) = timeout(within, asked).await {
-        dated(&shell, server, &answer);
+        record_date(&shell, server, &answer);
     }
 }
 
@@ -299,31 +306,31 @@
 pub async fn follow(shell: Shell, server: ServerId) {
     let ServerId(bytes) = server;
     let seed = bytes.iter().fold(shell.0.seed, |sum, b| sum.wrapping_mul(257).wrapping_add(u64::from(*b)));
-    let (mut chance, mut pause) = (Pcg64Mcg::seed_from_u64(seed), PAUSES.0);
+    let (mut chance, mut pause) = (Pcg64Mcg::seed_from_u64(seed), RETRY_INTERVALS.0);
     loop {
         let begun = Instant::now();
-        let any = notes(&shell, server).await;
+        let any = read_notes(&shell, server).await;
         // Guards against two managers of one name that put each other off a server as fast as they can.
-        if any && begun.elapsed() > PAUSES.1 {
-            pause = PAUSES.0;
-        } else if !any && shell.gone(server) {
+        if any && begun.elapsed() > RETRY_INTERVALS.1 {
+            pause = RETRY_INTERVALS.0;
+        } else if !any && shell.is_gone(server) {
             return;
         }
         // Guards against all managers coming back to one server at once.
         sleep(pause.mul_f64(0.5 + 0.5 * chance.random::<f64>())).await;
-        pause = (pause * 2).min(PAUSES.1);
+        pause = (pause * 2).min(RETRY_INTERVALS.1);
     }
 }
 
 /// One connection's notes, to its end. Whether any came.
-async fn notes(shell: &Shell, server: ServerId) -> bool {
-    let path = format!("/notes?manager={}&birth={}", encoded(&shell.0.name), shell.0.incarnation);
+async fn read_notes(shell: &Shell, server: ServerId) -> bool {
+    let path = format!("/notes?manager={}&birth={}", percent_encode(&shell.0.name), shell.0.incarnation);
     let mut connection = match Connection::open(server_address(server), shell.0.connect).await {
         Ok(connection) => connection,
         Err(error) => {
             // Refused: no process listens there, so nothing plays. After silence that isn't known.
             if error.kind() == std::io::ErrorKind::ConnectionRefused {
-                shell.tell(move |core, host, now| {
+                shell.enqueue(move |core, host, now| {
                     core.on_inventory(host, now, server, &[]);
                     core.on_inventory_complete(host, now, server);
                 });
@@ -331,11 +338,11 @@
             return false;
         }
     };
-    let Ok(answer) = connection.ask(request(Method::GET, server, &path, &Value::Null)).await else {
+    let Ok(answer) = connection.ask(build_request(Method::GET, server, &path, &Value::Null)).await else {
         return false;
     };
     if answer.status() == StatusCode::CONFLICT
-        && let Some(left_out) = shell.line("another manager")
+        && let Some(left_out) = shell.allow_log_line("another manager")
     {
         let server = server_address(server);
         tracing::error!(%server, left_out, "another manager of this name started later");
@@ -343,24 +350,24 @@
     if answer.status() != StatusCode::OK {
         return false;
     }
-    dated(shell, server, &answer);
+    record_date(shell, server, &answer);
     let mut events = BodyDataStream::new(answer.into_body()).eventsource();
     let mut any = false;
     while let Some(Ok(event)) = events.next().await {
         let Ok(told) = serde_json::from_str::<Value>(&event.data) else {
-            if let Some(left_out) = shell.line("a note") {
+            if let Some(left_out) = shell.allow_log_line("a note") {
                 let data = truncate_for_log(&event.data);
                 tracing::warn!(server = %server_address(server), data, left_out, "a note can't be read");
             }
             continue;
         };
         any = true;
-        heard(shell, server, &told);
+        handle_note(shell, server, &told);
     }
     any
 }
 
-fn heard(shell: &Shell, server: ServerId, told: &Value) {
+fn handle_note(shell: &Shell, server: ServerId, told: &Value) {
     let tune_in = |of: &Value| {
         let viewing_id = u32::try_from(of["vw"].as_u64()?).ok()?;
         let n = u16::try_from(of["n"].as_u64()?).ok()?;
@@ -375,11 +382,11 @@
             // What is in no settings of ours any more has a package that none is: it is released.
             let package = title.and(of["package"].as_u64()).map_or(usize::MAX, |package| package as usize);
             // Guards against a timeline that jumps when a player comes with a token of the app's.
-            shell.began(SessionId(session), of["began"].as_u64().map(Duration::from_secs));
+            shell.playback_start(SessionId(session), of["began"].as_u64().map(Duration::from_secs));
             Some((tune_in(of)?, SessionId(session), (PackageId(package), title.unwrap_or(TitleId(0)), rungs)))
         };
         let playing: Vec<_> = rows.iter().filter_map(row).collect();
-        return shell.tell(move |core, host, now| {
+        return shell.enqueue(move |core, host, now| {
             let ids: Vec<_> = playing.iter().map(|(tune_in, ..)| *tune_in).collect();
             core.on_inventory(host, now, server, &ids);
             for (tune_in, session, about) in playing {
@@ -395,7 +402,7 @@
         _ => None,
     };
     if let Some(why) = over {
-        return shell.tell(move |core, host, now| {
+        return shell.enqueue(move |core, host, now| {
             core.on_viewing_ended(host, now, server, (incarnation, viewing_id, n), why)
         });
     }
@@ -407,6 +414,6 @@
         _ => return,
     };
     if x.is_finite() && x >= 0.0 {
-        shell.tell_if_free(move |core, _, now| core.on_server_update(now, server, viewing_id, news));
+        shell.enqueue_droppable(move |core, _, now| core.on_server_update(now, server, viewing_id, news));
     }
 }
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -1,7 +1,7 @@
 //! Follows the list of servers: the whole list first, then changes as they are pushed. When the connection breaks the
 //! last list stays, and the whole one is asked for anew.
 
-use crate::link::encoded;
+use crate::link::percent_encode;
 use crate::pool::Connection;
 use crate::setup::server_id;
 use crate::shell::Shell;
@@ -23,29 +23,30 @@
 use tokio::time::sleep;
 
 /// The first pause before the list is asked for again, and the longest.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+const RECONNECT_INTERVALS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
 /// When each start of a server that was told of was, by our clock: told again, it is not another start.
-type Births = BTreeMap<ServerId, (u64, Option<Duration>)>;
+type KnownIncarnations = BTreeMap<ServerId, (u64, Option<Duration>)>;
 
 pub async fn follow(shell: Shell, address: SocketAddr) {
-    let (mut births, mut pause) = (Births::new(), PAUSES.0);
+    let (mut known_incarnations, mut pause) = (KnownIncarnations::new(), RECONNECT_INTERVALS.0);
     let mut chance = Pcg64Mcg::seed_from_u64(shell.0.seed);
     loop {
-        if read(&shell, address, &mut births).await {
-            pause = PAUSES.0;
+        if read(&shell, address, &mut known_incarnations).await {
+            pause = RECONNECT_INTERVALS.0;
         }
         tracing::warn!(%address, "the list is lost; the last one stays");
         sleep(pause.mul_f64(0.5 + 0.5 * chance.random::<f64>())).await;
-        pause = (pause * 2).min(PAUSES.1);
+        pause = (pause * 2).min(RECONNECT_INTERVALS.1);
     }
 }
 
 /// One connection's list, to its end. Whether any came.
-async fn read(shell: &Shell, address: SocketAddr, births: &mut Births) -> bool {
+async fn read(shell: &Shell, address: SocketAddr, known_incarnations: &mut KnownIncarnations) -> bool {
     let Ok(mut connection) = Connection::open(address, shell.0.connect).await else { return false };
     let mut request = Request::new(Full::<Bytes>::default());
-    *request.uri_mut() = format!("/list?manager={}", encoded(&shell.0.name)).parse().unwrap_or_default();
+    *request.uri_mut() =
+        format!("/list?manager={}", percent_encode(&shell.0.name)).parse().unwrap_or_default();
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
         request.headers_mut().insert("host", host);
     }
@@ -58,38 +59,40 @@
             (Value::Array(rows), _) => (rows, ListScope::Full),
             (_, Value::Array(rows)) => (rows, ListScope::Changes),
             _ => {
-                if let Some(left_out) = shell.line("news of the list") {
+                if let Some(left_out) = shell.allow_log_line("news of the list") {
                     tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "news of the list can't be read");
                 }
                 continue;
             }
         };
         let now = shell.now();
-        let list: Option<Vec<_>> = rows.iter().map(|row| listed(row, now, births)).collect();
+        let list: Option<Vec<_>> = rows.iter().map(|row| parse_entry(row, now, known_incarnations)).collect();
         // Guards against a whole list of which a part can't be read: the rest would be taken for gone.
         let Some(list) = list else {
-            if let Some(left_out) = shell.line("a line of the list") {
+            if let Some(left_out) = shell.allow_log_line("a line of the list") {
                 tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "a line of the list can't be read");
             }
             continue;
         };
         any = true;
-        let list = shell.follow(&list, scope);
-        births.retain(|server, _| shell.lists(*server));
-        shell.tell(move |core, _, now| core.on_server_list(now, &list, scope));
+        let list = shell.apply_server_list(&list, scope);
+        known_incarnations.retain(|server, _| shell.is_listed(*server));
+        shell.enqueue(move |core, _, now| core.on_server_list(now, &list, scope));
     }
     any
 }
 
-fn listed(row: &Value, now: Duration, births: &mut Births) -> Option<ServerEntry> {
+fn parse_entry(
+    row: &Value, now: Duration, known_incarnations: &mut KnownIncarnations,
+) -> Option<ServerEntry> {
     let server = server_id(row["server"].as_str()?)?;
     let incarnation = row["birth"].as_u64()?;
-    let before = births.get(&server).copied();
+    let before = known_incarnations.get(&server).copied();
     let known = before.filter(|(number, _)| *number == incarnation).map(|(_, started_at)| started_at);
     let age = row["age_ms"].as_u64().map(Duration::from_millis);
     // Guards against another start that is told without its age: it was since the last, so it counts as just now.
     let started_at = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
-    births.insert(server, (incarnation, started_at));
+    known_incarnations.insert(server, (incarnation, started_at));
     Some(ServerEntry {
         server,
         state: match row["standing"].as_str()? {
@@ -125,15 +128,16 @@
             (&[(1, None), (2, Some(4000))], Some(secs(996))),
         ];
         for (told, started_at) in cases {
-            let mut births = Births::new();
+            let mut known_incarnations = KnownIncarnations::new();
             let row = |(incarnation, age): &(u64, Option<u64>)| {
                 json!({
                     "server": "127.0.0.1:80", "standing": "ready", "birth": incarnation, "age_ms": age, "cell": 0,
                     "weight": 1.0, "zone": 0, "kind": 0,
                 })
             };
-            let last = told.iter().map(|one| listed(&row(one), now, &mut births)).last().flatten();
-            assert_eq!(last.map(|listed| listed.started_at), Some(started_at), "{told:?}");
+            let last =
+                told.iter().map(|one| parse_entry(&row(one), now, &mut known_incarnations)).last().flatten();
+            assert_eq!(last.map(|parse_entry| parse_entry.started_at), Some(started_at), "{told:?}");
         }
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -13,9 +13,9 @@
 
 #[derive(Parser)]
 #[command(version, about = "Places and shapes video sessions on streaming servers")]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    what: What,
+    what: Command,
     /// Log as JSON lines
     #[arg(long, global = true)]
     json: bool,
@@ -25,7 +25,7 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Run a manager; without a file, one over stand-in servers that it starts itself
     Run {
         settings: Option<PathBuf>,
@@ -77,7 +77,7 @@
     Version,
 }
 
-fn settings(file: &Path) -> Result<Section, String> {
+fn load_settings(file: &Path) -> Result<Section, String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", file.display()));
@@ -85,11 +85,11 @@
     })
 }
 
-fn run(
+fn run_manager(
     file: Option<&Path>, listen: Option<std::net::SocketAddr>, dropped: Rc<dyn Fn() -> u64>,
 ) -> Result<(), String> {
     let mut settings = match file {
-        Some(file) => settings(file)?,
+        Some(file) => load_settings(file)?,
         None => embedded::settings(embedded::fleet()?)?,
     };
     if let Some(listen) = listen {
@@ -133,7 +133,7 @@
     })
 }
 
-fn page(
+fn print_page(
     console: std::net::SocketAddr, path: &str, raw: bool, table: impl Fn(&serde_json::Value) -> String,
 ) -> Result<(), String> {
     let runtime =
@@ -148,8 +148,8 @@
     Ok(())
 }
 
-fn begin(file: &Path) -> Result<(), String> {
-    let settings = settings(file)?;
+fn begin_memory(file: &Path) -> Result<(), String> {
+    let settings = load_settings(file)?;
     if !settings.has("peers") {
         return Err(format!("{}: peers: is missing: this manager keeps nothing for others", file.display()));
     }
@@ -159,7 +159,7 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let line = Cli::parse();
     let filter = match tracing_subscriber::EnvFilter::try_new(&line.log) {
         Ok(filter) => filter,
         Err(error) => {
@@ -169,14 +169,14 @@
     };
     let (_log, dropped) = ivyward_daemon::log::start(filter, line.json);
     let done = match line.what {
-        What::Run { settings, listen } => run(settings.as_deref(), listen, dropped),
-        What::Node { config } => ivyward_node::run(&config),
-        What::Check { settings: file } => {
-            settings(&file).map(|_| println!("{}: nothing wrong", file.display()))
+        Command::Run { settings, listen } => run_manager(settings.as_deref(), listen, dropped),
+        Command::Node { config } => ivyward_node::run(&config),
+        Command::Check { settings: file } => {
+            load_settings(&file).map(|_| println!("{}: nothing wrong", file.display()))
         }
-        What::Token { title, package, top, life, settings: file } => {
+        Command::Token { title, package, top, life, settings: file } => {
             let given = match file {
-                Some(file) => settings(&file),
+                Some(file) => load_settings(&file),
                 None => embedded::settings(([127, 0, 0, 1], 0).into()),
             };
             let life = Duration::from_secs(life);
@@ -184,10 +184,10 @@
                 .and_then(|given| embedded::token(&given, &title, &package, top, life))
                 .map(|t| println!("{t}"))
         }
-        What::Quality { console, raw } => page(console, "/quality", raw, quality::table),
-        What::Peers { console, raw } => page(console, "/peers", raw, peers::table),
-        What::Begin { settings: file } => begin(&file),
-        What::Version => {
+        Command::Quality { console, raw } => print_page(console, "/quality", raw, quality::table),
+        Command::Peers { console, raw } => print_page(console, "/peers", raw, peers::table),
+        Command::Begin { settings: file } => begin_memory(&file),
+        Command::Version => {
             println!("ivyward {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
--- a/crates/daemon/src/paid.rs
+++ b/crates/daemon/src/paid.rs
@@ -14,15 +14,15 @@
 use crate::setup;
 
 /// A paid session, the server that its last set-up went to, and until which date it must not be set up again.
-pub type Row = (SessionId, ServerId, Duration);
+pub type PaidSession = (SessionId, ServerId, Duration);
 
 /// One line: the session's 32 digits, the server's address, the date in seconds, and a full stop, which a line that was
 /// half written lacks.
-fn line((session, server, until): &Row) -> String {
+fn line((session, server, until): &PaidSession) -> String {
     format!("{:032x} {} {} .\n", session.0, setup::server_address(*server), until.as_secs())
 }
 
-fn row(line: &str) -> Option<Row> {
+fn row(line: &str) -> Option<PaidSession> {
     let mut words = line.split(' ');
     let session = setup::session(words.next()?)?;
     let server = setup::server_id(words.next()?)?;
@@ -32,17 +32,17 @@
 
 /// The record, if there is a folder for it.
 #[derive(Default)]
-pub struct Paid(RefCell<Option<Arc<File>>>);
+pub struct PaidSessionLog(RefCell<Option<Arc<File>>>);
 
-impl Paid {
+impl PaidSessionLog {
     /// Opens the record in `dir`, and reads what is still of use at `date`; the rest is left out of the file. Lines that
     /// can't be read were never acted on: a set-up goes out only after its whole line is on disk.
     ///
     /// # Errors
     /// The folder can't be read or written.
-    pub fn open(dir: &str, date: Duration) -> Result<(Paid, Vec<Row>), String> {
+    pub fn open(dir: &str, date: Duration) -> Result<(PaidSessionLog, Vec<PaidSession>), String> {
         if dir.is_empty() {
-            return Ok((Paid::default(), vec![]));
+            return Ok((PaidSessionLog::default(), vec![]));
         }
         let file = Path::new(dir).join("paid");
         let told = |e: io::Error| format!("{}: {e}", file.display());
@@ -59,14 +59,14 @@
             tracing::warn!(file = %file.display(), odd, "lines that were not whole are left out");
         }
         let written = rewrite(&file, &rows).map_err(told)?;
-        Ok((Paid(RefCell::new(Some(Arc::new(written)))), rows))
+        Ok((PaidSessionLog(RefCell::new(Some(Arc::new(written)))), rows))
     }
 
     /// Puts a session on disk. Returns once it is there.
     ///
     /// # Errors
     /// It couldn't be written: the set-up must not go out.
-    pub async fn add(&self, row: Row) -> io::Result<()> {
+    pub async fn log_session(&self, row: PaidSession) -> io::Result<()> {
         let Some(file) = self.0.borrow().clone() else { return Ok(()) };
         let text = line(&row);
         // In one write at the end of the file, so that lines don't mix; the sync would hold up all viewings here.
@@ -79,7 +79,7 @@
 }
 
 /// Guards against a record half rewritten: the old one stays until the new one is whole on disk.
-fn rewrite(file: &Path, rows: &[Row]) -> io::Result<File> {
+fn rewrite(file: &Path, rows: &[PaidSession]) -> io::Result<File> {
     let new: PathBuf = file.with_extension("new");
     let mut out = File::create(&new)?;
     out.write_all(rows.iter().map(line).collect::<String>().as_bytes())?;
@@ -95,7 +95,7 @@
 mod tests {
     use super::*;
 
-    fn rows(n: u8) -> Vec<Row> {
+    fn rows(n: u8) -> Vec<PaidSession> {
         (1..=n)
             .map(|i| {
                 (
@@ -113,11 +113,11 @@
         fs::create_dir_all(&dir).expect("a folder");
         let (dir, file) = (dir.to_string_lossy().into_owned(), dir.join("paid"));
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-        let open = |date| Paid::open(&dir, Duration::from_secs(date)).expect("a record");
+        let open = |date| PaidSessionLog::open(&dir, Duration::from_secs(date)).expect("a record");
         let (paid, none) = open(0);
         assert_eq!(none, []);
         for row in rows(5) {
-            runtime.block_on(paid.add(row)).expect("written");
+            runtime.block_on(paid.log_session(row)).expect("written");
         }
         // Cut anywhere, what was whole before the cut is read, and the next start's lines after it.
         let whole = fs::read(&file).expect("a file");
@@ -127,14 +127,16 @@
             let (paid, read) = open(0);
             // The last line may be whole but for its end.
             assert!(read == rows(5)[..lines] || read == rows(5)[..lines + 1], "cut at {cut}: {read:?}");
-            runtime.block_on(paid.add(rows(5)[4])).expect("written");
+            runtime.block_on(paid.log_session(rows(5)[4])).expect("written");
             assert_eq!(open(0).1.last(), rows(5).last(), "cut at {cut}");
         }
         fs::write(&file, &whole).expect("written");
         let (paid, _) = open(0);
         let (session, server, _) = rows(6)[5];
         for until in [9, 0] {
-            runtime.block_on(paid.add((session, server, Duration::from_secs(until)))).expect("written");
+            runtime
+                .block_on(paid.log_session((session, server, Duration::from_secs(until))))
+                .expect("written");
         }
         assert_eq!(open(3).1, rows(5)[3..]);
         assert_eq!(open(0).1, rows(5)[3..], "what was old is gone");
@@ -149,11 +151,13 @@
         fs::create_dir_all(&dir).expect("a folder");
         let name = dir.to_string_lossy().into_owned();
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-        let (paid, _) = Paid::open(&name, Duration::ZERO).expect("a record");
+        let (paid, _) = PaidSessionLog::open(&name, Duration::ZERO).expect("a record");
         for i in 0..300 {
             let (session, server) = (SessionId(i), ServerId([127, 0, 0, 1, 1, 2]));
             for until in [9, 0] {
-                runtime.block_on(paid.add((session, server, Duration::from_secs(until)))).expect("written");
+                runtime
+                    .block_on(paid.log_session((session, server, Duration::from_secs(until))))
+                    .expect("written");
             }
         }
         let lines = fs::read_to_string(dir.join("paid")).expect("a record").lines().count();
@@ -163,8 +167,8 @@
 
     #[test]
     fn without_a_folder_nothing_is_kept() {
-        let (paid, none) = Paid::open("", Duration::ZERO).expect("nothing to open");
+        let (paid, none) = PaidSessionLog::open("", Duration::ZERO).expect("nothing to open");
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-        assert!(none.is_empty() && runtime.block_on(paid.add(rows(1)[0])).is_ok());
+        assert!(none.is_empty() && runtime.block_on(paid.log_session(rows(1)[0])).is_ok());
     }
 }
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -22,16 +22,16 @@
 use tokio_util::task::AbortOnDropHandle;
 
 /// Idle connections kept to one server, and for how long.
-const IDLE: usize = 8;
-const IDLE_FOR: Duration = Duration::from_secs(10);
+const MAX_IDLE_PER_SERVER_COUNT: usize = 8;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Counts what is written.
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
-    written: Rc<Cell<u64>>,
+    written_bytes: Rc<Cell<u64>>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
@@ -39,11 +39,11 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(bytes)) = &done {
-            self.written.set(self.written.get() + *bytes as u64);
+            self.written_bytes.set(self.written_bytes.get() + *bytes as u64);
         }
         done
     }
@@ -59,18 +59,18 @@
 
 /// A connection; it closes when it is dropped, whatever is under way on it.
 pub struct Connection {
-    send: SendRequest<Full<Bytes>>,
-    written: Rc<Cell<u64>>,
+    sender: SendRequest<Full<Bytes>>,
+    written_bytes: Rc<Cell<u64>>,
     _task: AbortOnDropHandle<()>,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// What a request on a connection came to, if it was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum RequestFailure {
     NotWritten,
     /// At least a byte went out; it may have been read.
-    Broke,
+    Broken,
 }
 
 impl Connection {
@@ -80,29 +80,37 @@
         let stream = timeout(within, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let written = Rc::new(Cell::new(0));
-        let counted = Counted { stream, written: written.clone() };
+        let counted = CountingStream { stream, written_bytes: written.clone() };
         let (send, connection) = handshake(TokioIo::new(counted)).await.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             if let Err(error) = connection.await {
                 tracing::debug!(%error, %address, "a connection to a server broke");
             }
         });
-        Ok(Connection { send, written, _task: AbortOnDropHandle::new(task), since: Instant::now() })
+        Ok(Connection {
+            sender: send,
+            written_bytes: written,
+            _task: AbortOnDropHandle::new(task),
+            idle_since: Instant::now(),
+        })
     }
 
     /// Whether it is fit for a request.
-    pub fn stands(&self) -> bool {
-        !self.send.is_closed() && self.since.elapsed() < IDLE_FOR
+    pub fn is_usable(&self) -> bool {
+        !self.sender.is_closed() && self.idle_since.elapsed() < IDLE_TIMEOUT
     }
 
     /// # Errors
     /// How far the request got.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failed> {
-        let before = self.written.get();
-        self.send
-            .send_request(request)
-            .await
-            .map_err(|_| if self.written.get() == before { Failed::NotWritten } else { Failed::Broke })
+    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestFailure> {
+        let before = self.written_bytes.get();
+        self.sender.send_request(request).await.map_err(|_| {
+            if self.written_bytes.get() == before {
+                RequestFailure::NotWritten
+            } else {
+                RequestFailure::Broken
+            }
+        })
     }
 }
 
@@ -112,12 +120,12 @@
 
 impl Pool {
     /// A connection that was used before, if one still stands.
-    pub fn used(&self, address: SocketAddr) -> Option<Connection> {
+    pub fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.0.borrow_mut();
         let waiting = idle.get_mut(&address)?;
         let found = loop {
             match waiting.pop() {
-                Some(connection) if !connection.stands() => {}
+                Some(connection) if !connection.is_usable() => {}
                 other => break other,
             }
         };
@@ -128,25 +136,25 @@
     }
 
     /// To be used again; its answer was read to the end.
-    pub fn put(&self, address: SocketAddr, mut connection: Connection) {
-        connection.since = Instant::now();
+    pub fn return_idle(&self, address: SocketAddr, mut connection: Connection) {
+        connection.idle_since = Instant::now();
         let mut idle = self.0.borrow_mut();
         let waiting = idle.entry(address).or_default();
-        waiting.retain(Connection::stands);
-        if waiting.len() < IDLE && connection.send.is_ready() {
+        waiting.retain(Connection::is_usable);
+        if waiting.len() < MAX_IDLE_PER_SERVER_COUNT && connection.sender.is_ready() {
             waiting.push(connection);
         }
     }
 
     /// Connections that stand idle.
-    pub fn count(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.0.borrow().values().map(Vec::len).sum()
     }
 
     /// Closes what has stood idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         self.0.borrow_mut().retain(|_, waiting| {
-            waiting.retain(Connection::stands);
+            waiting.retain(Connection::is_usable);
             !waiting.is_empty()
         });
     }
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -18,26 +18,26 @@
 use tokio::time::sleep;
 
 /// Windows whose figures are kept.
-const KEPT: usize = 20;
+const STORED_WINDOW_COUNT: usize = 20;
 /// Lines of one request that are read.
-const LINES: usize = 32;
+const MAX_REPORT_LINE_COUNT: usize = 32;
 
 /// Names of levels, numbered as they came, and when each was last used.
 #[derive(Default)]
-struct Names {
+struct LevelNames {
     numbers: BTreeMap<String, (u32, Duration)>,
     names: BTreeMap<u32, String>,
-    next: u32,
+    next_number: u32,
 }
 
-impl Names {
-    fn number(&mut self, now: Duration, name: &str) -> u32 {
+impl LevelNames {
+    fn number_for(&mut self, now: Duration, name: &str) -> u32 {
         if let Some((number, used)) = self.numbers.get_mut(name) {
             *used = now;
             return *number;
         }
-        let number = self.next;
-        self.next = self.next.wrapping_add(1);
+        let number = self.next_number;
+        self.next_number = self.next_number.wrapping_add(1);
         self.numbers.insert(name.into(), (number, now));
         self.names.insert(number, name.into());
         number
@@ -49,27 +49,27 @@
         self.numbers.retain(|_, (number, used)| *used >= before || names.remove(number).is_none());
     }
 
-    fn name(&self, level: Level) -> String {
+    fn name_of(&self, level: Level) -> String {
         self.names.get(&level.0).cloned().unwrap_or_default()
     }
 }
 
-struct Inner {
+struct QualityState {
     intake: RefCell<Intake>,
-    names: RefCell<[Names; 5]>,
-    skipped: RefCell<BTreeMap<SkippedKey, u64>>,
+    names: RefCell<[LevelNames; 5]>,
+    skipped_keys: RefCell<BTreeMap<SkippedKey, u64>>,
     windows: RefCell<VecDeque<Value>>,
-    racks: u32,
+    rack_count: u32,
     /// A name that was not used for so long stands in no window that is still open.
-    used: Duration,
+    names_retained_for: Duration,
 }
 
 /// What players say of themselves.
 #[derive(Clone)]
-pub struct Quality(Rc<Inner>);
+pub struct Quality(Rc<QualityState>);
 
 /// The network that a player's address lies in: three bytes of an IPv4 address, three groups of an IPv6 one.
-fn network(address: IpAddr) -> String {
+fn network_prefix(address: IpAddr) -> String {
     match address {
         IpAddr::V4(address) => {
             let [a, b, c, _] = address.octets();
@@ -83,7 +83,7 @@
 }
 
 /// A place among sorted delays, in milliseconds.
-fn at(delays: &[Duration], part: f64) -> u64 {
+fn percentile_ms(delays: &[Duration], part: f64) -> u64 {
     let i = ((delays.len() as f64 - 1.0) * part).round().max(0.0) as usize;
     delays.get(i).map_or(0, |delay| delay.as_millis() as u64)
 }
@@ -93,22 +93,22 @@
         let (part, racks) = (settings.section("quality"), settings.section("network").count("racks") as u32);
         let spans = (part.duration("window_s"), part.duration("late_s"));
         let intake = Intake::new(shell.now(), spans, part.count("reports"), part.count("sessions"));
-        let quality = Quality(Rc::new(Inner {
+        let quality = Quality(Rc::new(QualityState {
             intake: RefCell::new(intake),
             names: RefCell::default(),
-            skipped: RefCell::default(),
+            skipped_keys: RefCell::default(),
             windows: RefCell::default(),
-            racks: racks.max(1),
-            used: (spans.0 + spans.1) * 2,
+            rack_count: racks.max(1),
+            names_retained_for: (spans.0 + spans.1) * 2,
         }));
         let (closing, step) = (quality.clone(), (spans.0 / 8).max(Duration::from_millis(50)));
         spawn_local(async move {
             loop {
                 sleep(step).await;
-                while let Some(window) = closed(&closing, shell.now()) {
-                    closing.keep(window).await;
+                while let Some(window) = close_window(&closing, shell.now()) {
+                    closing.store_window(window).await;
                 }
-                let before = shell.now().saturating_sub(closing.0.used);
+                let before = shell.now().saturating_sub(closing.0.names_retained_for);
                 closing.0.names.borrow_mut().iter_mut().for_each(|names| names.forget(before));
             }
         });
@@ -117,7 +117,7 @@
 
     /// Reports of a session: lines of keys, or one JSON object. `server`: where it plays, and its cell. What became of the
     /// worst of them.
-    pub fn hear(
+    pub fn record_reports(
         &self, now: Duration, token_claims: &TokenClaims, server: Option<(ServerId, u32)>, from: IpAddr,
         text: &str,
     ) -> ReportOutcome {
@@ -127,18 +127,21 @@
         let levels = {
             let names = &mut self.0.names.borrow_mut();
             let (rack, server) = match server {
-                Some((server, cell)) => {
-                    (format!("{}", cell % self.0.racks), crate::setup::server_address(server).to_string())
-                }
+                Some((server, cell)) => (
+                    format!("{}", cell % self.0.rack_count),
+                    crate::setup::server_address(server).to_string(),
+                ),
                 None => ("none".into(), "none".into()),
             };
-            let of = [rack, server, token_claims.title.clone(), token_claims.tenant.clone(), network(from)];
+            let of =
+                [rack, server, token_claims.title.clone(), token_claims.tenant.clone(), network_prefix(from)];
             let mut numbers =
-                of.iter().zip(names.iter_mut()).map(|(name, names)| Level(names.number(now, name)));
+                of.iter().zip(names.iter_mut()).map(|(name, names)| Level(names.number_for(now, name)));
             std::array::from_fn(|_| numbers.next().unwrap_or(Level(0)))
         };
         let json = text.trim_start().starts_with('{');
-        let lines: Vec<_> = if json { vec![text] } else { text.lines().take(LINES).collect() };
+        let lines: Vec<_> =
+            if json { vec![text] } else { text.lines().take(MAX_REPORT_LINE_COUNT).collect() };
         let mut worst = ReportOutcome::Kept;
         for line in lines {
             let mut figures = Figures::default();
@@ -151,7 +154,7 @@
                 ReportItem::Rate(rate) => figures.rate = Some(rate),
                 _ => {}
             };
-            let mut skip = |why| *self.0.skipped.borrow_mut().entry(why).or_default() += 1;
+            let mut skip = |why| *self.0.skipped_keys.borrow_mut().entry(why).or_default() += 1;
             if json {
                 ivyward_hints::read_json(line, &mut hear, &mut skip);
             } else {
@@ -163,14 +166,14 @@
     }
 
     /// A window's figures. What is to blame is worked out beside this thread: it takes a while.
-    async fn keep(&self, window: Window) {
+    async fn store_window(&self, window: Window) {
         let Window { from, stalls, slow_starts, mut starts, switches, sessions } = window;
         let (all, slowly) = (stalls.whole(), slow_starts.whole());
         let named = tokio::task::spawn_blocking(move || (blame(&stalls), blame(&slow_starts)))
             .await
             .unwrap_or_default();
         starts.sort_unstable();
-        let told = |of: &'static str| move |blame: &Blame| self.told(of, blame);
+        let told = |of: &'static str| move |blame: &Blame| self.blame_json(of, blame);
         let named: Vec<_> =
             named.0.iter().map(told("stalls")).chain(named.1.iter().map(told("starts"))).collect();
         for of in &named {
@@ -178,19 +181,19 @@
         }
         let kept = json!({
             "from_s": from.as_secs(), "sessions": sessions, "stalled": all.mean(), "slow": slowly.mean(), "switches": switches,
-            "start_ms": {"p50": at(&starts, 0.5), "p95": at(&starts, 0.95)}, "named": named,
+            "start_ms": {"p50": percentile_ms(&starts, 0.5), "p95": percentile_ms(&starts, 0.95)}, "named": named,
         });
         let mut windows = self.0.windows.borrow_mut();
-        if windows.len() == KEPT {
+        if windows.len() == STORED_WINDOW_COUNT {
             windows.pop_front();
         }
         windows.push_back(kept);
     }
 
-    fn told(&self, of: &str, blame: &Blame) -> Value {
+    fn blame_json(&self, of: &str, blame: &Blame) -> Value {
         let names = self.0.names.borrow();
         let name = |factor: Factor, level| {
-            json!([format!("{factor:?}").to_lowercase(), names[factor as usize].name(level)])
+            json!([format!("{factor:?}").to_lowercase(), names[factor as usize].name_of(level)])
         };
         let or: Vec<_> = blame.alternatives.iter().map(|(factor, level)| name(*factor, *level)).collect();
         json!({
@@ -209,8 +212,13 @@
             .iter()
             .map(|(taken, n)| (format!("{taken:?}").to_lowercase(), *n))
             .collect();
-        let skipped: BTreeMap<_, _> =
-            self.0.skipped.borrow().iter().map(|(why, n)| (format!("{why:?}").to_lowercase(), *n)).collect();
+        let skipped: BTreeMap<_, _> = self
+            .0
+            .skipped_keys
+            .borrow()
+            .iter()
+            .map(|(why, n)| (format!("{why:?}").to_lowercase(), *n))
+            .collect();
         let windows: Vec<_> = self.0.windows.borrow().iter().cloned().collect();
         json!({
             "windows": windows, "reports": taken, "keys_skipped": skipped,
@@ -219,7 +227,7 @@
     }
 }
 
-fn closed(quality: &Quality, now: Duration) -> Option<Window> {
+fn close_window(quality: &Quality, now: Duration) -> Option<Window> {
     quality.0.intake.borrow_mut().close(now)
 }
 
@@ -279,12 +287,12 @@
 
     #[test]
     fn names_out_of_use_are_forgotten_and_their_numbers_not_given_again() {
-        let mut names = Names::default();
+        let mut names = LevelNames::default();
         let secs = Duration::from_secs;
         for turn in 0..1000_u64 {
-            let number = names.number(secs(turn), &format!("10.0.{turn}.0/24"));
+            let number = names.number_for(secs(turn), &format!("10.0.{turn}.0/24"));
             assert_eq!(
-                (number, names.number(secs(turn), "always")),
+                (number, names.number_for(secs(turn), "always")),
                 (if turn == 0 { 0 } else { turn as u32 + 1 }, 1)
             );
             names.forget(secs(turn.saturating_sub(20)));
@@ -293,7 +301,7 @@
                 "{}",
                 names.names.len()
             );
-            assert_eq!(names.name(Level(number)), format!("10.0.{turn}.0/24"));
+            assert_eq!(names.name_of(Level(number)), format!("10.0.{turn}.0/24"));
         }
     }
 }
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -76,7 +76,7 @@
         faults.push(manager.fault("head_within_s", "is under twice the manifest's refresh_s and segment_s"));
     }
     // Guards against tokens that end before their players can have asked for the next ones.
-    let (patience, segment) = (patiences(settings), manifest.duration("segment_s"));
+    let (patience, segment) = (patience_bounds(settings), manifest.duration("segment_s"));
     let least = RefreshSchedule::margin(segment, patience.1) + segment;
     if tokens.duration("life_s") < least {
         let least = least.as_secs_f64();
@@ -123,7 +123,7 @@
 }
 
 /// The shortest and the longest patience of any package.
-pub fn patiences(settings: &Section) -> (Duration, Duration) {
+pub fn patience_bounds(settings: &Section) -> (Duration, Duration) {
     let all = || settings.sections("package").into_iter().map(|package| package.duration("patience_s"));
     (all().min().unwrap_or_default(), all().max().unwrap_or_default())
 }
@@ -232,7 +232,7 @@
 }
 
 /// The managers that this one speaks with; none where it speaks with nobody.
-pub fn peers(settings: &Section) -> Option<ivyward_peers::Config> {
+pub fn peers_config(settings: &Section) -> Option<ivyward_peers::Config> {
     if !settings.has("peers") {
         return None;
     }
@@ -261,7 +261,7 @@
 }
 
 /// The servers that the settings name.
-pub fn servers(settings: &Section) -> Vec<ServerEntry> {
+pub fn configured_servers(settings: &Section) -> Vec<ServerEntry> {
     let listed = |server: &Section| {
         Some(ServerEntry {
             server: server_id(&server.text("address"))?,
@@ -296,7 +296,7 @@
 }
 
 /// By package: its name, and the rates of the ladder's rungs as it plays them, kB a second.
-pub fn rates(settings: &Section) -> Vec<(PackageId, String, Vec<f64>)> {
+pub fn package_rates(settings: &Section) -> Vec<(PackageId, String, Vec<f64>)> {
     let rungs = settings.section("ladder").sections("rung");
     let rates = |scale: f64| rungs.iter().map(|rung| rung.number("rate_kb") * scale).collect();
     let packages = settings.sections("package");
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -1,8 +1,8 @@
 //! The one task that holds the core: its queue, its timers, and the effects that it has.
 
-use crate::paid::{self, Paid};
+use crate::paid::{self, PaidSessionLog};
 use crate::pool::Pool;
-use crate::tally::{Tally, Told};
+use crate::tally::{AnswerLabel, Tally};
 use crate::{Ended, link, list, setup};
 use ivyward::interface::{ListScope, PackageId, ServerEntry, ServerId, ServerState, TitleId, ViewingId};
 use ivyward_edge::{
@@ -25,19 +25,19 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Idle connections are looked through so often.
-const SWEEP: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 /// A server whose date was not heard for so many sweeps is asked for it.
-const SILENT: u32 = 2;
+const STALE_SWEEP_COUNT: u32 = 2;
 /// An answer is in time so long after the patience.
-const SLACK: Duration = Duration::from_millis(40);
+const ANSWER_SLACK_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Notes that may wait for their turn at the core; further ones are left out.
-const NOTES: usize = 4096;
+const MAX_QUEUED_EVENT_COUNT: usize = 4096;
 
 /// How many lines the log has left out.
-pub type Lines = Rc<dyn Fn() -> u64>;
+pub type SuppressedLineCounter = Rc<dyn Fn() -> u64>;
 
-pub struct Inner {
+pub struct ShellState {
     pub name: String,
     pub incarnation: u64,
     pub address: SocketAddr,
@@ -50,55 +50,55 @@
     pub seed: u64,
     /// By package: whether it is paid at set-up; the record of paid sessions, and how long each stays in it.
     pub once: Vec<bool>,
-    pub paid: Paid,
+    pub paid: PaidSessionLog,
     pub paid_for: Duration,
     /// Other managers, and how long a viewer is told to stay away when too few of them are reached.
     pub peers: Option<Peers>,
     pub come_back: Option<Duration>,
     pub overload_gate: RefCell<OverloadGate>,
-    spans: Clock,
-    clock: Rc<dyn Fn() -> Duration>,
+    monotonic_clock: Clock,
+    local_date: Rc<dyn Fn() -> Duration>,
     clock_consensus: RefCell<ClockConsensus>,
     connection_limits: RefCell<ConnectionLimits>,
     /// Those that wait for a place at a server.
     admission_waiters: RefCell<BTreeMap<WaiterId, oneshot::Sender<()>>>,
     events: EventSender<DaemonHost>,
     /// Servers whose notes are followed.
-    links: RefCell<BTreeMap<ServerId, AbortHandle>>,
+    note_streams: RefCell<BTreeMap<ServerId, AbortHandle>>,
     /// The list as it last came, and those of it whose clocks have gone astray.
-    rows: RefCell<BTreeMap<ServerId, ServerEntry>>,
-    astray: RefCell<BTreeSet<ServerId>>,
+    server_entries: RefCell<BTreeMap<ServerId, ServerEntry>>,
+    skewed_servers: RefCell<BTreeSet<ServerId>>,
     /// When sessions that play began, so that all their manifests say the same; and when that was last asked.
-    began: RefCell<BTreeMap<SessionId, (Duration, Duration)>>,
+    playback_starts: RefCell<BTreeMap<SessionId, (Duration, Duration)>>,
     /// After so long it is forgotten.
-    forgotten: Duration,
-    requests: Cell<u64>,
+    playback_start_retained_for: Duration,
+    last_request_id: Cell<u64>,
     /// The notes that found the queue too long.
-    unheard: Cell<u64>,
+    dropped_event_count: Cell<u64>,
     tally: RefCell<Tally>,
     log_limiter: RefCell<LogRateLimiter>,
     /// Lines that the log left out by itself.
-    dropped: Lines,
+    dropped_log_lines: SuppressedLineCounter,
 }
 
 /// A manager's shell.
 #[derive(Clone)]
-pub struct Shell(pub Rc<Inner>);
+pub struct Shell(pub Rc<ShellState>);
 
 impl Shell {
     /// # Errors
     /// The settings don't fit together.
     pub fn start(
         settings: &Section, policy: Box<dyn Policy>,
-        (incarnation, (paid, spent)): (u64, (Paid, Vec<paid::Row>)), peers: Option<Peers>,
-        address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, Lines),
+        (incarnation, (paid, spent)): (u64, (PaidSessionLog, Vec<paid::PaidSession>)), peers: Option<Peers>,
+        address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, SuppressedLineCounter),
     ) -> Result<Shell, String> {
         let (manager, limits) = (settings.section("manager"), settings.section("limits"));
         let manifest = settings.section("manifest");
         let (clock, dropped) = outside;
         let spans = Clock::start();
         let (events, event_loop) = channel(spans);
-        let inner = Inner {
+        let inner = ShellState {
             name: manager.text("name"),
             incarnation,
             address,
@@ -107,38 +107,38 @@
             lease: limits.duration("lease_s"),
             segment: manifest.duration("segment_s"),
             titles: setup::titles(settings),
-            rates: setup::rates(settings),
+            rates: setup::package_rates(settings),
             seed: manager.integer("seed"),
             once: setup::terms(settings).iter().map(|(_, once)| *once).collect(),
             paid,
             paid_for: limits.duration("paid_for_s"),
             peers,
             come_back: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
-            overload_gate: RefCell::new(OverloadGate::new(setup::patiences(settings).0)),
-            clock,
+            overload_gate: RefCell::new(OverloadGate::new(setup::patience_bounds(settings).0)),
+            local_date: clock,
             clock_consensus: RefCell::new(ClockConsensus::new(settings.section("tokens").duration("skew_s"))),
             connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
             admission_waiters: RefCell::default(),
-            spans,
+            monotonic_clock: spans,
             events,
-            links: RefCell::default(),
-            rows: RefCell::default(),
-            astray: RefCell::default(),
-            began: RefCell::default(),
-            forgotten: {
+            note_streams: RefCell::default(),
+            server_entries: RefCell::default(),
+            skewed_servers: RefCell::default(),
+            playback_starts: RefCell::default(),
+            playback_start_retained_for: {
                 let longest = settings.sections("title").iter().map(|title| title.duration("length_s")).max();
                 longest.unwrap_or_default().max(settings.section("tokens").duration("life_s")) * 2
             },
-            requests: Cell::new(0),
-            unheard: Cell::new(0),
+            last_request_id: Cell::new(0),
+            dropped_event_count: Cell::new(0),
             tally: RefCell::default(),
             log_limiter: RefCell::default(),
-            dropped,
+            dropped_log_lines: dropped,
         };
         let shell = Shell(Rc::new(inner));
         // A player asks again after each refresh, late by the time of a segment at most.
         let idle = (manifest.duration("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
-        let spans = (SLACK, Some(idle), Some(limits.duration("paid_for_s")));
+        let spans = (ANSWER_SLACK_TIMEOUT, Some(idle), Some(limits.duration("paid_for_s")));
         let mut core = SessionCore::new(
             policy,
             setup::rule_guard(settings),
@@ -151,17 +151,17 @@
             shell: shell.clone(),
             timers: Timers::default(),
             answers: BTreeMap::new(),
-            out: BTreeMap::new(),
+            set_up_tasks: BTreeMap::new(),
         };
         core.start(&mut host, shell.now());
-        let date = shell.date();
+        let date = shell.trusted_date();
         for (session, server, until) in spent {
             core.restore_paid_session(session, server, shell.now() + until.saturating_sub(date));
         }
-        let known = setup::servers(settings);
+        let known = setup::configured_servers(settings);
         if !known.is_empty() {
             let extent = if settings.has("list_address") { ListScope::Restored } else { ListScope::Full };
-            let known = shell.follow(&known, extent);
+            let known = shell.apply_server_list(&known, extent);
             core.on_server_list(shell.now(), &known, extent);
         }
         if let Ok(list) = settings.text("list_address").parse() {
@@ -170,7 +170,7 @@
         let clock = shell.clone();
         spawn_local(async move {
             loop {
-                sleep(SWEEP).await;
+                sleep(SWEEP_INTERVAL).await;
                 clock.sweep();
             }
         });
@@ -186,56 +186,62 @@
     }
 
     pub fn now(&self) -> Duration {
-        self.0.spans.now()
+        self.0.monotonic_clock.now()
     }
 
     /// Puts something that happened into the queue.
-    pub fn tell(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
+    pub fn enqueue(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
         self.0.events.send(event);
     }
 
     /// The same for what may be left out. Guards against servers that send notes faster than they are handled.
-    pub fn tell_if_free(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
-        if self.0.events.waiting() < NOTES {
-            return self.tell(event);
+    pub fn enqueue_droppable(
+        &self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static,
+    ) {
+        if self.0.events.waiting() < MAX_QUEUED_EVENT_COUNT {
+            return self.enqueue(event);
         }
-        self.0.unheard.set(self.0.unheard.get().saturating_add(1));
+        self.0.dropped_event_count.set(self.0.dropped_event_count.get().saturating_add(1));
     }
 
     /// A request was answered.
-    pub fn count(&self, told: Told) {
-        let date = self.date();
-        self.0.tally.borrow_mut().count(date, told);
+    pub fn count_answer(&self, told: AnswerLabel) {
+        let date = self.trusted_date();
+        self.0.tally.borrow_mut().increment(date, told);
     }
 
     /// Whether a line of a kind that may come in floods is written; then how many were left out before it.
-    pub fn line(&self, kind: &'static str) -> Option<u64> {
+    pub fn allow_log_line(&self, kind: &'static str) -> Option<u64> {
         self.0.log_limiter.borrow_mut().check(self.now(), kind)
     }
 
     /// What was left out: lines of floods, lines of a log that nobody reads, notes.
-    fn left_out(&self) -> (u64, u64, u64) {
-        (self.0.log_limiter.borrow().suppressed(), (self.0.dropped)(), self.0.unheard.get())
+    fn drop_counts(&self) -> (u64, u64, u64) {
+        (
+            self.0.log_limiter.borrow().suppressed(),
+            (self.0.dropped_log_lines)(),
+            self.0.dropped_event_count.get(),
+        )
     }
 
     /// What requests were answered and why, what was left out, and what is held by server.
-    pub fn counts(&self) -> Value {
-        let (floods, dropped, notes) = self.left_out();
+    pub fn counts_page(&self) -> Value {
+        let (floods, dropped, notes) = self.drop_counts();
         let (places, tickets) = self.0.connection_limits.borrow().count();
         json!({
-            "answers": self.0.tally.borrow().page(),
+            "answers": self.0.tally.borrow().to_json(),
             "left_out": {"lines_of_floods": floods, "lines_of_the_log": dropped, "notes": notes},
             "held": {
-                "servers": self.0.rows.borrow().len(), "links": self.0.links.borrow().len(),
-                "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.count(),
+                "servers": self.0.server_entries.borrow().len(), "links": self.0.note_streams.borrow().len(),
+                "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.idle_count(),
                 "places": places + tickets, "queue": self.0.events.waiting(),
             },
         })
     }
 
     /// The date to go by: our own clock's, unless most servers say otherwise.
-    pub fn date(&self) -> Duration {
-        let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)());
+    pub fn trusted_date(&self) -> Duration {
+        let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)());
         if !believed {
             tracing::debug!("our own clock is not believed");
         }
@@ -244,10 +250,10 @@
 
     /// When a session's manifests say that it began, in whole seconds: what was said before, here or by an earlier start
     /// of ours (`told`), or this moment.
-    pub fn began(&self, session: SessionId, told: Option<Duration>) -> Duration {
-        let (mut began, now, date) = (self.0.began.borrow_mut(), self.now(), self.date());
+    pub fn playback_start(&self, session: SessionId, told: Option<Duration>) -> Duration {
+        let (mut began, now, date) = (self.0.playback_starts.borrow_mut(), self.now(), self.trusted_date());
         if began.len().is_multiple_of(256) {
-            began.retain(|_, (_, last)| now < *last + self.0.forgotten);
+            began.retain(|_, (_, last)| now < *last + self.0.playback_start_retained_for);
         }
         let first = told.unwrap_or(Duration::from_secs(date.as_secs()));
         let entry = began.entry(session).or_insert((first, now));
@@ -256,25 +262,25 @@
     }
 
     /// A server answered with its date.
-    pub fn dated(&self, server: ServerId, date: Duration) {
+    pub fn record_server_date(&self, server: ServerId, date: Duration) {
         self.0.clock_consensus.borrow_mut().record(self.now(), server, date);
-        self.judge(server);
+        self.update_clock_skew(server);
     }
 
     /// Guards against a server whose clock jumps: its players' tokens are not taken there, so it gets nothing new, and
     /// what plays there is over.
-    fn judge(&self, server: ServerId) {
+    fn update_clock_skew(&self, server: ServerId) {
         let off = self.0.clock_consensus.borrow().is_skewed(server);
         let changed = if off {
-            self.0.astray.borrow_mut().insert(server)
+            self.0.skewed_servers.borrow_mut().insert(server)
         } else {
-            self.0.astray.borrow_mut().remove(&server)
+            self.0.skewed_servers.borrow_mut().remove(&server)
         };
-        let row = self.0.rows.borrow().get(&server).copied();
+        let row = self.0.server_entries.borrow().get(&server).copied();
         let Some(row) = row.filter(|_| changed) else { return };
         tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
-        let row = self.seen(row);
-        self.tell(move |core, host, now| {
+        let row = self.effective_entry(row);
+        self.enqueue(move |core, host, now| {
             core.on_server_list(now, &[row], ListScope::Changes);
             if off {
                 core.on_clock_skew(host, now, server);
@@ -283,57 +289,66 @@
     }
 
     /// A row of the list as the core is told it.
-    fn seen(&self, mut row: ServerEntry) -> ServerEntry {
-        if row.state == ServerState::Ready && self.0.astray.borrow().contains(&row.server) {
+    fn effective_entry(&self, mut row: ServerEntry) -> ServerEntry {
+        if row.state == ServerState::Ready && self.0.skewed_servers.borrow().contains(&row.server) {
             row.state = ServerState::Draining;
         }
         row
     }
 
     fn sweep(&self) {
-        self.0.pool.sweep();
-        if let Some(answers) = self.0.tally.borrow_mut().news() {
-            let (floods, log, notes) = self.left_out();
+        self.0.pool.close_expired();
+        if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
+            let (floods, log, notes) = self.drop_counts();
             tracing::info!(answers, floods, log, notes, "answered; left out so far");
         }
         let (now, (_, believed)) =
-            (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.clock)()));
+            (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)()));
         if !believed {
             tracing::error!("our clock lies far from the servers' clocks: theirs is gone by");
         }
-        self.forget_gone();
-        let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP * SILENT);
+        self.forget_gone_servers();
+        let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP_INTERVAL * STALE_SWEEP_COUNT);
         for server in silent {
             spawn_local(link::ask_date(self.clone(), server));
         }
-        let all: Vec<_> = self.0.rows.borrow().keys().copied().collect();
-        all.into_iter().for_each(|server| self.judge(server));
+        let all: Vec<_> = self.0.server_entries.borrow().keys().copied().collect();
+        all.into_iter().for_each(|server| self.update_clock_skew(server));
     }
 
     /// Guards against a fleet whose machines come back under new addresses: of those that are gone and can't be reached
     /// nothing is held.
-    fn forget_gone(&self) {
+    fn forget_gone_servers(&self) {
         let ended =
-            |server: &ServerId| self.0.links.borrow().get(server).is_none_or(AbortHandle::is_finished);
-        let all = self.0.rows.borrow().keys().copied().collect::<Vec<_>>();
-        for server in all.into_iter().filter(|server| self.gone(*server) && ended(server)) {
-            self.0.rows.borrow_mut().remove(&server);
-            self.0.links.borrow_mut().remove(&server);
+            |server: &ServerId| self.0.note_streams.borrow().get(server).is_none_or(AbortHandle::is_finished);
+        let all = self.0.server_entries.borrow().keys().copied().collect::<Vec<_>>();
+        for server in all.into_iter().filter(|server| self.is_gone(*server) && ended(server)) {
+            self.0.server_entries.borrow_mut().remove(&server);
+            self.0.note_streams.borrow_mut().remove(&server);
         }
-        let rows = self.0.rows.borrow();
-        self.0.astray.borrow_mut().retain(|server| rows.contains_key(server));
+        let rows = self.0.server_entries.borrow();
+        self.0.skewed_servers.borrow_mut().retain(|server| rows.contains_key(server));
         self.0.clock_consensus.borrow_mut().retain(|server| rows.contains_key(&server));
         self.0.connection_limits.borrow_mut().retain(|server| rows.contains_key(&server));
     }
 
     /// A place for a connection to a server, of use until `until`; none where it would come too late.
-    pub async fn place(&self, server: ServerId, purpose: Purpose, until: Duration) -> Option<Place> {
+    pub async fn connection_slot(
+        &self, server: ServerId, purpose: Purpose, until: Duration,
+    ) -> Option<ConnectionSlot> {
         let (waiter_id, turn) =
             self.0.connection_limits.borrow_mut().acquire_slot(self.now(), server, purpose, until);
-        let mut place = Place { shell: self.clone(), server, purpose, waiter_id, since: None, asked: true };
+        let mut place = ConnectionSlot {
+            shell: self.clone(),
+            server,
+            purpose,
+            waiter_id,
+            acquired_at: None,
+            waits_or_holds: true,
+        };
         match turn {
             Admission::Rejected => {
-                place.asked = false;
+                place.waits_or_holds = false;
                 return None;
             }
             Admission::Granted => {}
@@ -343,12 +358,12 @@
                 timeout(until.saturating_sub(self.now()), told).await.ok()?.ok()?;
             }
         }
-        place.since = Some(self.now());
+        place.acquired_at = Some(self.now());
         Some(place)
     }
 
     /// A place given back passes to the next that still waits for it.
-    fn pass(&self, server: ServerId, purpose: Purpose, took: Duration) {
+    fn return_slot(&self, server: ServerId, purpose: Purpose, took: Duration) {
         loop {
             let next = self.0.connection_limits.borrow_mut().release_slot(self.now(), server, purpose, took);
             let Some(waiter_id) = next else { return };
@@ -359,59 +374,59 @@
         }
     }
 
-    pub fn request(&self) -> RequestId {
-        self.0.requests.set(self.0.requests.get() + 1);
-        RequestId(self.0.requests.get())
+    pub fn next_request_id(&self) -> RequestId {
+        self.0.last_request_id.set(self.0.last_request_id.get() + 1);
+        RequestId(self.0.last_request_id.get())
     }
 
     /// Notes of servers are followed from when they are listed until they are gone and can't be reached. The rows as
     /// the core is to be told them.
-    pub fn follow(&self, list: &[ServerEntry], extent: ListScope) -> Vec<ServerEntry> {
+    pub fn apply_server_list(&self, list: &[ServerEntry], extent: ListScope) -> Vec<ServerEntry> {
         if extent != ListScope::Changes {
             // Guards against one that a whole list leaves out: it is gone here as in the core, or its clock, once right
             // again, would have it told of as ready.
             let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
-            let mut rows = self.0.rows.borrow_mut();
+            let mut rows = self.0.server_entries.borrow_mut();
             let unnamed = rows.values_mut().filter(|row| !named.contains(&row.server));
             unnamed.for_each(|row| row.state = ServerState::Gone);
         }
         for listed in list {
-            self.0.rows.borrow_mut().insert(listed.server, *listed);
+            self.0.server_entries.borrow_mut().insert(listed.server, *listed);
             let gone = listed.state == ServerState::Gone;
-            let mut links = self.0.links.borrow_mut();
+            let mut links = self.0.note_streams.borrow_mut();
             if !gone && links.get(&listed.server).is_none_or(AbortHandle::is_finished) {
                 let link = spawn_local(link::follow(self.clone(), listed.server));
                 links.insert(listed.server, link.abort_handle());
             }
         }
-        list.iter().map(|row| self.seen(*row)).collect()
+        list.iter().map(|row| self.effective_entry(*row)).collect()
     }
 
     /// Whether a server is listed, be it as gone.
-    pub fn lists(&self, server: ServerId) -> bool {
-        self.0.rows.borrow().contains_key(&server)
+    pub fn is_listed(&self, server: ServerId) -> bool {
+        self.0.server_entries.borrow().contains_key(&server)
     }
 
     /// The cell that a server was listed at.
-    pub fn cell(&self, server: ServerId) -> Option<u32> {
-        self.0.rows.borrow().get(&server).map(|row| row.cell)
+    pub fn server_cell(&self, server: ServerId) -> Option<u32> {
+        self.0.server_entries.borrow().get(&server).map(|row| row.cell)
     }
 
-    pub fn gone(&self, server: ServerId) -> bool {
-        self.0.rows.borrow().get(&server).is_none_or(|row| row.state == ServerState::Gone)
+    pub fn is_gone(&self, server: ServerId) -> bool {
+        self.0.server_entries.borrow().get(&server).is_none_or(|row| row.state == ServerState::Gone)
     }
 
     /// Takes nothing new and answers all that wait.
     ///
     /// # Errors
     /// Some viewing was left without an answer.
-    pub async fn end(&self, within: Duration) -> Result<Ended, String> {
+    pub async fn shut_down(&self, within: Duration) -> Result<Ended, String> {
         let until = Instant::now() + within;
         let (places, tickets) = self.0.connection_limits.borrow().count();
         let mut ended =
-            Ended { places: places + tickets, connections: self.0.pool.count(), ..Default::default() };
+            Ended { places: places + tickets, connections: self.0.pool.idle_count(), ..Default::default() };
         let (tell, told) = oneshot::channel();
-        self.tell(move |core, host, now| {
+        self.enqueue(move |core, host, now| {
             (ended.viewings, ended.timers) = (core.viewing_count(), host.timers.count());
             (ended.orphans, ended.taken_over) = core.inventory_counts();
             core.stop(host, now);
@@ -421,10 +436,10 @@
         let (ended, waiting, breaches) = told.await.map_err(|_| "the core is gone".to_string())?;
         // Answers and releases still have to leave.
         sleep((within / 10).min(until.saturating_duration_since(Instant::now()))).await;
-        if let Some(answers) = self.0.tally.borrow_mut().news() {
+        if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
             tracing::info!(answers, "answered");
         }
-        tracing::info!(waiting, ?breaches, ?ended, left_out = ?self.left_out(), "ended");
+        tracing::info!(waiting, ?breaches, ?ended, left_out = ?self.drop_counts(), "ended");
         match waiting {
             0 => Ok(ended),
             _ => Err(format!("{waiting} viewings are left without an answer")),
@@ -433,26 +448,26 @@
 }
 
 /// A place for one connection to a server, given back when it is dropped.
-pub struct Place {
+pub struct ConnectionSlot {
     shell: Shell,
     server: ServerId,
     purpose: Purpose,
     waiter_id: WaiterId,
-    since: Option<Duration>,
-    asked: bool,
+    acquired_at: Option<Duration>,
+    waits_or_holds: bool,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let (shell, server, purpose) = (&self.shell, self.server, self.purpose);
-        match self.since {
-            Some(since) => shell.pass(server, purpose, shell.now().saturating_sub(since)),
-            None if !self.asked => {}
+        match self.acquired_at {
+            Some(since) => shell.return_slot(server, purpose, shell.now().saturating_sub(since)),
+            None if !self.waits_or_holds => {}
             None => {
                 shell.0.connection_limits.borrow_mut().cancel(server, purpose, self.waiter_id);
                 // Guards against a place that was passed on in the moment in which its taker gave up.
                 if shell.0.admission_waiters.borrow_mut().remove(&self.waiter_id).is_none() {
-                    shell.pass(server, purpose, Duration::ZERO);
+                    shell.return_slot(server, purpose, Duration::ZERO);
                 }
             }
         }
@@ -464,23 +479,23 @@
     shell: Shell,
     timers: Timers,
     answers: BTreeMap<RequestId, oneshot::Sender<Answer>>,
-    out: BTreeMap<(ViewingId, TuneIn), AbortHandle>,
+    set_up_tasks: BTreeMap<(ViewingId, TuneIn), AbortHandle>,
 }
 
 impl DaemonHost {
     /// Where the answer of a request goes.
-    pub fn expect(&mut self, request: RequestId, answer: oneshot::Sender<Answer>) {
+    pub fn expect_answer(&mut self, request: RequestId, answer: oneshot::Sender<Answer>) {
         self.answers.insert(request, answer);
     }
 
     /// Nobody waits for it any more.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn forget_request(&mut self, request: RequestId) {
         self.answers.remove(&request);
     }
 
     /// A set-up has come to its end.
-    pub fn over(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
-        self.out.remove(&(viewing_id, tune_in));
+    pub fn set_up_finished(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
+        self.set_up_tasks.remove(&(viewing_id, tune_in));
     }
 }
 
@@ -503,12 +518,12 @@
     ) {
         let until = self.shell.now() + limit;
         let set_up = link::set_up(self.shell.clone(), who, (viewing_id, tune_in), server, rung, about, until);
-        self.out.insert((viewing_id, tune_in), spawn_local(set_up).abort_handle());
+        self.set_up_tasks.insert((viewing_id, tune_in), spawn_local(set_up).abort_handle());
     }
 
     fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
         // The connection goes with the task.
-        if let Some(task) = self.out.remove(&(viewing_id, tune_in)) {
+        if let Some(task) = self.set_up_tasks.remove(&(viewing_id, tune_in)) {
             task.abort();
         }
     }
@@ -541,7 +556,7 @@
     }
 
     fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
-        if let Some(left_out) = self.shell.line("a rule") {
+        if let Some(left_out) = self.shell.allow_log_line("a rule") {
             tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule is broken");
         }
     }
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// How a request was answered, and why. Both are names in the text of the program: what clients send makes no new ones.
-pub type Told = (&'static str, &'static str);
+pub type AnswerLabel = (&'static str, &'static str);
 
 /// The name of a cause.
-pub fn name(cause: FailureCause) -> &'static str {
+pub fn cause_name(cause: FailureCause) -> &'static str {
     match cause {
         FailureCause::ByPolicy(RefusalReason::UnknownPackage) => "unknown package",
         FailureCause::ByPolicy(RefusalReason::SeatsTaken) => "seats",
@@ -33,38 +33,38 @@
 
 #[derive(Clone, Copy, Default)]
 struct Count {
-    n: u64,
+    total: u64,
     /// How many of them were told in a line of the log.
-    told: u64,
-    first: Duration,
-    last: Duration,
+    logged: u64,
+    first_date: Duration,
+    last_date: Duration,
 }
 
 #[derive(Default)]
-pub struct Tally(BTreeMap<Told, Count>);
+pub struct Tally(BTreeMap<AnswerLabel, Count>);
 
 impl Tally {
-    pub fn count(&mut self, date: Duration, told: Told) {
-        let count = self.0.entry(told).or_insert(Count { first: date, ..Default::default() });
-        (count.n, count.last) = (count.n.saturating_add(1), date);
+    pub fn increment(&mut self, date: Duration, told: AnswerLabel) {
+        let count = self.0.entry(told).or_insert(Count { first_date: date, ..Default::default() });
+        (count.total, count.last_date) = (count.total.saturating_add(1), date);
     }
 
     /// What came since this was last asked, as one line; none where nothing did.
-    pub fn news(&mut self) -> Option<String> {
+    pub fn unlogged_counts(&mut self) -> Option<String> {
         let mut news = vec![];
         for ((answer, why), count) in &mut self.0 {
-            let new = count.n - std::mem::replace(&mut count.told, count.n);
+            let new = count.total - std::mem::replace(&mut count.logged, count.total);
             news.extend((new > 0).then(|| format!("{answer} ({why}) {new}")));
         }
         (!news.is_empty()).then(|| news.join(", "))
     }
 
     /// All counts, with the dates of the first and the last of each.
-    pub fn page(&self) -> Value {
-        let row = |((answer, why), count): (&Told, &Count)| {
+    pub fn to_json(&self) -> Value {
+        let row = |((answer, why), count): (&AnswerLabel, &Count)| {
             json!({
-                "answer": answer, "why": why, "count": count.n, "first_s": count.first.as_secs(),
-                "last_s": count.last.as_secs(),
+                "answer": answer, "why": why, "count": count.total, "first_s": count.first_date.as_secs(),
+                "last_s": count.last_date.as_secs(),
             })
         };
         self.0.iter().map(row).collect()
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -3,7 +3,7 @@
 use crate::quality::Quality;
 use crate::setup;
 use crate::shell::Shell;
-use crate::tally::{self, Told};
+use crate::tally::{self, AnswerLabel};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body as _, Incoming};
@@ -34,24 +34,25 @@
 use tokio_io_timeout::TimeoutStream;
 
 /// The head of a request must fit into this.
-const LONGEST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Reports of one request fit into this, and come within so long.
-const LONGEST_REPORTS: usize = 64 << 10;
-const REPORTED_WITHIN: Duration = Duration::from_secs(5);
+const MAX_REPORTS_BYTES: usize = 64 << 10;
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// For a head that began and never ended (RFC 9110, 15.5.9); an idle connection is closed without a word.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// What requests are answered by.
-struct Desk {
+struct ViewerService {
     shell: Shell,
     quality: Quality,
     keys: RefCell<Keys>,
     revoked: RefCell<BTreeSet<u128>>,
-    life: Duration,
-    skew: Duration,
-    refresh: RefCell<RefreshSchedule>,
+    token_lifetime: Duration,
+    clock_skew: Duration,
+    refresh_schedule: RefCell<RefreshSchedule>,
     titles: BTreeMap<String, setup::Title>,
     /// By name: its id, patience, and the rates of its rungs.
     packages: BTreeMap<String, (PackageId, Duration, Vec<f64>)>,
@@ -66,29 +67,29 @@
     let titles = setup::titles(&settings).into_iter().map(|title| (title.name.clone(), title)).collect();
     let terms = setup::terms(&settings);
     let package = |(id, name, rates): (PackageId, _, _)| (name, (id, terms[id.0].0, rates));
-    let packages = setup::rates(&settings).into_iter().map(package).collect();
+    let packages = setup::package_rates(&settings).into_iter().map(package).collect();
     let (manifest, life) = (settings.section("manifest"), tokens.duration("life_s"));
-    let margin = RefreshSchedule::margin(manifest.duration("segment_s"), setup::patiences(&settings).1);
+    let margin = RefreshSchedule::margin(manifest.duration("segment_s"), setup::patience_bounds(&settings).1);
     let refresh = RefreshSchedule::new(manager.integer("seed"), manifest.duration("refresh_s"), life, margin);
-    let desk = Rc::new(Desk {
+    let viewer_service = Rc::new(ViewerService {
         shell,
         quality,
         keys: RefCell::new(keys),
-        revoked: RefCell::new(revoked(&tokens)),
-        life,
-        skew: tokens.duration("skew_s"),
-        refresh: RefCell::new(refresh),
+        revoked: RefCell::new(revoked_sessions(&tokens)),
+        token_lifetime: life,
+        clock_skew: tokens.duration("skew_s"),
+        refresh_schedule: RefCell::new(refresh),
         titles,
         packages,
     });
-    if let Some(peers) = &desk.shell.0.peers {
-        spawn_local(desk.clone().learns(peers.clone()));
+    if let Some(peers) = &viewer_service.shell.0.peers {
+        spawn_local(viewer_service.clone().share_revocations(peers.clone()));
     }
     if let Some(mut texts) = texts {
-        let desk = desk.clone();
+        let viewer_service = viewer_service.clone();
         spawn_local(async move {
             while let Some(text) = texts.recv().await {
-                desk.takes_over(&text);
+                viewer_service.reload_tokens(&text);
             }
         });
     }
@@ -96,14 +97,18 @@
     let open = Rc::new(Cell::new(0_usize));
     loop {
         // Guards against a flood of connections or requests: the next ones wait in the listener's queue.
-        while !desk.shell.0.overload_gate.borrow().may_accept(desk.shell.now(), open.get(), most) {
+        while !viewer_service.shell.0.overload_gate.borrow().may_accept(
+            viewer_service.shell.now(),
+            open.get(),
+            most,
+        ) {
             sleep(Duration::from_millis(5)).await;
         }
         let (stream, from) = match listener.accept().await {
             Ok((stream, from)) => (stream, from.ip()),
             Err(error) => {
                 // Out of file handles, most likely: a pause, or this would spin.
-                if let Some(left_out) = desk.shell.line("accept") {
+                if let Some(left_out) = viewer_service.shell.allow_log_line("accept") {
                     tracing::warn!(%error, left_out, "no connection can be taken");
                 }
                 sleep(Duration::from_millis(50)).await;
@@ -115,27 +120,27 @@
         let mut stream = Box::pin(TimeoutStream::new(stream));
         stream.as_mut().set_write_timeout_pinned(Some(head));
         open.set(open.get() + 1);
-        let (desk, open) = (desk.clone(), open.clone());
+        let (viewer_service, open) = (viewer_service.clone(), open.clone());
         spawn_local(async move {
             let answer = |request| {
-                let desk = desk.clone();
+                let viewer_service = viewer_service.clone();
                 Box::pin(async move {
-                    let page = desk.answer(request, from).await;
-                    let told = page.extensions().get::<Told>().copied();
-                    desk.shell.count(told.unwrap_or(("turned away", "no viewing request")));
+                    let page = viewer_service.respond(request, from).await;
+                    let told = page.extensions().get::<AnswerLabel>().copied();
+                    viewer_service.shell.count_answer(told.unwrap_or(("turned away", "no viewing request")));
                     Ok::<_, Infallible>(page)
                 })
             };
             let mut connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(head)
-                .max_buf_size(LONGEST_HEAD)
+                .max_buf_size(MAX_HEAD_BYTES)
                 .serve_connection(TokioIo::new(stream), hyper::service::service_fn(answer));
             if let Err(error) = (&mut connection).await {
                 tracing::debug!(%error, "a viewer's connection broke");
                 let parts = connection.into_parts();
                 if error.is_timeout() && !parts.read_buf.is_empty() {
-                    parts.io.into_inner().write_all(TOO_SLOW).await.ok();
+                    parts.io.into_inner().write_all(REQUEST_TIMEOUT_RESPONSE).await.ok();
                 }
             }
             open.set(open.get() - 1);
@@ -143,9 +148,9 @@
     }
 }
 
-type Page = Response<Full<Bytes>>;
+type TextResponse = Response<Full<Bytes>>;
 
-fn page(status: StatusCode, text: impl Into<Bytes>) -> Page {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> TextResponse {
     let mut page = Response::new(Full::new(text.into()));
     *page.status_mut() = status;
     page.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -153,12 +158,12 @@
 }
 
 /// The page of an answer, as it is counted.
-fn told(mut page: Page, answer: &'static str, why: &'static str) -> Page {
-    page.extensions_mut().insert::<Told>((answer, why));
+fn labelled(mut page: TextResponse, answer: &'static str, why: &'static str) -> TextResponse {
+    page.extensions_mut().insert::<AnswerLabel>((answer, why));
     page
 }
 
-fn with(mut page: Page, name: &'static str, value: &str) -> Page {
+fn with_header(mut page: TextResponse, name: &'static str, value: &str) -> TextResponse {
     if let Ok(value) = HeaderValue::from_str(value) {
         page.headers_mut().insert(HeaderName::from_static(name), value);
     }
@@ -166,7 +171,7 @@
 }
 
 /// The token of a request: a bearer's (RFC 6750, 2.1), or the query's.
-fn given(request: &Request<Incoming>) -> Option<&str> {
+fn request_token(request: &Request<Incoming>) -> Option<&str> {
     let bearer = request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let bearer = bearer.and_then(|value| value.strip_prefix("Bearer "));
     let query = request.uri().query().unwrap_or_default();
@@ -174,7 +179,7 @@
 }
 
 /// The operators' pages.
-pub async fn console(listener: TcpListener, shell: Shell, quality: Quality) {
+pub async fn serve_console(listener: TcpListener, shell: Shell, quality: Quality) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(50)).await;
@@ -186,13 +191,17 @@
                 let (shell, quality) = (&shell, &quality);
                 async move {
                     let json = |value: serde_json::Value| {
-                        with(page(StatusCode::OK, value.to_string()), "content-type", "application/json")
+                        with_header(
+                            text_response(StatusCode::OK, value.to_string()),
+                            "content-type",
+                            "application/json",
+                        )
                     };
                     let found = match (request.method(), request.uri().path(), &shell.0.peers) {
                         (&Method::GET, "/quality", _) => json(quality.page()),
-                        (&Method::GET, "/counts", _) => json(shell.counts()),
+                        (&Method::GET, "/counts", _) => json(shell.counts_page()),
                         (&Method::GET, "/peers", Some(peers)) => json(peers.page().await),
-                        _ => page(StatusCode::NOT_FOUND, "no such page\n"),
+                        _ => text_response(StatusCode::NOT_FOUND, "no such page\n"),
                     };
                     Ok::<_, Infallible>(found)
                 }
@@ -208,55 +217,55 @@
     }
 }
 
-fn blocked(come_back: Duration, why: &'static str) -> Page {
-    let page = page(StatusCode::SERVICE_UNAVAILABLE, "blocked: nothing plays it now\n");
-    let page = told(page, "blocked", why);
+fn blocked_response(come_back: Duration, why: &'static str) -> TextResponse {
+    let page = text_response(StatusCode::SERVICE_UNAVAILABLE, "blocked: nothing plays it now\n");
+    let page = labelled(page, "blocked", why);
     // Whole seconds (RFC 9110, 10.2.3); the span as it is beside them.
-    let page = with(page, "retry-after", &come_back.as_secs_f64().ceil().to_string());
-    with(page, "ivy-come-back-ms", &come_back.as_millis().to_string())
+    let page = with_header(page, "retry-after", &come_back.as_secs_f64().ceil().to_string());
+    with_header(page, "ivy-come-back-ms", &come_back.as_millis().to_string())
 }
 
-fn refused(refusal: Refusal) -> Page {
+fn token_refused(refusal: Refusal) -> TextResponse {
     let status =
         if refusal == Refusal::ForeignTitle { StatusCode::FORBIDDEN } else { StatusCode::UNAUTHORIZED };
-    let page = page(status, format!("the token is not taken: {refusal}\n"));
-    let page = told(page, "turned away", refusal.name());
-    let page = with(page, "www-authenticate", "Bearer error=\"invalid_token\"");
-    with(page, "ivy-refused", refusal.name())
+    let page = text_response(status, format!("the token is not taken: {refusal}\n"));
+    let page = labelled(page, "turned away", refusal.name());
+    let page = with_header(page, "www-authenticate", "Bearer error=\"invalid_token\"");
+    with_header(page, "ivy-refused", refusal.name())
 }
 
 /// Tells the core if the viewer closes before the answer.
-struct Waiting {
+struct PendingRequest {
     shell: Shell,
     session: SessionId,
     request: RequestId,
     answered: Cell<bool>,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.answered.get() {
             let (session, request) = (self.session, self.request);
-            self.shell.count(("closed", "the viewer left before its answer"));
-            self.shell.tell(move |core, host, now| {
-                host.forget(request);
+            self.shell.count_answer(("closed", "the viewer left before its answer"));
+            self.shell.enqueue(move |core, host, now| {
+                host.forget_request(request);
                 core.on_request_closed(host, now, session, request);
             });
         }
     }
 }
 
-fn revoked(tokens: &Section) -> BTreeSet<u128> {
+fn revoked_sessions(tokens: &Section) -> BTreeSet<u128> {
     tokens.texts("revoked").iter().filter_map(|text| setup::session(text)).collect()
 }
 
-impl Desk {
+impl ViewerService {
     /// Takes the tokens of settings given anew: keys, which one signs, and sessions that are revoked.
-    fn takes_over(&self, text: &str) {
+    fn reload_tokens(&self, text: &str) {
         let tokens = match crate::read(text) {
             Ok(settings) => settings.section("tokens"),
             Err(faults) => {
-                // Guards against a service without keys: what was in force stays.
+                // Guards against a viewer_service without keys: what was in force stays.
                 faults.iter().for_each(|fault| tracing::error!(%fault, "new settings are not taken"));
                 return;
             }
@@ -264,17 +273,17 @@
         if let Ok(keys) = setup::keys(&tokens) {
             *self.keys.borrow_mut() = keys;
         }
-        let before = self.revoked.replace(revoked(&tokens));
+        let before = self.revoked.replace(revoked_sessions(&tokens));
         let new: Vec<_> = self.revoked.borrow().difference(&before).copied().collect();
         tracing::info!(signs = tokens.text("signs"), revoked = new.len(), "new tokens are in force");
         for session in new.into_iter().map(SessionId) {
-            self.shell.tell(move |core, host, now| core.on_revoked(host, now, session));
+            self.shell.enqueue(move |core, host, now| core.on_revoked(host, now, session));
             self.shell.0.peers.iter().for_each(|peers| peers.revoke(session));
         }
     }
 
     /// Shares with the other managers which sessions are revoked.
-    async fn learns(self: Rc<Self>, peers: Peers) {
+    async fn share_revocations(self: Rc<Self>, peers: Peers) {
         let mut learned = peers.learns();
         // Whatever is told is over after a span; what the settings here still tell by then is told anew.
         let mut anew = interval(peers.span() / 2);
@@ -286,7 +295,7 @@
                 }
                 session = learned.recv() => {
                     let Some(session) = session else { return };
-                    self.shell.tell(move |core, host, now| core.on_revoked(host, now, session));
+                    self.shell.enqueue(move |core, host, now| core.on_revoked(host, now, session));
                 }
             }
         }
@@ -299,73 +308,80 @@
     }
 
     /// A player's reports (CMCD's report mode), on its session's token.
-    async fn reported(&self, request: Request<Incoming>, from: IpAddr) -> Page {
+    async fn receive_reports(&self, request: Request<Incoming>, from: IpAddr) -> TextResponse {
         if request.method() != Method::POST {
-            return with(
-                page(StatusCode::METHOD_NOT_ALLOWED, "only POST is answered here\n"),
+            return with_header(
+                text_response(StatusCode::METHOD_NOT_ALLOWED, "only POST is answered here\n"),
                 "allow",
                 "POST",
             );
         }
-        let token = given(&request).map(String::from).unwrap_or_default();
-        let checked = self.keys.borrow().check(&token, self.shell.date(), self.skew);
+        let token = request_token(&request).map(String::from).unwrap_or_default();
+        let checked = self.keys.borrow().check(&token, self.shell.trusted_date(), self.clock_skew);
         let token_claims = match checked {
             Ok((token_claims, _)) => token_claims,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return token_refused(refusal),
         };
-        let body = Limited::new(request.into_body(), LONGEST_REPORTS).collect();
-        let Ok(Ok(body)) = timeout(REPORTED_WITHIN, body).await else {
-            let page = page(StatusCode::PAYLOAD_TOO_LARGE, "reports are shorter, and sent at once\n");
-            return with(page, "connection", "close");
+        let body = Limited::new(request.into_body(), MAX_REPORTS_BYTES).collect();
+        let Ok(Ok(body)) = timeout(REPORTS_TIMEOUT, body).await else {
+            let page =
+                text_response(StatusCode::PAYLOAD_TOO_LARGE, "reports are shorter, and sent at once\n");
+            return with_header(page, "connection", "close");
         };
         let body = body.to_bytes();
-        match self.hears(&token_claims, from, &String::from_utf8_lossy(&body)) {
-            ReportOutcome::Flood | ReportOutcome::Full => {
-                told(page(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"), "reports", "too many")
-            }
-            _ => told(page(StatusCode::NO_CONTENT, ""), "reports", "heard"),
+        match self.record_session_reports(&token_claims, from, &String::from_utf8_lossy(&body)) {
+            ReportOutcome::Flood | ReportOutcome::Full => labelled(
+                text_response(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"),
+                "reports",
+                "too many",
+            ),
+            _ => labelled(text_response(StatusCode::NO_CONTENT, ""), "reports", "heard"),
         }
     }
 
-    fn hears(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> ReportOutcome {
+    fn record_session_reports(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> ReportOutcome {
         let server =
             token_claims.granted.as_ref().and_then(|given| setup::server_id(&given.server.to_string()));
-        let server = server.and_then(|server| Some((server, self.shell.cell(server)?)));
-        self.quality.hear(self.shell.now(), token_claims, server, from, text)
+        let server = server.and_then(|server| Some((server, self.shell.server_cell(server)?)));
+        self.quality.record_reports(self.shell.now(), token_claims, server, from, text)
     }
 
-    async fn answer(&self, request: Request<Incoming>, from: IpAddr) -> Page {
+    async fn respond(&self, request: Request<Incoming>, from: IpAddr) -> TextResponse {
         let path = request.uri().path();
         if path == "/cmcd" {
-            return self.reported(request, from).await;
+            return self.receive_reports(request, from).await;
         }
         let name = path.strip_prefix("/mpd/").and_then(|rest| rest.strip_suffix(".mpd"));
-        let Some(name) = name else { return page(StatusCode::NOT_FOUND, "no such page\n") };
+        let Some(name) = name else { return text_response(StatusCode::NOT_FOUND, "no such page\n") };
         if request.method() != Method::GET {
-            return with(page(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n"), "allow", "GET");
+            return with_header(
+                text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n"),
+                "allow",
+                "GET",
+            );
         }
         if request.body().size_hint().lower() > 0 || !request.body().is_end_stream() {
-            let page = page(StatusCode::BAD_REQUEST, "no body belongs here\n");
-            return with(page, "connection", "close");
+            let page = text_response(StatusCode::BAD_REQUEST, "no body belongs here\n");
+            return with_header(page, "connection", "close");
         }
-        let Some(token) = given(&request) else { return refused(Refusal::Malformed) };
-        let now = self.shell.date();
-        let checked = self.keys.borrow().check(token, now, self.skew);
+        let Some(token) = request_token(&request) else { return token_refused(Refusal::Malformed) };
+        let now = self.shell.trusted_date();
+        let checked = self.keys.borrow().check(token, now, self.clock_skew);
         let (token_claims, (issued, until)) = match checked {
             Ok(taken) => taken,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return token_refused(refusal),
         };
         if self.is_revoked(token_claims.session) {
-            return refused(Refusal::Revoked);
+            return token_refused(Refusal::Revoked);
         }
         let Some(title) = self.titles.get(name) else {
-            return page(StatusCode::NOT_FOUND, "no such title\n");
+            return text_response(StatusCode::NOT_FOUND, "no such title\n");
         };
         if token_claims.title != name {
-            return refused(Refusal::ForeignTitle);
+            return token_refused(Refusal::ForeignTitle);
         }
         let Some((package, patience, rates)) = self.packages.get(&token_claims.package) else {
-            return page(StatusCode::FORBIDDEN, "no such package\n");
+            return text_response(StatusCode::FORBIDDEN, "no such package\n");
         };
         // What a player says of itself with a request (CMCD's request mode) is heard as a report.
         if token_claims.granted.is_some() {
@@ -374,10 +390,10 @@
             let query = request.uri().query().unwrap_or_default();
             said.extend(in_query(query));
             if !said.is_empty() {
-                self.hears(&token_claims, from, &said.join(","));
+                self.record_session_reports(&token_claims, from, &said.join(","));
             }
         }
-        let (request, session) = (self.shell.request(), SessionId(token_claims.session));
+        let (request, session) = (self.shell.next_request_id(), SessionId(token_claims.session));
         let (tell, given_back) = oneshot::channel();
         // A token of another manager is no step of a viewing here: it is as if the app had given it.
         let given = token_claims.granted.as_ref().filter(|given| given.manager == self.shell.0.name);
@@ -389,19 +405,20 @@
         if token_claims.granted.is_none()
             && let Err(wait) = self.shell.0.overload_gate.borrow().admit(begun_at, *patience)
         {
-            return blocked(wait, "gate");
+            return blocked_response(wait, "gate");
         }
         let about = (*package, title.id, title.cells, token_claims.top);
         let left = until.saturating_sub(now);
-        self.shell.tell(move |core, host, now| {
-            host.expect(request, tell);
+        self.shell.enqueue(move |core, host, now| {
+            host.expect_answer(request, tell);
             let origin = origin.unwrap_or(TokenOrigin::App { issued });
             core.on_request(host, now, request, session, about, origin, now + left);
         });
-        let waiting = Waiting { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
+        let waiting =
+            PendingRequest { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
         let Ok(answer) = given_back.await else {
-            let page = page(StatusCode::BAD_GATEWAY, "the manager ends\n");
-            return told(page, "aborted", "the manager ends");
+            let page = text_response(StatusCode::BAD_GATEWAY, "the manager ends\n");
+            return labelled(page, "aborted", "the manager ends");
         };
         waiting.answered.set(true);
         tracing::debug!(session = %format_args!("{:032x}", token_claims.session), title = name, ?answer, "answered");
@@ -413,47 +430,53 @@
             Answer::Plays { server, incarnation, viewing_id, tune_in, rung, sequence } => {
                 let server = setup::server_address(server);
                 // The answer may have taken a while: what is said now is dated now.
-                let now = self.shell.date();
+                let now = self.shell.trusted_date();
                 let said = token_claims.granted.as_ref().map(|given| given.began);
-                let began = self.shell.began(session, said);
+                let began = self.shell.playback_start(session, said);
                 let (manager, incarnation, viewing_id, n) =
                     (self.shell.0.name.clone(), incarnation.0, viewing_id.0, tune_in.0);
                 let given = GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began };
                 let token_claims = TokenClaims { granted: Some(given), ..token_claims };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
-                let page = self.manifest(title, server, rates, &token_claims, (began, now));
-                told(page, "plays", if origin.is_none() { "asked" } else { "asked again" })
+                let page = self.manifest_response(title, server, rates, &token_claims, (began, now));
+                labelled(page, "plays", if origin.is_none() { "asked" } else { "asked again" })
+            }
+            Answer::Replayed => token_refused(Refusal::Replayed),
+            Answer::Revoked => token_refused(Refusal::Revoked),
+            Answer::Blocked { come_back, why } => {
+                blocked_response(come_back.unwrap_or_default(), tally::cause_name(why))
             }
-            Answer::Replayed => refused(Refusal::Replayed),
-            Answer::Revoked => refused(Refusal::Revoked),
-            Answer::Blocked { come_back, why } => blocked(come_back.unwrap_or_default(), tally::name(why)),
             Answer::Aborted { why } => {
                 let page = match why {
-                    FailureCause::AnswerOverdue => page(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n"),
-                    _ => page(StatusCode::BAD_GATEWAY, "aborted: it could not be set up\n"),
+                    FailureCause::AnswerOverdue => {
+                        text_response(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n")
+                    }
+                    _ => text_response(StatusCode::BAD_GATEWAY, "aborted: it could not be set up\n"),
                 };
-                told(page, "aborted", tally::name(why))
+                labelled(page, "aborted", tally::cause_name(why))
             }
             Answer::Conflict => {
-                let page = page(StatusCode::CONFLICT, "this session watches something else\n");
-                told(page, "turned away", "the session watches something else")
+                let page = text_response(StatusCode::CONFLICT, "this session watches something else\n");
+                labelled(page, "turned away", "the session watches something else")
             }
         }
     }
 
-    fn manifest(
+    fn manifest_response(
         &self, title: &setup::Title, server: SocketAddr, rates: &[f64], token_claims: &TokenClaims,
         (began, now): (Duration, Duration),
-    ) -> Page {
-        let token = match self.keys.borrow().mint(token_claims, now, self.life) {
+    ) -> TextResponse {
+        let token = match self.keys.borrow().mint(token_claims, now, self.token_lifetime) {
             Ok(token) => token,
-            Err(error) => return page(StatusCode::INTERNAL_SERVER_ERROR, format!("no token: {error}\n")),
+            Err(error) => {
+                return text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("no token: {error}\n"));
+            }
         };
         let here = self.shell.0.address;
         let base = format!("http://{server}/v/{token}/");
         let again = format!("http://{here}/mpd/{}.mpd?token={token}", title.name);
-        let spans = (title.length, self.shell.0.segment, self.refresh.borrow_mut().span());
+        let spans = (title.length, self.shell.0.segment, self.refresh_schedule.borrow_mut().span());
         let text = manifest(&title.name, &base, &again, rates, spans, (began, now));
-        with(page(StatusCode::OK, text), "content-type", "application/dash+xml")
+        with_header(text_response(StatusCode::OK, text), "content-type", "application/dash+xml")
     }
 }
