--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -85,11 +85,11 @@
         // Guards against a queue at one server that outlasts its viewers.
         None => (Some(AttemptResult::NotWritten), LoadReport::default()),
     };
-    if shell.0.once.get(about.0.0) == Some(&true)
+    if shell.0.paid_at_set_up.get(about.0.0) == Some(&true)
         && matches!(attempt_result, None | Some(AttemptResult::NotWritten | AttemptResult::Refused))
     {
         // It provably never ran: a later start may set it up. Without this line that is only refused for longer.
-        shell.0.paid.log_session((who.0, server, Duration::ZERO)).await.ok();
+        shell.0.paid_sessions.log_session((who.0, server, Duration::ZERO)).await.ok();
     }
     let Some(attempt_result) = attempt_result else { return };
     tracing::debug!(viewing = viewing_id.0, tune_in = tune_in.0, server = %server_address(server), happened = ?attempt_result, "set-up");
@@ -111,7 +111,7 @@
         let again = used.is_some();
         let mut connection = match used.take() {
             Some(connection) => connection,
-            None => match Connection::open(address, shell.0.connect).await {
+            None => match Connection::open(address, shell.0.connect_timeout).await {
                 Ok(connection) => connection,
                 Err(_) if allowed => {
                     claimed.iter_mut().for_each(|claimed: &mut Claimed| claimed.never_ran(no));
@@ -121,11 +121,11 @@
             },
         };
         if !allowed {
-            let once = shell.0.once.get(package.0) == Some(&true);
+            let once = shell.0.paid_at_set_up.get(package.0) == Some(&true);
             if let Some(peers) = shell.0.peers.as_ref().filter(|_| once) {
                 let (claim, word) = peers.claim(session, until.saturating_sub(shell.now())).await;
                 if word != ClaimOutcome::Granted {
-                    let (taken, come_back) = (word == ClaimOutcome::Taken, shell.0.come_back);
+                    let (taken, come_back) = (word == ClaimOutcome::Taken, shell.0.come_back_after);
                     shell.enqueue(move |core, host, now| {
                         host.set_up_finished(viewing_id, tune_in);
                         core.on_claim_denied(host, now, viewing_id, tune_in, taken, come_back);
@@ -136,9 +136,9 @@
                 claimed = Some(claim);
             }
             if once {
-                let until = shell.trusted_date() + shell.0.paid_for;
+                let until = shell.trusted_date() + shell.0.paid_retained_for;
                 // Guards against a paid session set up again by a later start: what isn't on disk isn't sent.
-                if let Err(error) = shell.0.paid.log_session((session, server, until)).await {
+                if let Err(error) = shell.0.paid_sessions.log_session((session, server, until)).await {
                     if let Some(left_out) = shell.allow_log_line("paid") {
                         tracing::error!(%error, left_out, "the record of paid sessions can't be written");
                     }
@@ -158,15 +158,15 @@
             no = claimed.as_mut().and_then(Claimed::goes_out);
         }
         let inner = &shell.0;
-        let rates = inner.rates.get(package.0).map_or(&[][..], |(_, _, rates)| rates);
+        let rates = inner.rates_by_package.get(package.0).map_or(&[][..], |(_, _, rates)| rates);
         let title = inner.titles.iter().find(|about| about.id == title);
         let length = title.map_or(Duration::ZERO, |title| title.length);
-        let segments = (length.as_secs_f64() / inner.segment.as_secs_f64()).ceil() as u64;
+        let segments = (length.as_secs_f64() / inner.segment_length.as_secs_f64()).ceil() as u64;
         let body = json!({
             "manager": inner.name, "birth": inner.incarnation, "vw": viewing_id.0, "n": tune_in.0,
             "session": format!("{:032x}", session.0), "package": package.0,
             "title": title.map_or("", |title| title.name.as_str()), "rung": rung, "top": top, "rates": rates,
-            "lease_ms": inner.lease.as_millis() as u64, "segment_ms": inner.segment.as_millis() as u64,
+            "lease_ms": inner.lease.as_millis() as u64, "segment_ms": inner.segment_length.as_millis() as u64,
             "segments": segments, "began": shell.playback_start(session, None).as_secs(),
         });
         let answer = match connection.ask(build_request(Method::POST, server, "/viewings", &body)).await {
@@ -214,7 +214,7 @@
         let again = used.is_some();
         let mut connection = match used {
             Some(connection) => connection,
-            None => Connection::open(address, shell.0.connect).await.ok()?,
+            None => Connection::open(address, shell.0.connect_timeout).await.ok()?,
         };
         match connection.ask(build_request(method.clone(), server, path, body)).await {
             Ok(answer) => {
@@ -272,8 +272,9 @@
 }
 
 pub async fn probe(shell: Shell, server: ServerId) {
-    let asked = send_control_request(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect);
-    let load = timeout(shell.0.connect, asked).await.ok().flatten().map(|came| came.load_report);
+    let asked =
+        send_control_request(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect_timeout);
+    let load = timeout(shell.0.connect_timeout, asked).await.ok().flatten().map(|came| came.load_report);
     shell.enqueue(move |core, host, now| core.on_probe_result(host, now, server, load));
 }
 
@@ -288,7 +289,7 @@
 
 /// Asks a server for an answer only to hear its date, on a connection of its own: none is kept for that.
 pub async fn ask_date(shell: Shell, server: ServerId) {
-    let within = shell.0.connect;
+    let within = shell.0.connect_timeout;
     let Some(_place) = shell.connection_slot(server, Purpose::Control, shell.now() + within).await else {
         return;
     };
@@ -325,7 +326,7 @@
 /// One connection's notes, to its end. Whether any came.
 async fn read_notes(shell: &Shell, server: ServerId) -> bool {
     let path = format!("/notes?manager={}&birth={}", percent_encode(&shell.0.name), shell.0.incarnation);
-    let mut connection = match Connection::open(server_address(server), shell.0.connect).await {
+    let mut connection = match Connection::open(server_address(server), shell.0.connect_timeout).await {
         Ok(connection) => connection,
         Err(error) => {
             // Refused: no process listens there, so nothing plays. After silence that isn't known.
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -43,7 +43,7 @@
 
 /// One connection's list, to its end. Whether any came.
 async fn read(shell: &Shell, address: SocketAddr, known_incarnations: &mut KnownIncarnations) -> bool {
-    let Ok(mut connection) = Connection::open(address, shell.0.connect).await else { return false };
+    let Ok(mut connection) = Connection::open(address, shell.0.connect_timeout).await else { return false };
     let mut request = Request::new(Full::<Bytes>::default());
     *request.uri_mut() =
         format!("/list?manager={}", percent_encode(&shell.0.name)).parse().unwrap_or_default();
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -42,19 +42,19 @@
     pub incarnation: u64,
     pub address: SocketAddr,
     pub pool: Pool,
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     pub lease: Duration,
-    pub segment: Duration,
+    pub segment_length: Duration,
     pub titles: Vec<setup::Title>,
-    pub rates: Vec<(PackageId, String, Vec<f64>)>,
+    pub rates_by_package: Vec<(PackageId, String, Vec<f64>)>,
     pub seed: u64,
     /// By package: whether it is paid at set-up; the record of paid sessions, and how long each stays in it.
-    pub once: Vec<bool>,
-    pub paid: PaidSessionLog,
-    pub paid_for: Duration,
+    pub paid_at_set_up: Vec<bool>,
+    pub paid_sessions: PaidSessionLog,
+    pub paid_retained_for: Duration,
     /// Other managers, and how long a viewer is told to stay away when too few of them are reached.
     pub peers: Option<Peers>,
-    pub come_back: Option<Duration>,
+    pub come_back_after: Option<Duration>,
     pub overload_gate: RefCell<OverloadGate>,
     monotonic_clock: Clock,
     local_date: Rc<dyn Fn() -> Duration>,
@@ -103,17 +103,17 @@
             incarnation,
             address,
             pool: Pool::default(),
-            connect: limits.duration("connect_s"),
+            connect_timeout: limits.duration("connect_s"),
             lease: limits.duration("lease_s"),
-            segment: manifest.duration("segment_s"),
+            segment_length: manifest.duration("segment_s"),
             titles: setup::titles(settings),
-            rates: setup::package_rates(settings),
+            rates_by_package: setup::package_rates(settings),
             seed: manager.integer("seed"),
-            once: setup::terms(settings).iter().map(|(_, once)| *once).collect(),
-            paid,
-            paid_for: limits.duration("paid_for_s"),
+            paid_at_set_up: setup::terms(settings).iter().map(|(_, once)| *once).collect(),
+            paid_sessions: paid,
+            paid_retained_for: limits.duration("paid_for_s"),
             peers,
-            come_back: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
+            come_back_after: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
             overload_gate: RefCell::new(OverloadGate::new(setup::patience_bounds(settings).0)),
             local_date: clock,
             clock_consensus: RefCell::new(ClockConsensus::new(settings.section("tokens").duration("skew_s"))),
@@ -137,7 +137,7 @@
         };
         let shell = Shell(Rc::new(inner));
         // A player asks again after each refresh, late by the time of a segment at most.
-        let idle = (manifest.duration("refresh_s") + shell.0.segment) * 2 + shell.0.lease / 2;
+        let idle = (manifest.duration("refresh_s") + shell.0.segment_length) * 2 + shell.0.lease / 2;
         let spans = (ANSWER_SLACK_TIMEOUT, Some(idle), Some(limits.duration("paid_for_s")));
         let mut core = SessionCore::new(
             policy,
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -475,7 +475,7 @@
         let here = self.shell.0.address;
         let base = format!("http://{server}/v/{token}/");
         let again = format!("http://{here}/mpd/{}.mpd?token={token}", title.name);
-        let spans = (title.length, self.shell.0.segment, self.refresh_schedule.borrow_mut().span());
+        let spans = (title.length, self.shell.0.segment_length, self.refresh_schedule.borrow_mut().span());
         let text = manifest(&title.name, &base, &again, rates, spans, (began, now));
         with_header(text_response(StatusCode::OK, text), "content-type", "application/dash+xml")
     }
