--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -1,5 +1,5 @@
-//! What `ivyward run` starts without a settings file: one manager, and a fleet of stand-in servers in a thread of
-//! its own.
+//! What `ivyward run` starts without a settings file: one manager, and a fleet of stand-in servers in a
+//! thread of its own.
 
 use crate::setup;
 use ivyward_dash::token::TokenClaims;
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -1,12 +1,13 @@
-//! The number of a manager's start. Servers turn away what an earlier start sent, so each is above the last.
+//! The number of a manager's start. Servers turn away what an earlier start sent, so each is above the
+//! last.
 
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::Path;
 use std::time::Duration;
 
-/// The number of this start: the date in milliseconds, but above the last one kept in `dir`. Without a folder nothing
-/// is kept: then a clock set back makes servers turn set-ups away until it has caught up.
+/// The number of this start: the date in milliseconds, but above the last one kept in `dir`. Without a
+/// folder nothing is kept: then a clock set back makes servers turn set-ups away until it has caught up.
 ///
 /// # Errors
 /// The folder can't be read or written, or holds something else.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The session front as a program: sockets, clocks and files round the session core. One task holds the core; all
-//! inputs come to it through one queue, effects leave in order.
+//! The session front as a program: sockets, clocks and files round the session core. One task holds the
+//! core; all inputs come to it through one queue, effects leave in order.
 
 pub mod embedded;
 pub mod log;
@@ -49,8 +49,8 @@
 pub struct Ended {
     /// How often an assertion of a rule failed.
     pub breaches: u64,
-    /// What was still held when it was told to end: viewings, timers, connections to servers, and places or waits for
-    /// one at their doors.
+    /// What was still held when it was told to end: viewings, timers, connections to servers, and places or
+    /// waits for one at their doors.
     pub viewings: usize,
     pub timers: usize,
     pub connections: usize,
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -25,7 +25,8 @@
 
 /// No answer of a server is longer, but for its notes.
 const MAX_RESPONSE_BYTES: usize = 16 << 10;
-/// The first pause before something is tried again, and the longest; each is twice the last, less some by chance.
+/// The first pause before something is tried again, and the longest; each is twice the last, less some by
+/// chance.
 const RETRY_INTERVALS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
 fn build_request(method: Method, server: ServerId, path: &str, body: &Value) -> Request<Full<Bytes>> {
@@ -75,7 +76,8 @@
     Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await.ok().map(drop)
 }
 
-/// One tune-in on its socket, from the connection to what became of it. `until`: when nobody waits for it any more.
+/// One tune-in on its socket, from the connection to what became of it. `until`: when nobody waits for it
+/// any more.
 pub async fn set_up(
     shell: Shell, who: (SessionId, usize), (viewing_id, tune_in): (ViewingId, TuneIn), server: ServerId,
     rung: usize, about: (PackageId, TitleId), until: Duration,
@@ -88,7 +90,8 @@
     if shell.0.paid_at_set_up.get(about.0.0) == Some(&true)
         && matches!(attempt_result, None | Some(AttemptResult::NotWritten | AttemptResult::Refused))
     {
-        // It provably never ran: a later start may set it up. Without this line that is only refused for longer.
+        // It provably never ran: a later start may set it up. Without this line that is only refused for
+        // longer.
         shell.0.paid_sessions.log_session((who.0, server, Duration::ZERO)).await.ok();
     }
     let Some(attempt_result) = attempt_result else { return };
@@ -137,7 +140,8 @@
             }
             if once {
                 let until = shell.trusted_date() + shell.0.paid_retained_for;
-                // Guards against a paid session set up again by a later start: what isn't on disk isn't sent.
+                // Guards against a paid session set up again by a later start: what isn't on disk isn't
+                // sent.
                 if let Err(error) = shell.0.paid_sessions.log_session((session, server, until)).await {
                     if let Some(left_out) = shell.allow_log_line("paid") {
                         tracing::error!(%error, left_out, "the record of paid sessions can't be written");
@@ -171,7 +175,8 @@
         });
         let answer = match connection.ask(build_request(Method::POST, server, "/viewings", &body)).await {
             Ok(answer) => answer,
-            // A connection that had been closed while it stood idle: nothing went out, so a fresh one is no second try.
+            // A connection that had been closed while it stood idle: nothing went out, so a fresh one is no
+            // second try.
             Err(RequestFailure::NotWritten) if again => continue,
             Err(RequestFailure::NotWritten) => {
                 claimed.iter_mut().for_each(|claimed| claimed.never_ran(no));
@@ -302,8 +307,8 @@
     }
 }
 
-/// Follows a server's notes while it is listed. When the connection breaks, what the server then says it plays is
-/// what is left; when none comes about again, nothing is.
+/// Follows a server's notes while it is listed. When the connection breaks, what the server then says it
+/// plays is what is left; when none comes about again, nothing is.
 pub async fn follow(shell: Shell, server: ServerId) {
     let ServerId(bytes) = server;
     let seed = bytes.iter().fold(shell.0.seed, |sum, b| sum.wrapping_mul(257).wrapping_add(u64::from(*b)));
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -1,5 +1,5 @@
-//! Follows the list of servers: the whole list first, then changes as they are pushed. When the connection breaks the
-//! last list stays, and the whole one is asked for anew.
+//! Follows the list of servers: the whole list first, then changes as they are pushed. When the connection
+//! breaks the last list stays, and the whole one is asked for anew.
 
 use crate::link::percent_encode;
 use crate::pool::Connection;
@@ -90,7 +90,8 @@
     let before = known_incarnations.get(&server).copied();
     let known = before.filter(|(number, _)| *number == incarnation).map(|(_, started_at)| started_at);
     let age = row["age_ms"].as_u64().map(Duration::from_millis);
-    // Guards against another start that is told without its age: it was since the last, so it counts as just now.
+    // Guards against another start that is told without its age: it was since the last, so it counts as
+    // just now.
     let started_at = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
     known_incarnations.insert(server, (incarnation, started_at));
     Some(ServerEntry {
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,5 +1,5 @@
-//! The log goes to standard error from a thread of its own. Guards against a reader that stops reading it: lines that find
-//! too many before them are left out and counted, and no viewing waits.
+//! The log goes to standard error from a thread of its own. Guards against a reader that stops reading it:
+//! lines that find too many before them are left out and counted, and no viewing waits.
 
 use std::io::IsTerminal;
 use std::rc::Rc;
@@ -9,8 +9,8 @@
 /// Lines that may wait to be written.
 const LINES: usize = 2048;
 
-/// Starts the log. What is still to be written goes out while the guard is dropped; the other tells how many lines were
-/// left out.
+/// Starts the log. What is still to be written goes out while the guard is dropped; the other tells how
+/// many lines were left out.
 pub fn start(filter: EnvFilter, json: bool) -> (WorkerGuard, Rc<dyn Fn() -> u64>) {
     let (lines, guard) =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).finish(std::io::stderr());
--- a/crates/daemon/src/paid.rs
+++ b/crates/daemon/src/paid.rs
@@ -1,5 +1,5 @@
-//! The record of paid sessions that survives a crash: each is on disk before a byte of its set-up goes out, so that no
-//! later start sets it up again, whatever token it comes with.
+//! The record of paid sessions that survives a crash: each is on disk before a byte of its set-up goes out,
+//! so that no later start sets it up again, whatever token it comes with.
 
 use ivyward::interface::ServerId;
 use ivyward_session::SessionId;
@@ -13,11 +13,12 @@
 
 use crate::setup;
 
-/// A paid session, the server that its last set-up went to, and until which date it must not be set up again.
+/// A paid session, the server that its last set-up went to, and until which date it must not be set up
+/// again.
 pub type PaidSession = (SessionId, ServerId, Duration);
 
-/// One line: the session's 32 digits, the server's address, the date in seconds, and a full stop, which a line that was
-/// half written lacks.
+/// One line: the session's 32 digits, the server's address, the date in seconds, and a full stop, which a
+/// line that was half written lacks.
 fn line((session, server, until): &PaidSession) -> String {
     format!("{:032x} {} {} .\n", session.0, setup::server_address(*server), until.as_secs())
 }
@@ -35,8 +36,9 @@
 pub struct PaidSessionLog(RefCell<Option<Arc<File>>>);
 
 impl PaidSessionLog {
-    /// Opens the record in `dir`, and reads what is still of use at `date`; the rest is left out of the file. Lines that
-    /// can't be read were never acted on: a set-up goes out only after its whole line is on disk.
+    /// Opens the record in `dir`, and reads what is still of use at `date`; the rest is left out of the
+    /// file. Lines that can't be read were never acted on: a set-up goes out only after its whole line is
+    /// on disk.
     ///
     /// # Errors
     /// The folder can't be read or written.
@@ -51,7 +53,8 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
             Err(e) => return Err(told(e)),
         };
-        // The last line of a session counts; one whose date is over, as that of what provably never ran, is left out.
+        // The last line of a session counts; one whose date is over, as that of what provably never ran, is
+        // left out.
         let rows: BTreeMap<_, _> = text.lines().filter_map(row).map(|row| (row.0, row)).collect();
         let rows: Vec<_> = rows.into_values().filter(|(.., until)| *until > date).collect();
         let odd = text.lines().filter(|line| row(line).is_none()).count();
@@ -69,7 +72,8 @@
     pub async fn log_session(&self, row: PaidSession) -> io::Result<()> {
         let Some(file) = self.0.borrow().clone() else { return Ok(()) };
         let text = line(&row);
-        // In one write at the end of the file, so that lines don't mix; the sync would hold up all viewings here.
+        // In one write at the end of the file, so that lines don't mix; the sync would hold up all viewings
+        // here.
         tokio::task::spawn_blocking(move || {
             (&*file).write_all(text.as_bytes()).and_then(|()| file.sync_data())
         })
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to servers. Nothing is ever sent again by itself: each request is written once, on one connection, and
-//! how many bytes of it went out is counted where they go out.
+//! Connections to servers. Nothing is ever sent again by itself: each request is written once, on one
+//! connection, and how many bytes of it went out is counted where they go out.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -1,4 +1,5 @@
-//! Players' reports at the daemon: taken on a session's token, bounded, and worked out beside the core, never in its way.
+//! Players' reports at the daemon: taken on a session's token, bounded, and worked out beside the core,
+//! never in its way.
 
 use crate::shell::Shell;
 use ivyward::interface::ServerId;
@@ -68,7 +69,8 @@
 #[derive(Clone)]
 pub struct Quality(Rc<QualityState>);
 
-/// The network that a player's address lies in: three bytes of an IPv4 address, three groups of an IPv6 one.
+/// The network that a player's address lies in: three bytes of an IPv4 address, three groups of an IPv6
+/// one.
 fn network_prefix(address: IpAddr) -> String {
     match address {
         IpAddr::V4(address) => {
@@ -115,8 +117,8 @@
         quality
     }
 
-    /// Reports of a session: lines of keys, or one JSON object. `server`: where it plays, and its cell. What became of the
-    /// worst of them.
+    /// Reports of a session: lines of keys, or one JSON object. `server`: where it plays, and its cell.
+    /// What became of the worst of them.
     pub fn record_reports(
         &self, now: Duration, token_claims: &TokenClaims, server: Option<(ServerId, u32)>, from: IpAddr,
         text: &str,
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -217,7 +217,8 @@
         let what = format!("is over the number of members, {}", members.len());
         faults.push(peers.fault("keepers", &what));
     }
-    // Guards against a keeper that forgets at each restart, and could never keep again while another is away.
+    // Guards against a keeper that forgets at each restart, and could never keep again while another is
+    // away.
     if manager.text("state_dir").is_empty() {
         faults.push(manager.fault("state_dir", "is missing: what is kept for other managers stands there"));
     }
@@ -246,7 +247,8 @@
         listen: peers.text("listen").parse().ok()?,
         others: peers.sections("member").iter().filter_map(address).collect(),
         word: peers.duration("word_s"),
-        // A token of it lives as long after the last that its viewing was given, and it is remembered as long after that.
+        // A token of it lives as long after the last that its viewing was given, and it is remembered as
+        // long after that.
         span: limits.duration("paid_for_s")
             + longest.unwrap_or_default()
             + settings.section("tokens").duration("life_s"),
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -1,4 +1,5 @@
-//! The one task that holds the core: its queue, its timers, and the effects that it has.
+//! The shell around the session core: one task owns the core and its timers and takes events from one
+//! queue. The core's effects become messages to viewers and video servers.
 
 use crate::paid::{self, PaidSessionLog};
 use crate::pool::Pool;
@@ -24,81 +25,109 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Idle connections are looked through so often.
+/// How often idle connections, server clocks and servers that are gone are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// A server whose date was not heard for so many sweeps is asked for it.
+/// A server that has sent no date for this many sweeps is asked for it.
 const STALE_SWEEP_COUNT: u32 = 2;
-/// An answer is in time so long after the patience.
-const ANSWER_SLACK_TIMEOUT: Duration = Duration::from_millis(40);
+/// How long after the viewer's patience an answer still counts as in time.
+const ANSWER_SLACK: Duration = Duration::from_millis(40);
 
-/// Notes that may wait for their turn at the core; further ones are left out.
-const MAX_QUEUED_EVENT_COUNT: usize = 4096;
+/// How many events may wait in the core's queue before notes are dropped.
+const MAX_QUEUED_NOTE_COUNT: usize = 4096;
 
-/// How many lines the log has left out.
-pub type SuppressedLineCounter = Rc<dyn Fn() -> u64>;
+/// Returns how many lines the log has dropped so far.
+pub type DroppedLineCounter = Rc<dyn Fn() -> u64>;
 
+/// The state that the tasks of one manager share.
 pub struct ShellState {
+    /// The manager's name, as its settings say.
     pub name: String,
+    /// Which start of this manager runs.
     pub incarnation: u64,
+    /// Where viewers connect.
     pub address: SocketAddr,
+    /// Idle connections to video servers.
     pub pool: Pool,
+    /// How long a connection to a server may take to open.
     pub connect_timeout: Duration,
+    /// How long a server keeps a viewing that its player no longer fetches.
     pub lease: Duration,
+    /// The length of one media segment.
     pub segment_length: Duration,
+    /// The titles of the settings.
     pub titles: Vec<setup::Title>,
+    /// The id and name of each package, and the rates of its rungs in kB per second.
     pub rates_by_package: Vec<(PackageId, String, Vec<f64>)>,
+    /// The seed of random pauses.
     pub seed: u64,
-    /// By package: whether it is paid at set-up; the record of paid sessions, and how long each stays in it.
+    /// Whether a viewing of each package is paid at set-up.
     pub paid_at_set_up: Vec<bool>,
+    /// The sessions that were paid, on disk.
     pub paid_sessions: PaidSessionLog,
+    /// How long a paid session stays in that log.
     pub paid_retained_for: Duration,
-    /// Other managers, and how long a viewer is told to stay away when too few of them are reached.
+    /// The other managers of the group, if there is one.
     pub peers: Option<Peers>,
+    /// When a viewer may come back after no majority of keepers could be reached.
     pub come_back_after: Option<Duration>,
+    /// Sheds new viewings when the core's queue grows.
     pub overload_gate: RefCell<OverloadGate>,
+    /// The time since the start, which never jumps.
     monotonic_clock: Clock,
+    /// The date by this machine's clock.
     local_date: Rc<dyn Fn() -> Duration>,
+    /// Compares this machine's clock with the servers' clocks.
     clock_consensus: RefCell<ClockConsensus>,
+    /// Limits the connections to each server.
     connection_limits: RefCell<ConnectionLimits>,
-    /// Those that wait for a place at a server.
+    /// The tasks that wait for a connection slot at a server.
     admission_waiters: RefCell<BTreeMap<WaiterId, oneshot::Sender<()>>>,
+    /// The queue of the core.
     events: EventSender<DaemonHost>,
-    /// Servers whose notes are followed.
+    /// The tasks that follow the servers' notes.
     note_streams: RefCell<BTreeMap<ServerId, AbortHandle>>,
-    /// The list as it last came, and those of it whose clocks have gone astray.
+    /// The server list as last received.
     server_entries: RefCell<BTreeMap<ServerId, ServerEntry>>,
+    /// The servers whose clocks are wrong.
     skewed_servers: RefCell<BTreeSet<ServerId>>,
-    /// When sessions that play began, so that all their manifests say the same; and when that was last asked.
+    /// When each session's playback began, so that all its manifests say the same, and when that was last
+    /// looked up.
     playback_starts: RefCell<BTreeMap<SessionId, (Duration, Duration)>>,
-    /// After so long it is forgotten.
+    /// How long the start of playback is kept after the last look-up.
     playback_start_retained_for: Duration,
+    /// The id that the last request got.
     last_request_id: Cell<u64>,
-    /// The notes that found the queue too long.
+    /// How many notes were dropped because the queue was too long.
     dropped_event_count: Cell<u64>,
+    /// How many requests got each answer.
     tally: RefCell<Tally>,
+    /// Limits the rate of log lines that outside parties can cause.
     log_limiter: RefCell<LogRateLimiter>,
-    /// Lines that the log left out by itself.
-    dropped_log_lines: SuppressedLineCounter,
+    /// How many lines the log dropped because nobody read it fast enough.
+    dropped_log_lines: DroppedLineCounter,
 }
 
-/// A manager's shell.
+/// A handle to a running manager; clones share its state.
 #[derive(Clone)]
 pub struct Shell(pub Rc<ShellState>);
 
 impl Shell {
+    /// Starts the core and the tasks around it.
+    ///
     /// # Errors
-    /// The settings don't fit together.
+    /// Settings that contradict each other.
     pub fn start(
         settings: &Section, policy: Box<dyn Policy>,
-        (incarnation, (paid, spent)): (u64, (PaidSessionLog, Vec<paid::PaidSession>)), peers: Option<Peers>,
-        address: SocketAddr, outside: (Rc<dyn Fn() -> Duration>, SuppressedLineCounter),
+        (incarnation, (paid_log, paid_sessions)): (u64, (PaidSessionLog, Vec<paid::PaidSession>)),
+        peers: Option<Peers>, address: SocketAddr,
+        environment: (Rc<dyn Fn() -> Duration>, DroppedLineCounter),
     ) -> Result<Shell, String> {
         let (manager, limits) = (settings.section("manager"), settings.section("limits"));
         let manifest = settings.section("manifest");
-        let (clock, dropped) = outside;
-        let spans = Clock::start();
-        let (events, event_loop) = channel(spans);
-        let inner = ShellState {
+        let (local_date, dropped_log_lines) = environment;
+        let monotonic_clock = Clock::start();
+        let (events, event_loop) = channel(monotonic_clock);
+        let shell_state = ShellState {
             name: manager.text("name"),
             incarnation,
             address,
@@ -109,41 +138,42 @@
             titles: setup::titles(settings),
             rates_by_package: setup::package_rates(settings),
             seed: manager.integer("seed"),
-            paid_at_set_up: setup::terms(settings).iter().map(|(_, once)| *once).collect(),
-            paid_sessions: paid,
+            paid_at_set_up: setup::terms(settings).iter().map(|(_, paid_once)| *paid_once).collect(),
+            paid_sessions: paid_log,
             paid_retained_for: limits.duration("paid_for_s"),
             peers,
             come_back_after: limits.has("come_back_s").then(|| limits.duration("come_back_s")),
             overload_gate: RefCell::new(OverloadGate::new(setup::patience_bounds(settings).0)),
-            local_date: clock,
+            local_date,
             clock_consensus: RefCell::new(ClockConsensus::new(settings.section("tokens").duration("skew_s"))),
             connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
             admission_waiters: RefCell::default(),
-            monotonic_clock: spans,
+            monotonic_clock: monotonic_clock,
             events,
             note_streams: RefCell::default(),
             server_entries: RefCell::default(),
             skewed_servers: RefCell::default(),
             playback_starts: RefCell::default(),
             playback_start_retained_for: {
-                let longest = settings.sections("title").iter().map(|title| title.duration("length_s")).max();
-                longest.unwrap_or_default().max(settings.section("tokens").duration("life_s")) * 2
+                let longest_title =
+                    settings.sections("title").iter().map(|title| title.duration("length_s")).max();
+                longest_title.unwrap_or_default().max(settings.section("tokens").duration("life_s")) * 2
             },
             last_request_id: Cell::new(0),
             dropped_event_count: Cell::new(0),
             tally: RefCell::default(),
             log_limiter: RefCell::default(),
-            dropped_log_lines: dropped,
+            dropped_log_lines,
         };
-        let shell = Shell(Rc::new(inner));
-        // A player asks again after each refresh, late by the time of a segment at most.
-        let idle = (manifest.duration("refresh_s") + shell.0.segment_length) * 2 + shell.0.lease / 2;
-        let spans = (ANSWER_SLACK_TIMEOUT, Some(idle), Some(limits.duration("paid_for_s")));
+        let shell = Shell(Rc::new(shell_state));
+        // A player requests its manifest after each refresh interval, at most one segment late.
+        let idle_timeout = (manifest.duration("refresh_s") + shell.0.segment_length) * 2 + shell.0.lease / 2;
+        let timeouts = (ANSWER_SLACK, Some(idle_timeout), Some(limits.duration("paid_for_s")));
         let mut core = SessionCore::new(
             policy,
             setup::rule_guard(settings),
             setup::terms(settings),
-            spans,
+            timeouts,
             setup::ration(settings),
             Incarnation(incarnation),
         );
@@ -155,67 +185,71 @@
         };
         core.start(&mut host, shell.now());
         let date = shell.trusted_date();
-        for (session, server, until) in spent {
+        for (session, server, until) in paid_sessions {
             core.restore_paid_session(session, server, shell.now() + until.saturating_sub(date));
         }
-        let known = setup::configured_servers(settings);
-        if !known.is_empty() {
-            let extent = if settings.has("list_address") { ListScope::Restored } else { ListScope::Full };
-            let known = shell.apply_server_list(&known, extent);
-            core.on_server_list(shell.now(), &known, extent);
+        let initial_servers = setup::configured_servers(settings);
+        if !initial_servers.is_empty() {
+            let scope = if settings.has("list_address") { ListScope::Restored } else { ListScope::Full };
+            let initial_servers = shell.apply_server_list(&initial_servers, scope);
+            core.on_server_list(shell.now(), &initial_servers, scope);
         }
         if let Ok(list) = settings.text("list_address").parse() {
             spawn_local(list::follow(shell.clone(), list));
         }
-        let clock = shell.clone();
+        let sweeper = shell.clone();
         spawn_local(async move {
             loop {
                 sleep(SWEEP_INTERVAL).await;
-                clock.sweep();
+                sweeper.sweep();
             }
         });
-        let turned = shell.clone();
+        let gate_shell = shell.clone();
         spawn_local(async move {
             event_loop
-                .run(&mut core, &mut host, |now, waited| {
-                    turned.0.overload_gate.borrow_mut().record_queue_delay(now, waited)
+                .run(&mut core, &mut host, |turn_at, queue_delay| {
+                    gate_shell.0.overload_gate.borrow_mut().record_queue_delay(turn_at, queue_delay)
                 })
                 .await;
         });
         Ok(shell)
     }
 
+    /// The time since the start.
     pub fn now(&self) -> Duration {
         self.0.monotonic_clock.now()
     }
 
-    /// Puts something that happened into the queue.
+    /// Puts an event into the core's queue.
     pub fn enqueue(&self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static) {
         self.0.events.send(event);
     }
 
-    /// The same for what may be left out. Guards against servers that send notes faster than they are handled.
+    /// Puts an event into the queue unless the queue is too long. Guards against servers that send notes
+    /// faster than the core handles them.
     pub fn enqueue_droppable(
         &self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static,
     ) {
-        if self.0.events.waiting() < MAX_QUEUED_EVENT_COUNT {
+        if self.0.events.waiting() < MAX_QUEUED_NOTE_COUNT {
             return self.enqueue(event);
         }
         self.0.dropped_event_count.set(self.0.dropped_event_count.get().saturating_add(1));
     }
 
-    /// A request was answered.
-    pub fn count_answer(&self, told: AnswerLabel) {
+    /// Counts an answer to a request.
+    pub fn count_answer(&self, label: AnswerLabel) {
         let date = self.trusted_date();
-        self.0.tally.borrow_mut().increment(date, told);
+        self.0.tally.borrow_mut().increment(date, label);
     }
 
-    /// Whether a line of a kind that may come in floods is written; then how many were left out before it.
+    /// Asks whether a rate-limited log line of this kind may be written. If so, returns how many lines of
+    /// the kind were left out since the last one.
     pub fn allow_log_line(&self, kind: &'static str) -> Option<u64> {
         self.0.log_limiter.borrow_mut().check(self.now(), kind)
     }
 
-    /// What was left out: lines of floods, lines of a log that nobody reads, notes.
+    /// How many log lines the rate limit left out, how many lines the log dropped, and how many notes were
+    /// dropped.
     fn drop_counts(&self) -> (u64, u64, u64) {
         (
             self.0.log_limiter.borrow().suppressed(),
@@ -224,51 +258,54 @@
         )
     }
 
-    /// What requests were answered and why, what was left out, and what is held by server.
+    /// The console's `/counts` page: the answers and their causes, what was left out, and what is held per
+    /// server.
     pub fn counts_page(&self) -> Value {
-        let (floods, dropped, notes) = self.drop_counts();
-        let (places, tickets) = self.0.connection_limits.borrow().count();
+        let (suppressed_lines, dropped_lines, dropped_notes) = self.drop_counts();
+        let (slots, waiters) = self.0.connection_limits.borrow().count();
         json!({
             "answers": self.0.tally.borrow().to_json(),
-            "left_out": {"lines_of_floods": floods, "lines_of_the_log": dropped, "notes": notes},
+            "left_out": {
+                "lines_of_floods": suppressed_lines, "lines_of_the_log": dropped_lines, "notes": dropped_notes,
+            },
             "held": {
                 "servers": self.0.server_entries.borrow().len(), "links": self.0.note_streams.borrow().len(),
                 "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.idle_count(),
-                "places": places + tickets, "queue": self.0.events.waiting(),
+                "places": slots + waiters, "queue": self.0.events.waiting(),
             },
         })
     }
 
-    /// The date to go by: our own clock's, unless most servers say otherwise.
+    /// The date by this machine's clock, corrected if most servers' clocks disagree with it.
     pub fn trusted_date(&self) -> Duration {
         let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)());
         if !believed {
-            tracing::debug!("our own clock is not believed");
+            tracing::debug!("this machine's clock disagrees with most servers; using the servers' date");
         }
         date
     }
 
-    /// When a session's manifests say that it began, in whole seconds: what was said before, here or by an earlier start
-    /// of ours (`told`), or this moment.
-    pub fn playback_start(&self, session: SessionId, told: Option<Duration>) -> Duration {
-        let (mut began, now, date) = (self.0.playback_starts.borrow_mut(), self.now(), self.trusted_date());
-        if began.len().is_multiple_of(256) {
-            began.retain(|_, (_, last)| now < *last + self.0.playback_start_retained_for);
+    /// When a session's playback began, in whole seconds, as its manifests say. This is the value given
+    /// before, by this start of the manager or by an earlier one (`reported`), otherwise the present date.
+    pub fn playback_start(&self, session: SessionId, reported: Option<Duration>) -> Duration {
+        let (mut starts, now, date) = (self.0.playback_starts.borrow_mut(), self.now(), self.trusted_date());
+        if starts.len().is_multiple_of(256) {
+            starts.retain(|_, (_, last)| now < *last + self.0.playback_start_retained_for);
         }
-        let first = told.unwrap_or(Duration::from_secs(date.as_secs()));
-        let entry = began.entry(session).or_insert((first, now));
+        let start_date = reported.unwrap_or(Duration::from_secs(date.as_secs()));
+        let entry = starts.entry(session).or_insert((start_date, now));
         entry.1 = now;
         entry.0
     }
 
-    /// A server answered with its date.
+    /// Records the date that a server's response carried.
     pub fn record_server_date(&self, server: ServerId, date: Duration) {
         self.0.clock_consensus.borrow_mut().record(self.now(), server, date);
         self.update_clock_skew(server);
     }
 
-    /// Guards against a server whose clock jumps: its players' tokens are not taken there, so it gets nothing new, and
-    /// what plays there is over.
+    /// Checks a server's clock, and tells the core if it became wrong or right. A server with a wrong clock
+    /// rejects its players' tokens: it gets no new viewings, and those that play there have ended.
     fn update_clock_skew(&self, server: ServerId) {
         let off = self.0.clock_consensus.borrow().is_skewed(server);
         let changed = if off {
@@ -276,36 +313,47 @@
         } else {
             self.0.skewed_servers.borrow_mut().remove(&server)
         };
-        let row = self.0.server_entries.borrow().get(&server).copied();
-        let Some(row) = row.filter(|_| changed) else { return };
-        tracing::warn!(server = %setup::server_address(server), off, "a server's clock");
-        let row = self.effective_entry(row);
+        let server_entry = self.0.server_entries.borrow().get(&server).copied();
+        let Some(server_entry) = server_entry.filter(|_| changed) else { return };
+        tracing::warn!(server = %setup::server_address(server), off, "a server's clock became wrong or right again");
+        let server_entry = self.effective_entry(server_entry);
         self.enqueue(move |core, host, now| {
-            core.on_server_list(now, &[row], ListScope::Changes);
+            core.on_server_list(now, &[server_entry], ListScope::Changes);
             if off {
                 core.on_clock_skew(host, now, server);
             }
         });
     }
 
-    /// A row of the list as the core is told it.
-    fn effective_entry(&self, mut row: ServerEntry) -> ServerEntry {
-        if row.state == ServerState::Ready && self.0.skewed_servers.borrow().contains(&row.server) {
-            row.state = ServerState::Draining;
+    /// The entry of a server as the core gets it: a ready server with a wrong clock counts as draining.
+    fn effective_entry(&self, mut server_entry: ServerEntry) -> ServerEntry {
+        if server_entry.state == ServerState::Ready
+            && self.0.skewed_servers.borrow().contains(&server_entry.server)
+        {
+            server_entry.state = ServerState::Draining;
         }
-        row
+        server_entry
     }
 
+    /// Logs the counts, closes idle connections, forgets servers that are gone, and checks all clocks.
     fn sweep(&self) {
         self.0.pool.close_expired();
         if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
             let (floods, log, notes) = self.drop_counts();
-            tracing::info!(answers, floods, log, notes, "answered; left out so far");
+            tracing::info!(
+                answers,
+                floods,
+                log,
+                notes,
+                "requests answered since the last line; log lines and notes left out so far"
+            );
         }
         let (now, (_, believed)) =
             (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)()));
         if !believed {
-            tracing::error!("our clock lies far from the servers' clocks: theirs is gone by");
+            tracing::error!(
+                "this machine's clock is far from the servers' clocks; using the servers' date: check the time service"
+            );
         }
         self.forget_gone_servers();
         let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP_INTERVAL * STALE_SWEEP_COUNT);
@@ -316,145 +364,157 @@
         all.into_iter().for_each(|server| self.update_clock_skew(server));
     }
 
-    /// Guards against a fleet whose machines come back under new addresses: of those that are gone and can't be reached
-    /// nothing is held.
+    /// Drops the state of servers that are gone and can't be reached. Guards against growth without limit
+    /// in a fleet whose machines come back under new addresses.
     fn forget_gone_servers(&self) {
-        let ended =
+        let follower_ended =
             |server: &ServerId| self.0.note_streams.borrow().get(server).is_none_or(AbortHandle::is_finished);
-        let all = self.0.server_entries.borrow().keys().copied().collect::<Vec<_>>();
-        for server in all.into_iter().filter(|server| self.is_gone(*server) && ended(server)) {
+        let known_servers = self.0.server_entries.borrow().keys().copied().collect::<Vec<_>>();
+        for server in
+            known_servers.into_iter().filter(|server| self.is_gone(*server) && follower_ended(server))
+        {
             self.0.server_entries.borrow_mut().remove(&server);
             self.0.note_streams.borrow_mut().remove(&server);
         }
-        let rows = self.0.server_entries.borrow();
-        self.0.skewed_servers.borrow_mut().retain(|server| rows.contains_key(server));
-        self.0.clock_consensus.borrow_mut().retain(|server| rows.contains_key(&server));
-        self.0.connection_limits.borrow_mut().retain(|server| rows.contains_key(&server));
+        let entries = self.0.server_entries.borrow();
+        self.0.skewed_servers.borrow_mut().retain(|server| entries.contains_key(server));
+        self.0.clock_consensus.borrow_mut().retain(|server| entries.contains_key(&server));
+        self.0.connection_limits.borrow_mut().retain(|server| entries.contains_key(&server));
     }
 
-    /// A place for a connection to a server, of use until `until`; none where it would come too late.
+    /// Waits for a slot for a connection to a server; `None` if none is free before the deadline `until`.
     pub async fn connection_slot(
         &self, server: ServerId, purpose: Purpose, until: Duration,
     ) -> Option<ConnectionSlot> {
-        let (waiter_id, turn) =
+        let (waiter_id, admission) =
             self.0.connection_limits.borrow_mut().acquire_slot(self.now(), server, purpose, until);
-        let mut place = ConnectionSlot {
+        let mut slot = ConnectionSlot {
             shell: self.clone(),
             server,
             purpose,
             waiter_id,
             acquired_at: None,
-            waits_or_holds: true,
+            is_registered: true,
         };
-        match turn {
+        match admission {
             Admission::Rejected => {
-                place.waits_or_holds = false;
+                slot.is_registered = false;
                 return None;
             }
             Admission::Granted => {}
             Admission::Queued => {
-                let (tell, told) = oneshot::channel();
-                self.0.admission_waiters.borrow_mut().insert(waiter_id, tell);
-                timeout(until.saturating_sub(self.now()), told).await.ok()?.ok()?;
+                let (grant_sender, granted) = oneshot::channel();
+                self.0.admission_waiters.borrow_mut().insert(waiter_id, grant_sender);
+                timeout(until.saturating_sub(self.now()), granted).await.ok()?.ok()?;
             }
         }
-        place.acquired_at = Some(self.now());
-        Some(place)
+        slot.acquired_at = Some(self.now());
+        Some(slot)
     }
 
-    /// A place given back passes to the next that still waits for it.
-    fn return_slot(&self, server: ServerId, purpose: Purpose, took: Duration) {
+    /// Returns a slot, which passes to the next task that still waits for one.
+    fn return_slot(&self, server: ServerId, purpose: Purpose, held_for: Duration) {
         loop {
-            let next = self.0.connection_limits.borrow_mut().release_slot(self.now(), server, purpose, took);
-            let Some(waiter_id) = next else { return };
-            let told = self.0.admission_waiters.borrow_mut().remove(&waiter_id);
-            if told.is_some_and(|told| told.send(()).is_ok()) {
+            let next_waiter =
+                self.0.connection_limits.borrow_mut().release_slot(self.now(), server, purpose, held_for);
+            let Some(waiter_id) = next_waiter else { return };
+            let waiter_sender = self.0.admission_waiters.borrow_mut().remove(&waiter_id);
+            if waiter_sender.is_some_and(|waiter_sender| waiter_sender.send(()).is_ok()) {
                 return;
             }
         }
     }
 
+    /// Makes the id of a new request.
     pub fn next_request_id(&self) -> RequestId {
         self.0.last_request_id.set(self.0.last_request_id.get() + 1);
         RequestId(self.0.last_request_id.get())
     }
 
-    /// Notes of servers are followed from when they are listed until they are gone and can't be reached. The rows as
-    /// the core is to be told them.
-    pub fn apply_server_list(&self, list: &[ServerEntry], extent: ListScope) -> Vec<ServerEntry> {
-        if extent != ListScope::Changes {
-            // Guards against one that a whole list leaves out: it is gone here as in the core, or its clock, once right
-            // again, would have it told of as ready.
-            let named: BTreeSet<_> = list.iter().map(|listed| listed.server).collect();
-            let mut rows = self.0.server_entries.borrow_mut();
-            let unnamed = rows.values_mut().filter(|row| !named.contains(&row.server));
-            unnamed.for_each(|row| row.state = ServerState::Gone);
+    /// Takes over a server list and returns its entries as the core gets them. The notes of a server are
+    /// followed from when it is listed until it is gone and can't be reached.
+    pub fn apply_server_list(&self, list: &[ServerEntry], scope: ListScope) -> Vec<ServerEntry> {
+        if scope != ListScope::Changes {
+            // A server that a full list leaves out is gone, here as in the core. Otherwise it would be
+            // reported to the core as ready once its clock is right again.
+            let named_servers: BTreeSet<_> = list.iter().map(|listed_entry| listed_entry.server).collect();
+            let mut entries = self.0.server_entries.borrow_mut();
+            let unlisted_entries =
+                entries.values_mut().filter(|known_entry| !named_servers.contains(&known_entry.server));
+            unlisted_entries.for_each(|known_entry| known_entry.state = ServerState::Gone);
         }
-        for listed in list {
-            self.0.server_entries.borrow_mut().insert(listed.server, *listed);
-            let gone = listed.state == ServerState::Gone;
-            let mut links = self.0.note_streams.borrow_mut();
-            if !gone && links.get(&listed.server).is_none_or(AbortHandle::is_finished) {
-                let link = spawn_local(link::follow(self.clone(), listed.server));
-                links.insert(listed.server, link.abort_handle());
+        for listed_entry in list {
+            self.0.server_entries.borrow_mut().insert(listed_entry.server, *listed_entry);
+            let is_gone = listed_entry.state == ServerState::Gone;
+            let mut note_streams = self.0.note_streams.borrow_mut();
+            if !is_gone && note_streams.get(&listed_entry.server).is_none_or(AbortHandle::is_finished) {
+                let follower = spawn_local(link::follow(self.clone(), listed_entry.server));
+                note_streams.insert(listed_entry.server, follower.abort_handle());
             }
         }
-        list.iter().map(|row| self.effective_entry(*row)).collect()
+        list.iter().map(|server_entry| self.effective_entry(*server_entry)).collect()
     }
 
-    /// Whether a server is listed, be it as gone.
+    /// Whether a server is known, even if it is listed as gone.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.0.server_entries.borrow().contains_key(&server)
     }
 
-    /// The cell that a server was listed at.
+    /// The cell at which a server is listed.
     pub fn server_cell(&self, server: ServerId) -> Option<u32> {
         self.0.server_entries.borrow().get(&server).map(|row| row.cell)
     }
 
+    /// Whether a server is listed as gone or not listed at all.
     pub fn is_gone(&self, server: ServerId) -> bool {
         self.0.server_entries.borrow().get(&server).is_none_or(|row| row.state == ServerState::Gone)
     }
 
-    /// Takes nothing new and answers all that wait.
+    /// Stops the core, which answers all pending requests, and waits until answers and releases have left.
     ///
     /// # Errors
-    /// Some viewing was left without an answer.
+    /// Some viewings were left without an answer.
     pub async fn shut_down(&self, within: Duration) -> Result<Ended, String> {
-        let until = Instant::now() + within;
-        let (places, tickets) = self.0.connection_limits.borrow().count();
-        let mut ended =
-            Ended { places: places + tickets, connections: self.0.pool.idle_count(), ..Default::default() };
-        let (tell, told) = oneshot::channel();
+        let deadline = Instant::now() + within;
+        let (slots, waiters) = self.0.connection_limits.borrow().count();
+        let mut summary =
+            Ended { places: slots + waiters, connections: self.0.pool.idle_count(), ..Default::default() };
+        let (summary_sender, summary_receiver) = oneshot::channel();
         self.enqueue(move |core, host, now| {
-            (ended.viewings, ended.timers) = (core.viewing_count(), host.timers.count());
-            (ended.orphans, ended.taken_over) = core.inventory_counts();
+            (summary.viewings, summary.timers) = (core.viewing_count(), host.timers.count());
+            (summary.orphans, summary.taken_over) = core.inventory_counts();
             core.stop(host, now);
-            ended.breaches = core.violations().values().sum();
-            let _ = tell.send((ended, core.pending_count(), core.violations().clone()));
+            summary.breaches = core.violations().values().sum();
+            let _ = summary_sender.send((summary, core.pending_count(), core.violations().clone()));
         });
-        let (ended, waiting, breaches) = told.await.map_err(|_| "the core is gone".to_string())?;
-        // Answers and releases still have to leave.
-        sleep((within / 10).min(until.saturating_duration_since(Instant::now()))).await;
+        let (summary, unanswered_count, violation_counts) = summary_receiver
+            .await
+            .map_err(|_| "the session core ended before the shutdown finished".to_string())?;
+        // Answers and releases are still on their way out.
+        sleep((within / 10).min(deadline.saturating_duration_since(Instant::now()))).await;
         if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
-            tracing::info!(answers, "answered");
+            tracing::info!(answers, "requests answered since the last line");
         }
-        tracing::info!(waiting, ?breaches, ?ended, left_out = ?self.drop_counts(), "ended");
-        match waiting {
-            0 => Ok(ended),
-            _ => Err(format!("{waiting} viewings are left without an answer")),
+        tracing::info!(waiting = unanswered_count, breaches = ?violation_counts, ended = ?summary, left_out = ?self.drop_counts(), "the manager ended");
+        match unanswered_count {
+            0 => Ok(summary),
+            _ => {
+                Err(format!("{unanswered_count} viewings were left without an answer when the manager ended"))
+            }
         }
     }
 }
 
-/// A place for one connection to a server, given back when it is dropped.
+/// A slot for one connection to a server, returned when it is dropped.
 pub struct ConnectionSlot {
     shell: Shell,
     server: ServerId,
     purpose: Purpose,
     waiter_id: WaiterId,
+    /// `None` while it waits in the queue.
     acquired_at: Option<Duration>,
-    waits_or_holds: bool,
+    /// Whether the connection limits know of it; not so if they rejected it.
+    is_registered: bool,
 }
 
 impl Drop for ConnectionSlot {
@@ -462,10 +522,10 @@
         let (shell, server, purpose) = (&self.shell, self.server, self.purpose);
         match self.acquired_at {
             Some(since) => shell.return_slot(server, purpose, shell.now().saturating_sub(since)),
-            None if !self.waits_or_holds => {}
+            None if !self.is_registered => {}
             None => {
                 shell.0.connection_limits.borrow_mut().cancel(server, purpose, self.waiter_id);
-                // Guards against a place that was passed on in the moment in which its taker gave up.
+                // Guards against losing a slot that was granted in the moment in which its waiter gave up.
                 if shell.0.admission_waiters.borrow_mut().remove(&self.waiter_id).is_none() {
                     shell.return_slot(server, purpose, Duration::ZERO);
                 }
@@ -474,26 +534,28 @@
     }
 }
 
-/// The effects of the core.
+/// Carries out the effects of the core.
 pub struct DaemonHost {
     shell: Shell,
     timers: Timers,
+    /// Where the answers of pending requests go.
     answers: BTreeMap<RequestId, oneshot::Sender<Answer>>,
+    /// The set-ups under way.
     set_up_tasks: BTreeMap<(ViewingId, TuneIn), AbortHandle>,
 }
 
 impl DaemonHost {
-    /// Where the answer of a request goes.
+    /// Registers where the answer of a request goes.
     pub fn expect_answer(&mut self, request: RequestId, answer: oneshot::Sender<Answer>) {
         self.answers.insert(request, answer);
     }
 
-    /// Nobody waits for it any more.
+    /// Discards the answer of a request that nobody waits for any more.
     pub fn forget_request(&mut self, request: RequestId) {
         self.answers.remove(&request);
     }
 
-    /// A set-up has come to its end.
+    /// Forgets the task of a set-up that has ended.
     pub fn set_up_finished(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
         self.set_up_tasks.remove(&(viewing_id, tune_in));
     }
@@ -507,8 +569,8 @@
 
 impl Effects for DaemonHost {
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        if let Some(waiting) = self.answers.remove(&request) {
-            waiting.send(answer).ok();
+        if let Some(sender) = self.answers.remove(&request) {
+            sender.send(answer).ok();
         }
     }
 
@@ -522,7 +584,7 @@
     }
 
     fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
-        // The connection goes with the task.
+        // Aborting the task also closes its connection.
         if let Some(task) = self.set_up_tasks.remove(&(viewing_id, tune_in)) {
             task.abort();
         }
@@ -557,7 +619,7 @@
 
     fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
         if let Some(left_out) = self.shell.allow_log_line("a rule") {
-            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule was violated");
         }
     }
 }
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -1,5 +1,6 @@
-//! What requests were answered, why, and from when to when: one count at the door where the answers go out, so that the
-//! sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer up.
+//! What requests were answered, why, and from when to when: one count at the door where the answers go out,
+//! so that the sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer
+//! up.
 
 use ivyward::interface::RefusalReason;
 use ivyward_session::FailureCause;
@@ -7,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How a request was answered, and why. Both are names in the text of the program: what clients send makes no new ones.
+/// How a request was answered, and why. Both are names in the text of the program: what clients send makes
+/// no new ones.
 pub type AnswerLabel = (&'static str, &'static str);
 
 /// The name of a cause.
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -1,4 +1,5 @@
-//! Where viewers come in: one manifest request is one viewing request, and its HTTP answer is the viewing's answer.
+//! Where viewers come in: one manifest request is one viewing request, and its HTTP answer is the viewing's
+//! answer.
 
 use crate::quality::Quality;
 use crate::setup;
