--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -1,5 +1,5 @@
-//! What `ivyward run` starts without a settings file: one manager, and a fleet of stand-in servers in a
-//! thread of its own.
+//! The embedded set-up that `ivyward run` starts without a settings file: one manager, and stand-in video
+//! servers on a thread of their own.
 
 use crate::setup;
 use ivyward_dash::token::TokenClaims;
@@ -12,75 +12,90 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
+/// The settings of the manager, without the address of the server list.
 const SETTINGS: &str = include_str!("default.txtpb");
+/// The stand-in servers, as a `Fleet` message.
 const FLEET: &str = "servers: 12 link_kb: 4300 uplink_kb: 21000 places: 34 list_late_s: 0.2";
 
-/// The embedded settings, which follow the list at `list`.
+/// The embedded settings, with the server list at address `list`.
 ///
 /// # Errors
-/// The faults of the embedded text, which its tests keep free of any.
-pub fn settings(list: SocketAddr) -> Result<Section, String> {
-    let text = format!("{SETTINGS}list_address: \"{list}\"\n");
+/// Faults in the embedded text; the tests make sure that there are none.
+pub fn settings(list_address: SocketAddr) -> Result<Section, String> {
+    let text = format!("{SETTINGS}list_address: \"{list_address}\"\n");
     crate::read(&text).map_err(|faults| format!("embedded settings: {faults:?}"))
 }
 
-/// Starts the stand-ins; their list's address.
+/// Starts the stand-in servers and returns the address of their server list.
 ///
 /// # Errors
 /// They could not be started.
 pub fn fleet() -> Result<SocketAddr, String> {
-    let (tell, told) = mpsc::channel();
+    let (address_sender, address_receiver) = mpsc::channel();
     thread::spawn(move || {
-        let opened = || {
+        let build_runtime = || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             Ok::<_, String>((runtime.map_err(|e| e.to_string())?, LocalSet::new()))
         };
-        let (runtime, local) = match opened() {
-            Ok(opened) => opened,
-            Err(error) => return drop(tell.send(Err(error))),
+        let (runtime, local) = match build_runtime() {
+            Ok(runtime_and_tasks) => runtime_and_tasks,
+            Err(error) => return drop(address_sender.send(Err(error))),
         };
         local.block_on(&runtime, async move {
-            let opened = open_standins();
-            let running = opened.as_ref().ok().cloned();
-            tell.send(opened.map(|standins| standins.list_address())).ok();
-            if running.is_some() {
+            let open_result = open_standins();
+            let running_standins = open_result.as_ref().ok().cloned();
+            address_sender.send(open_result.map(|standins| standins.list_address())).ok();
+            if running_standins.is_some() {
                 std::future::pending::<()>().await;
             }
         });
     });
-    told.recv().map_err(|_| "the stand-ins did not start".to_string())?
+    address_receiver
+        .recv()
+        .map_err(|_| "the thread of the stand-in servers ended before they started".to_string())?
 }
 
+/// Opens the stand-in servers on the current thread.
 fn open_standins() -> Result<Standins, String> {
-    let parts = |text, kind| ivyward_settings::read(kind, text).map_err(|faults| format!("{faults:?}"));
-    let (settings, fleet) = (parts(SETTINGS, "Settings")?, parts(FLEET, "Fleet")?);
+    let read_section =
+        |text, kind| ivyward_settings::read(kind, text).map_err(|faults| format!("{faults:?}"));
+    let (settings, fleet) = (read_section(SETTINGS, "Settings")?, read_section(FLEET, "Fleet")?);
     let tokens = settings.section("tokens");
     let keys = setup::keys(&tokens).map_err(|faults| format!("{faults:?}"))?;
-    let model = ivyward_standin::fleet(1, &fleet, &settings);
+    let fleet_model = ivyward_standin::fleet(1, &fleet, &settings);
     let cells = settings.section("network").count("places");
-    let rates = (fleet.number("vary"), fleet.duration("list_late_s"));
-    Standins::open(1, model, cells, (keys, tokens.duration("skew_s")), rates, Instant::now())
-        .map_err(|e| e.to_string())
+    let variation_and_delay = (fleet.number("vary"), fleet.duration("list_late_s"));
+    Standins::open(
+        1,
+        fleet_model,
+        cells,
+        (keys, tokens.duration("skew_s")),
+        variation_and_delay,
+        Instant::now(),
+    )
+    .map_err(|e| e.to_string())
 }
 
-/// A token for trying, with a session of its own.
+/// Mints a test token with a new session.
 ///
 /// # Errors
-/// No such title or package, or no key signs.
+/// The settings have no such title or package, or no key can sign.
 pub fn token(
-    settings: &Section, title: &str, package: &str, top: usize, life: Duration,
+    settings: &Section, title: &str, package: &str, top: usize, lifetime: Duration,
 ) -> Result<String, String> {
-    let has = |list: &str, name: &str| settings.sections(list).iter().any(|part| part.text("name") == name);
-    for (list, name) in [("title", title), ("package", package)] {
-        if !has(list, name) {
-            return Err(format!("no {list} {name:?} in the settings"));
+    let is_configured = |list_name: &str, name: &str| {
+        settings.sections(list_name).iter().any(|part| part.text("name") == name)
+    };
+    for (list_name, name) in [("title", title), ("package", package)] {
+        if !is_configured(list_name, name) {
+            return Err(format!("the settings have no {list_name} named {name:?}"));
         }
     }
     let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
-    let now = crate::date();
-    // A session of its own each time: the date in nanoseconds over the process.
-    let session = now.as_nanos() << 32 | u128::from(std::process::id());
+    let unix_date = crate::date();
+    // A unique session: the date in nanoseconds, then 32 bits for the process id.
+    let session = unix_date.as_nanos() << 32 | u128::from(std::process::id());
     let (title, package) = (title.to_string(), package.to_string());
     let token_claims = TokenClaims { session, title, package, top, tenant: String::new(), granted: None };
-    keys.mint(&token_claims, now, life)
+    keys.mint(&token_claims, unix_date, lifetime)
 }
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -1,36 +1,41 @@
-//! The number of a manager's start. Servers turn away what an earlier start sent, so each is above the
-//! last.
+//! The incarnation of a manager: a number that grows with each start. Servers reject messages of earlier
+//! incarnations.
 
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::Path;
 use std::time::Duration;
 
-/// The number of this start: the date in milliseconds, but above the last one kept in `dir`. Without a
-/// folder nothing is kept: then a clock set back makes servers turn set-ups away until it has caught up.
+/// Returns the incarnation of this start: the date in milliseconds, but above the last one stored in `dir`.
+///
+/// Without a state folder nothing is stored. If the clock is then set back, servers reject set-ups until
+/// the clock has caught up.
 ///
 /// # Errors
-/// The folder can't be read or written, or holds something else.
+/// The folder can't be read or written, or its file holds something other than a number.
 pub fn next(dir: &str, date: Duration) -> Result<u64, String> {
-    let now = u64::try_from(date.as_millis()).unwrap_or_default();
+    let date_ms = u64::try_from(date.as_millis()).unwrap_or_default();
     if dir.is_empty() {
-        return Ok(now);
+        return Ok(date_ms);
     }
     let (dir, file) = (Path::new(dir), Path::new(dir).join("birth"));
-    let told = |e: std::io::Error| format!("{}: {e}", file.display());
-    fs::create_dir_all(dir).map_err(told)?;
-    let last = match fs::read_to_string(&file) {
-        Ok(text) => {
-            text.trim().parse().map_err(|_| format!("{}: {:?} is no number", file.display(), text.trim()))?
-        }
+    let with_path = |e: std::io::Error| format!("{}: {e}", file.display());
+    fs::create_dir_all(dir).map_err(with_path)?;
+    let last_incarnation = match fs::read_to_string(&file) {
+        Ok(text) => text.trim().parse().map_err(|_| {
+            format!("{}: {:?} is no number; it must hold the last incarnation", file.display(), text.trim())
+        })?,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => 0,
-        Err(e) => return Err(told(e)),
+        Err(e) => return Err(with_path(e)),
     };
-    let incarnation = now.max(last + 1);
-    // Guards against a file half written: the old one stays until the new one is whole on disk.
-    let new = dir.join("birth.new");
-    let mut out = File::create(&new).map_err(told)?;
-    out.write_all(format!("{incarnation}\n").as_bytes()).and_then(|()| out.sync_all()).map_err(told)?;
-    fs::rename(&new, &file).and_then(|()| File::open(dir)?.sync_all()).map_err(told)?;
+    let incarnation = date_ms.max(last_incarnation + 1);
+    // Guards against a half-written file: the old one stays until the new one is completely on disk.
+    let new_file = dir.join("birth.new");
+    let mut writer = File::create(&new_file).map_err(with_path)?;
+    writer
+        .write_all(format!("{incarnation}\n").as_bytes())
+        .and_then(|()| writer.sync_all())
+        .map_err(with_path)?;
+    fs::rename(&new_file, &file).and_then(|()| File::open(dir)?.sync_all()).map_err(with_path)?;
     Ok(incarnation)
 }
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to servers. Nothing is ever sent again by itself: each request is written once, on one
-//! connection, and how many bytes of it went out is counted where they go out.
+//! HTTP connections to video servers. No request is ever sent twice automatically: each is written once, on
+//! one connection, and the connection counts the bytes that were written.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,11 +21,12 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-/// Idle connections kept to one server, and for how long.
+/// How many idle connections to one server are kept.
 const MAX_IDLE_PER_SERVER_COUNT: usize = 8;
+/// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Counts what is written.
+/// A TCP stream that counts the bytes written to it.
 struct CountingStream {
     stream: TcpStream,
     written_bytes: Rc<Cell<u64>>,
@@ -57,7 +58,7 @@
     }
 }
 
-/// A connection; it closes when it is dropped, whatever is under way on it.
+/// A connection to a server. Dropping it closes it, even if a request is under way.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     written_bytes: Rc<Cell<u64>>,
@@ -65,47 +66,53 @@
     idle_since: Instant,
 }
 
-/// What a request on a connection came to, if it was not answered.
+/// How far a request got that received no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestFailure {
+    /// No byte of it was written, so the server can't have run it.
     NotWritten,
-    /// At least a byte went out; it may have been read.
+    /// At least one byte was written: the server may have read and run the request.
     Broken,
 }
 
 impl Connection {
+    /// Opens a connection.
+    ///
     /// # Errors
-    /// No connection came about in time.
+    /// The connection was refused or did not open within the time given.
     pub async fn open(address: SocketAddr, within: Duration) -> io::Result<Connection> {
         let stream = timeout(within, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let written = Rc::new(Cell::new(0));
-        let counted = CountingStream { stream, written_bytes: written.clone() };
-        let (send, connection) = handshake(TokioIo::new(counted)).await.map_err(io::Error::other)?;
+        let counting_stream = CountingStream { stream, written_bytes: written.clone() };
+        let (sender, connection) =
+            handshake(TokioIo::new(counting_stream)).await.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, %address, "a connection to a server broke");
+                tracing::debug!(%error, %address, "a connection to a server ended with an error");
             }
         });
         Ok(Connection {
-            sender: send,
+            sender,
             written_bytes: written,
             _task: AbortOnDropHandle::new(task),
             idle_since: Instant::now(),
         })
     }
 
-    /// Whether it is fit for a request.
+    /// Whether it is open and has not been idle for too long.
     pub fn is_usable(&self) -> bool {
         !self.sender.is_closed() && self.idle_since.elapsed() < IDLE_TIMEOUT
     }
 
+    /// Sends a request and waits for the head of the response.
+    ///
     /// # Errors
     /// How far the request got.
     pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestFailure> {
-        let before = self.written_bytes.get();
+        let bytes_before = self.written_bytes.get();
         self.sender.send_request(request).await.map_err(|_| {
-            if self.written_bytes.get() == before {
+            if self.written_bytes.get() == bytes_before {
                 RequestFailure::NotWritten
             } else {
                 RequestFailure::Broken
@@ -114,48 +121,48 @@
     }
 }
 
-/// Idle connections, by server.
+/// The idle connections to each server.
 #[derive(Default)]
 pub struct Pool(RefCell<BTreeMap<SocketAddr, Vec<Connection>>>);
 
 impl Pool {
-    /// A connection that was used before, if one still stands.
+    /// Takes an idle connection that can still be used, if there is one.
     pub fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
-        let mut idle = self.0.borrow_mut();
-        let waiting = idle.get_mut(&address)?;
+        let mut idle_by_server = self.0.borrow_mut();
+        let connections = idle_by_server.get_mut(&address)?;
         let found = loop {
-            match waiting.pop() {
+            match connections.pop() {
                 Some(connection) if !connection.is_usable() => {}
                 other => break other,
             }
         };
-        if waiting.is_empty() {
-            idle.remove(&address);
+        if connections.is_empty() {
+            idle_by_server.remove(&address);
         }
         found
     }
 
-    /// To be used again; its answer was read to the end.
+    /// Returns a connection for reuse. Its last response must have been read to the end.
     pub fn return_idle(&self, address: SocketAddr, mut connection: Connection) {
         connection.idle_since = Instant::now();
-        let mut idle = self.0.borrow_mut();
-        let waiting = idle.entry(address).or_default();
-        waiting.retain(Connection::is_usable);
-        if waiting.len() < MAX_IDLE_PER_SERVER_COUNT && connection.sender.is_ready() {
-            waiting.push(connection);
+        let mut idle_by_server = self.0.borrow_mut();
+        let connections = idle_by_server.entry(address).or_default();
+        connections.retain(Connection::is_usable);
+        if connections.len() < MAX_IDLE_PER_SERVER_COUNT && connection.sender.is_ready() {
+            connections.push(connection);
         }
     }
 
-    /// Connections that stand idle.
+    /// How many connections are idle.
     pub fn idle_count(&self) -> usize {
         self.0.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes what has stood idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
-        self.0.borrow_mut().retain(|_, waiting| {
-            waiting.retain(Connection::is_usable);
-            !waiting.is_empty()
+        self.0.borrow_mut().retain(|_, connections| {
+            connections.retain(Connection::is_usable);
+            !connections.is_empty()
         });
     }
 }
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -1,6 +1,6 @@
-//! What requests were answered, why, and from when to when: one count at the door where the answers go out,
-//! so that the sums are what viewers saw. Nothing is sampled, and nothing here can fail or hold an answer
-//! up.
+//! Counts of the answers to requests and of their causes, with dates. Every response is counted in one
+//! place, where it is sent, so the sums are what viewers received. Nothing is sampled, and counting can
+//! neither fail nor delay a response.
 
 use ivyward::interface::RefusalReason;
 use ivyward_session::FailureCause;
@@ -8,11 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How a request was answered, and why. Both are names in the text of the program: what clients send makes
-/// no new ones.
+/// How a request was answered, and why. Both are constants of the program, so clients can't add labels.
 pub type AnswerLabel = (&'static str, &'static str);
 
-/// The name of a cause.
+/// The name of a failure cause on the `/counts` page.
 pub fn cause_name(cause: FailureCause) -> &'static str {
     match cause {
         FailureCause::ByPolicy(RefusalReason::UnknownPackage) => "unknown package",
@@ -33,42 +32,47 @@
     }
 }
 
+/// How often one answer was given.
 #[derive(Clone, Copy, Default)]
 struct Count {
     total: u64,
-    /// How many of them were told in a line of the log.
+    /// How many of them log lines have already reported.
     logged: u64,
+    /// The date of the first one.
     first_date: Duration,
+    /// The date of the last one.
     last_date: Duration,
 }
 
+/// The count of each answer.
 #[derive(Default)]
 pub struct Tally(BTreeMap<AnswerLabel, Count>);
 
 impl Tally {
-    pub fn increment(&mut self, date: Duration, told: AnswerLabel) {
-        let count = self.0.entry(told).or_insert(Count { first_date: date, ..Default::default() });
+    /// Counts one answer, given at `date`.
+    pub fn increment(&mut self, date: Duration, label: AnswerLabel) {
+        let count = self.0.entry(label).or_insert(Count { first_date: date, ..Default::default() });
         (count.total, count.last_date) = (count.total.saturating_add(1), date);
     }
 
-    /// What came since this was last asked, as one line; none where nothing did.
+    /// The answers since the last call, as one line for the log; `None` if there were none.
     pub fn unlogged_counts(&mut self) -> Option<String> {
-        let mut news = vec![];
-        for ((answer, why), count) in &mut self.0 {
-            let new = count.total - std::mem::replace(&mut count.logged, count.total);
-            news.extend((new > 0).then(|| format!("{answer} ({why}) {new}")));
+        let mut entries = vec![];
+        for ((answer_name, cause_text), count) in &mut self.0 {
+            let unlogged = count.total - std::mem::replace(&mut count.logged, count.total);
+            entries.extend((unlogged > 0).then(|| format!("{answer_name} ({cause_text}) {unlogged}")));
         }
-        (!news.is_empty()).then(|| news.join(", "))
+        (!entries.is_empty()).then(|| entries.join(", "))
     }
 
-    /// All counts, with the dates of the first and the last of each.
+    /// All counts, with the dates of the first and the last answer of each kind.
     pub fn to_json(&self) -> Value {
-        let row = |((answer, why), count): (&AnswerLabel, &Count)| {
+        let json_row = |((answer_name, cause_text), count): (&AnswerLabel, &Count)| {
             json!({
-                "answer": answer, "why": why, "count": count.total, "first_s": count.first_date.as_secs(),
+                "answer": answer_name, "why": cause_text, "count": count.total, "first_s": count.first_date.as_secs(),
                 "last_s": count.last_date.as_secs(),
             })
         };
-        self.0.iter().map(row).collect()
+        self.0.iter().map(json_row).collect()
     }
 }
