--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The session front as a program: sockets, clocks and files round the session core. One task holds the
-//! core; all inputs come to it through one queue, effects leave in order.
+//! The session manager as a program: sockets, clocks and files around the session core. One task owns the
+//! core and takes all events from one queue; the core's effects are carried out in order.
 
 pub mod embedded;
 pub mod log;
@@ -29,34 +29,38 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
 
-/// The date, as a span since the Unix epoch; for token dates only.
+/// The date by this machine's clock, as the time since the Unix epoch. Only for the dates in tokens.
 pub fn date() -> Duration {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
 }
 
-/// What a manager has from outside beside its sockets.
+/// What a manager gets from its environment besides sockets.
 pub struct Outside {
-    /// The date, as a span since the Unix epoch.
+    /// Returns the date, as the time since the Unix epoch.
     pub clock: Rc<dyn Fn() -> Duration>,
-    /// Lines that the log left out since it is not read fast enough.
+    /// Returns how many lines the log dropped because it is not read fast enough.
     pub dropped: Rc<dyn Fn() -> u64>,
-    /// Texts of settings anew, of which the tokens are taken over: keys, which one signs, revoked sessions.
+    /// New texts of the settings, of which only `tokens` is applied: the keys, which one signs, the revoked
+    /// sessions.
     pub texts: Option<UnboundedReceiver<String>>,
 }
 
-/// What a manager's run came to.
+/// The summary of a manager's run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ended {
-    /// How often an assertion of a rule failed.
+    /// How many violations of rules the manager detected in its own decisions.
     pub breaches: u64,
-    /// What was still held when it was told to end: viewings, timers, connections to servers, and places or
-    /// waits for one at their doors.
+    /// The viewings that were open when the shutdown began.
     pub viewings: usize,
+    /// The timers that were set then.
     pub timers: usize,
+    /// The idle connections to servers then.
     pub connections: usize,
+    /// The connection slots that were held or waited for then.
     pub places: usize,
-    /// What servers held for nobody and was released, and what was taken over from earlier starts.
+    /// The viewings that servers played, that belonged to no session, and that were released.
     pub orphans: u64,
+    /// The viewings that were taken over from earlier starts of the manager.
     pub taken_over: u64,
 }
 
@@ -78,40 +82,43 @@
     }
 }
 
-/// Reads settings and looks at what the schema can't say.
+/// Reads settings and checks what their schema can't express.
 ///
 /// # Errors
-/// All faults found.
+/// All faults that were found.
 pub fn read(text: &str) -> Result<Section, Vec<Fault>> {
     let settings = ivyward_settings::read("Settings", text)?;
     let faults = setup::faults(&settings);
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
 }
 
-/// Runs one manager until `ended`; then nothing new is taken and each viewing is answered.
+/// Runs one manager until `ended` completes. It then accepts no new requests and answers each pending one.
+/// `ready` gets the address where viewers connect.
 ///
 /// # Errors
-/// What kept it from starting, or that viewings were left without an answer.
+/// The manager could not start, or some viewings were left without an answer.
 pub async fn manage(
     settings: &Section, ready: impl FnOnce(SocketAddr), ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
     manage_by(settings, Box::new(setup::policy(settings)), ready, ended, outside).await
 }
 
-/// The same with something else in the module's place, to be compared with it.
+/// Runs one manager with another decision policy, for comparisons.
 ///
 /// # Errors
-/// What kept it from starting, or that viewings were left without an answer.
+/// The manager could not start, or some viewings were left without an answer.
 pub async fn manage_by(
     settings: &Section, policy: Box<dyn Policy>, ready: impl FnOnce(SocketAddr),
     ended: impl Future<Output = ()>, outside: Outside,
 ) -> Result<Ended, String> {
     let manager = settings.section("manager");
-    let wanted = manager.text("listen");
-    let listener = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| format!("{wanted}: {e}"))?;
+    let listen_address = manager.text("listen");
+    let listener = TcpListener::bind(&listen_address)
+        .await
+        .map_err(|e| format!("manager.listen: cannot listen on {listen_address}: {e}"))?;
+    let address = listener.local_addr().map_err(|e| format!("{listen_address}: {e}"))?;
     let incarnation = incarnation::next(&manager.text("state_dir"), (outside.clock)())?;
-    let paid = paid::PaidSessionLog::open(&manager.text("state_dir"), (outside.clock)())?;
+    let paid_log = paid::PaidSessionLog::open(&manager.text("state_dir"), (outside.clock)())?;
     let local = LocalSet::new();
     local
         .run_until(async {
@@ -119,17 +126,17 @@
                 Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(incarnation)).await?),
                 None => None,
             };
-            let outer = (outside.clock, outside.dropped);
-            let shell = Shell::start(settings, policy, (incarnation, paid), peers, address, outer)?;
-            tracing::info!(manager = manager.text("name"), %address, birth = incarnation, "takes viewings");
+            let clock_and_dropped = (outside.clock, outside.dropped);
+            let shell = Shell::start(settings, policy, (incarnation, paid_log), peers, address, clock_and_dropped)?;
+            tracing::info!(manager = manager.text("name"), %address, birth = incarnation, "the manager accepts viewers");
             let quality = quality::Quality::start(shell.clone(), settings);
             if manager.has("console") {
-                let wanted = manager.text("console");
-                let console = TcpListener::bind(&wanted).await.map_err(|e| format!("{wanted}: {e}"))?;
-                tracing::info!(console = %console.local_addr().map_err(|e| e.to_string())?, "the operators' pages");
+                let console_address = manager.text("console");
+                let console = TcpListener::bind(&console_address).await.map_err(|e| format!("manager.console: cannot listen on {console_address}: {e}"))?;
+                tracing::info!(console = %console.local_addr().map_err(|e| e.to_string())?, "the console accepts operators");
                 tokio::task::spawn_local(viewers::serve_console(console, shell.clone(), quality.clone()));
             }
-            let taking = tokio::task::spawn_local(viewers::serve(
+            let viewer_task = tokio::task::spawn_local(viewers::serve(
                 shell.clone(),
                 listener,
                 settings.clone(),
@@ -138,8 +145,8 @@
             ));
             ready(address);
             ended.await;
-            taking.abort();
-            tracing::info!("ends: nothing new is taken");
+            viewer_task.abort();
+            tracing::info!("the manager is shutting down and accepts no new requests");
             shell.shut_down(manager.duration("end_within_s")).await
         })
         .await
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -1,5 +1,5 @@
-//! Follows the list of servers: the whole list first, then changes as they are pushed. When the connection
-//! breaks the last list stays, and the whole one is asked for anew.
+//! Follows the server list: first the full list, then changes as they are pushed. When the connection
+//! breaks, the last list stays in force and the full list is requested again.
 
 use crate::link::percent_encode;
 use crate::pool::Connection;
@@ -22,26 +22,28 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The first pause before the list is asked for again, and the longest.
+/// The first pause before a reconnection and the longest one.
 const RECONNECT_INTERVALS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-/// When each start of a server that was told of was, by our clock: told again, it is not another start.
+/// The last known incarnation of each server and when it started, by this manager's clock. A repeated
+/// report of the same incarnation keeps the first time.
 type KnownIncarnations = BTreeMap<ServerId, (u64, Option<Duration>)>;
 
+/// Follows the server list at `address` for as long as the manager runs.
 pub async fn follow(shell: Shell, address: SocketAddr) {
     let (mut known_incarnations, mut pause) = (KnownIncarnations::new(), RECONNECT_INTERVALS.0);
-    let mut chance = Pcg64Mcg::seed_from_u64(shell.0.seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(shell.0.seed);
     loop {
         if read(&shell, address, &mut known_incarnations).await {
             pause = RECONNECT_INTERVALS.0;
         }
-        tracing::warn!(%address, "the list is lost; the last one stays");
-        sleep(pause.mul_f64(0.5 + 0.5 * chance.random::<f64>())).await;
+        tracing::warn!(%address, "lost the connection to the server list; the last list stays in force until it reconnects");
+        sleep(pause.mul_f64(0.5 + 0.5 * rng.random::<f64>())).await;
         pause = (pause * 2).min(RECONNECT_INTERVALS.1);
     }
 }
 
-/// One connection's list, to its end. Whether any came.
+/// Reads the list from one connection until it ends, and returns whether any part of it could be read.
 async fn read(shell: &Shell, address: SocketAddr, known_incarnations: &mut KnownIncarnations) -> bool {
     let Ok(mut connection) = Connection::open(address, shell.0.connect_timeout).await else { return false };
     let mut request = Request::new(Full::<Bytes>::default());
@@ -50,63 +52,68 @@
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
         request.headers_mut().insert("host", host);
     }
-    let Ok(answer) = connection.ask(request).await else { return false };
-    let mut events = BodyDataStream::new(answer.into_body()).eventsource();
-    let mut any = false;
+    let Ok(response) = connection.ask(request).await else { return false };
+    let mut events = BodyDataStream::new(response.into_body()).eventsource();
+    let mut any_read = false;
     while let Some(Ok(event)) = events.next().await {
-        let told: Value = serde_json::from_str(&event.data).unwrap_or_default();
-        let (rows, scope) = match (&told["whole"], &told["changes"]) {
-            (Value::Array(rows), _) => (rows, ListScope::Full),
-            (_, Value::Array(rows)) => (rows, ListScope::Changes),
+        let payload: Value = serde_json::from_str(&event.data).unwrap_or_default();
+        let (json_entries, scope) = match (&payload["whole"], &payload["changes"]) {
+            (Value::Array(json_entries), _) => (json_entries, ListScope::Full),
+            (_, Value::Array(json_entries)) => (json_entries, ListScope::Changes),
             _ => {
-                if let Some(left_out) = shell.allow_log_line("news of the list") {
-                    tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "news of the list can't be read");
+                if let Some(left_out) = shell.allow_log_line("malformed list event") {
+                    tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "an event of the server list is malformed and was ignored");
                 }
                 continue;
             }
         };
         let now = shell.now();
-        let list: Option<Vec<_>> = rows.iter().map(|row| parse_entry(row, now, known_incarnations)).collect();
-        // Guards against a whole list of which a part can't be read: the rest would be taken for gone.
+        let list: Option<Vec<_>> =
+            json_entries.iter().map(|json_entry| parse_entry(json_entry, now, known_incarnations)).collect();
+        // If one entry can't be read, the whole event is ignored: otherwise servers that a full list names
+        // in unreadable entries would be taken for gone.
         let Some(list) = list else {
-            if let Some(left_out) = shell.allow_log_line("a line of the list") {
-                tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "a line of the list can't be read");
+            if let Some(left_out) = shell.allow_log_line("malformed list entry") {
+                tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "an entry of the server list is malformed: the whole event was ignored");
             }
             continue;
         };
-        any = true;
+        any_read = true;
         let list = shell.apply_server_list(&list, scope);
         known_incarnations.retain(|server, _| shell.is_listed(*server));
         shell.enqueue(move |core, _, now| core.on_server_list(now, &list, scope));
     }
-    any
+    any_read
 }
 
+/// Reads one entry of the list; `None` if it is malformed.
 fn parse_entry(
-    row: &Value, now: Duration, known_incarnations: &mut KnownIncarnations,
+    json_entry: &Value, now: Duration, known_incarnations: &mut KnownIncarnations,
 ) -> Option<ServerEntry> {
-    let server = server_id(row["server"].as_str()?)?;
-    let incarnation = row["birth"].as_u64()?;
-    let before = known_incarnations.get(&server).copied();
-    let known = before.filter(|(number, _)| *number == incarnation).map(|(_, started_at)| started_at);
-    let age = row["age_ms"].as_u64().map(Duration::from_millis);
-    // Guards against another start that is told without its age: it was since the last, so it counts as
-    // just now.
-    let started_at = known.unwrap_or_else(|| age.map_or(before.map(|_| now), |age| now.checked_sub(age)));
+    let server = server_id(json_entry["server"].as_str()?)?;
+    let incarnation = json_entry["birth"].as_u64()?;
+    let last_known = known_incarnations.get(&server).copied();
+    let known_start =
+        last_known.filter(|(number, _)| *number == incarnation).map(|(_, started_at)| started_at);
+    let age = json_entry["age_ms"].as_u64().map(Duration::from_millis);
+    // A new incarnation without an age started after the last report, so it counts as started just now.
+    // Otherwise a cold server would count as warm.
+    let started_at =
+        known_start.unwrap_or_else(|| age.map_or(last_known.map(|_| now), |age| now.checked_sub(age)));
     known_incarnations.insert(server, (incarnation, started_at));
     Some(ServerEntry {
         server,
-        state: match row["standing"].as_str()? {
+        state: match json_entry["standing"].as_str()? {
             "ready" => ServerState::Ready,
             "draining" => ServerState::Draining,
             "gone" => ServerState::Gone,
             _ => return None,
         },
         started_at,
-        weight: row["weight"].as_f64().filter(|weight| *weight > 0.0)?,
-        zone: ZoneId(u8::try_from(row["zone"].as_u64()?).ok()?),
-        kind: KindId(row["kind"].as_u64()? as usize),
-        cell: u32::try_from(row["cell"].as_u64()?).ok()?,
+        weight: json_entry["weight"].as_f64().filter(|weight| *weight > 0.0)?,
+        zone: ZoneId(u8::try_from(json_entry["zone"].as_u64()?).ok()?),
+        kind: KindId(json_entry["kind"].as_u64()? as usize),
+        cell: u32::try_from(json_entry["cell"].as_u64()?).ok()?,
     })
 }
 
@@ -116,11 +123,11 @@
     use serde_json::json;
 
     #[test]
-    fn a_start_told_without_its_age_is_cold_where_it_is_another() {
+    fn a_new_incarnation_without_an_age_counts_as_just_started() {
         let (now, secs) = (Duration::from_secs(1000), Duration::from_secs);
-        // Numbers of starts and their ages as they are told; when the last of them is taken to have been.
-        type Told<'a> = &'a [(u64, Option<u64>)];
-        let cases: [(Told, Option<Duration>); 6] = [
+        // Reported incarnations with their ages in ms, and when the last of them must count as started.
+        type Reports<'a> = &'a [(u64, Option<u64>)];
+        let cases: [(Reports, Option<Duration>); 6] = [
             (&[(1, None)], None),
             (&[(1, Some(4000))], Some(secs(996))),
             (&[(1, Some(4000)), (1, None)], Some(secs(996))),
@@ -128,17 +135,20 @@
             (&[(1, None), (2, None)], Some(now)),
             (&[(1, None), (2, Some(4000))], Some(secs(996))),
         ];
-        for (told, started_at) in cases {
+        for (reports, started_at) in cases {
             let mut known_incarnations = KnownIncarnations::new();
-            let row = |(incarnation, age): &(u64, Option<u64>)| {
+            let json_entry = |(incarnation, age): &(u64, Option<u64>)| {
                 json!({
                     "server": "127.0.0.1:80", "standing": "ready", "birth": incarnation, "age_ms": age, "cell": 0,
                     "weight": 1.0, "zone": 0, "kind": 0,
                 })
             };
-            let last =
-                told.iter().map(|one| parse_entry(&row(one), now, &mut known_incarnations)).last().flatten();
-            assert_eq!(last.map(|parse_entry| parse_entry.started_at), Some(started_at), "{told:?}");
+            let last_entry = reports
+                .iter()
+                .map(|report| parse_entry(&json_entry(report), now, &mut known_incarnations))
+                .last()
+                .flatten();
+            assert_eq!(last_entry.map(|entry| entry.started_at), Some(started_at), "{reports:?}");
         }
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `ivyward`: the session front.
+//! The command line of `ivyward`, a session manager for video.
 
 use clap::{Parser, Subcommand};
 use ivyward_daemon::{Outside, embedded, manage, peers, quality, read, setup};
@@ -15,68 +15,70 @@
 #[command(version, about = "Places and shapes video sessions on streaming servers")]
 struct Cli {
     #[command(subcommand)]
-    what: Command,
-    /// Log as JSON lines
+    command: Command,
+    /// Write the log as JSON lines
     #[arg(long, global = true)]
     json: bool,
-    /// What is logged, as in "info,ivyward_daemon=debug"
+    /// Which messages to log, for example "info,ivyward_daemon=debug"
     #[arg(long, global = true, default_value = "info", env = "IVYWARD_LOG")]
     log: String,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a manager; without a file, one over stand-in servers that it starts itself
+    /// Run a session manager; without a settings file, one with stand-in video servers that it starts
+    /// itself
     Run {
         settings: Option<PathBuf>,
-        /// Listen here instead of where the settings say
+        /// Listen on this address instead of the one in the settings
         #[arg(long)]
         listen: Option<std::net::SocketAddr>,
     },
-    /// Run a viewing manager of a platform, as its configuration says
+    /// Run a viewing manager of a platform from its configuration file
     Node {
         #[arg(env = "RELAY_CONFIG")]
         config: PathBuf,
     },
-    /// Tell all that is wrong with settings
+    /// Check a settings file and print all its faults
     Check { settings: PathBuf },
-    /// Mint a token for trying
+    /// Mint a token for tests
     Token {
         title: String,
         #[arg(long, default_value = "clip")]
         package: String,
-        /// The highest rung that the viewer can use
+        /// Number of the highest rung that the viewer can play
         #[arg(long, default_value_t = 255)]
         top: usize,
-        /// Seconds until it expires
+        /// Seconds until the token expires
         #[arg(long, default_value_t = 60)]
         life: u64,
-        /// The settings with the keys; the embedded ones if left out
+        /// Settings file with the keys; the embedded settings if omitted
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Tell how players fare, and what is to blame where they stutter
+    /// Show how well sessions play, and which factors explain stalls and slow starts
     Quality {
-        /// A manager's console, as `manager.console` of its settings says
+        /// Address of a manager's console, as `manager.console` in its settings
         console: std::net::SocketAddr,
-        /// As it is, for machines
+        /// Print the page as raw JSON
         #[arg(long)]
         raw: bool,
     },
-    /// Tell of the managers that one speaks with, and what it keeps for them
+    /// Show which managers of its group a manager is in contact with, and what it stores for them
     Peers {
-        /// A manager's console, as `manager.console` of its settings says
+        /// Address of a manager's console, as `manager.console` in its settings
         console: std::net::SocketAddr,
-        /// As it is, for machines
+        /// Print the page as raw JSON
         #[arg(long)]
         raw: bool,
     },
-    /// Make the memory of a manager that is new in its group and has never kept anything for it
+    /// Create the empty store of a manager that is new in its group and has never stored anything for it
     Begin { settings: PathBuf },
-    /// Tell the version
+    /// Print the version
     Version,
 }
 
+/// Reads a settings file; the error lists all faults with the file name.
 fn load_settings(file: &Path) -> Result<Section, String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     read(&text).map_err(|faults| {
@@ -85,6 +87,7 @@
     })
 }
 
+/// Runs a manager until a signal ends it. SIGHUP reads the settings file again.
 fn run_manager(
     file: Option<&Path>, listen: Option<std::net::SocketAddr>, dropped: Rc<dyn Fn() -> u64>,
 ) -> Result<(), String> {
@@ -100,23 +103,23 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-        let mut int = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
-        let mut hup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-        let (tell, texts) = tokio::sync::mpsc::unbounded_channel();
-        let (again, watched) = (file.map(Path::to_path_buf), tell.clone());
-        let anew = async move {
-            while let (Some(()), Some(file)) = (hup.recv().await, &again) {
+        let mut sigterm = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
+        let mut sigint = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
+        let mut sighup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
+        let (settings_sender, settings_receiver) = tokio::sync::mpsc::unbounded_channel();
+        let (settings_file, reload_sender) = (file.map(Path::to_path_buf), settings_sender.clone());
+        let reload_on_hangup = async move {
+            while let (Some(()), Some(file)) = (sighup.recv().await, &settings_file) {
                 match fs::read_to_string(file) {
-                    Ok(text) => drop(watched.send(text)),
+                    Ok(text) => drop(reload_sender.send(text)),
                     Err(error) => tracing::error!("{}: {error}", file.display()),
                 }
             }
             std::future::pending::<()>().await;
         };
-        let outside = Outside { texts: Some(texts), dropped, ..Default::default() };
-        let ended = async move {
-            tokio::select! { _ = term.recv() => {}, _ = int.recv() => {}, () = anew => {} }
+        let environment = Outside { texts: Some(settings_receiver), dropped, ..Default::default() };
+        let end_signal = async move {
+            tokio::select! { _ = sigterm.recv() => {}, _ = sigint.recv() => {}, () = reload_on_hangup => {} }
         };
         let ready = |address| {
             println!("listening {address}");
@@ -124,22 +127,23 @@
                 let (title, package) = ("how-to-charge", "clip");
                 match embedded::token(&settings, title, package, 255, Duration::from_secs(600)) {
                     Ok(token) => println!("curl -i 'http://{address}/mpd/{title}.mpd?token={token}'"),
-                    Err(error) => println!("no token: {error}"),
+                    Err(error) => println!("no test token: {error}"),
                 }
             }
         };
-        println!("{}", manage(&settings, ready, ended, outside).await?);
+        println!("{}", manage(&settings, ready, end_signal, environment).await?);
         Ok(())
     })
 }
 
+/// Prints a page of a manager's console, as a table or as raw JSON.
 fn print_page(
     console: std::net::SocketAddr, path: &str, raw: bool, table: impl Fn(&serde_json::Value) -> String,
 ) -> Result<(), String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let asked = ivyward_daemon::quality::ask(console, path);
-    let page = tokio::task::LocalSet::new().block_on(&runtime, asked)?;
+    let fetch = ivyward_daemon::quality::ask(console, path);
+    let page = tokio::task::LocalSet::new().block_on(&runtime, fetch)?;
     if raw {
         println!("{page}");
     } else {
@@ -148,51 +152,55 @@
     Ok(())
 }
 
-fn begin_memory(file: &Path) -> Result<(), String> {
+/// Creates the empty store of a manager that is new in its group.
+fn create_store(file: &Path) -> Result<(), String> {
     let settings = load_settings(file)?;
     if !settings.has("peers") {
-        return Err(format!("{}: peers: is missing: this manager keeps nothing for others", file.display()));
+        return Err(format!(
+            "{}: peers: is missing: a manager without it stores nothing for others",
+            file.display()
+        ));
     }
-    let made = Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
-    println!("{}: an empty memory", made.display());
+    let store_file = Store::begin(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
+    println!("{}: created an empty store", store_file.display());
     Ok(())
 }
 
 fn main() -> ExitCode {
-    let line = Cli::parse();
-    let filter = match tracing_subscriber::EnvFilter::try_new(&line.log) {
+    let cli = Cli::parse();
+    let filter = match tracing_subscriber::EnvFilter::try_new(&cli.log) {
         Ok(filter) => filter,
         Err(error) => {
             eprintln!("ivyward: --log: {error}");
             return ExitCode::from(2);
         }
     };
-    let (_log, dropped) = ivyward_daemon::log::start(filter, line.json);
-    let done = match line.what {
+    let (_log, dropped) = ivyward_daemon::log::start(filter, cli.json);
+    let result = match cli.command {
         Command::Run { settings, listen } => run_manager(settings.as_deref(), listen, dropped),
         Command::Node { config } => ivyward_node::run(&config),
         Command::Check { settings: file } => {
-            load_settings(&file).map(|_| println!("{}: nothing wrong", file.display()))
+            load_settings(&file).map(|_| println!("{}: no faults found", file.display()))
         }
         Command::Token { title, package, top, life, settings: file } => {
-            let given = match file {
+            let token_settings = match file {
                 Some(file) => load_settings(&file),
                 None => embedded::settings(([127, 0, 0, 1], 0).into()),
             };
             let life = Duration::from_secs(life);
-            given
-                .and_then(|given| embedded::token(&given, &title, &package, top, life))
+            token_settings
+                .and_then(|token_settings| embedded::token(&token_settings, &title, &package, top, life))
                 .map(|t| println!("{t}"))
         }
         Command::Quality { console, raw } => print_page(console, "/quality", raw, quality::table),
         Command::Peers { console, raw } => print_page(console, "/peers", raw, peers::table),
-        Command::Begin { settings: file } => begin_memory(&file),
+        Command::Begin { settings: file } => create_store(&file),
         Command::Version => {
             println!("ivyward {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -618,7 +618,7 @@
     }
 
     fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
-        if let Some(left_out) = self.shell.allow_log_line("a rule") {
+        if let Some(left_out) = self.shell.allow_log_line("rule violation") {
             tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule was violated");
         }
     }
