--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -412,7 +412,7 @@
     };
     if let Some(inventory) = note["playing"].as_array() {
         let running_tune_in = |value: &Value| {
-            let session = setup::session(value["session"].as_str()?)?;
+            let session = setup::parse_session_id(value["session"].as_str()?)?;
             let title = value["title"].as_str()?;
             let title = shell
                 .0
--- a/crates/daemon/src/paid.rs
+++ b/crates/daemon/src/paid.rs
@@ -25,7 +25,7 @@
 /// Reads one line; `None` if it is incomplete or malformed.
 fn parse_line(line: &str) -> Option<PaidSession> {
     let mut fields = line.split(' ');
-    let session = setup::session(fields.next()?)?;
+    let session = setup::parse_session_id(fields.next()?)?;
     let server = setup::server_id(fields.next()?)?;
     let until = Duration::from_secs(fields.next()?.parse().ok()?);
     (fields.next() == Some(".") && fields.next().is_none()).then_some((SessionId(session), server, until))
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -90,7 +90,7 @@
             &format!("must be at least {min_lifetime} s: two segments and the longest patience"),
         ));
     }
-    if tokens.texts("revoked").iter().any(|text| session(text).is_none()) {
+    if tokens.texts("revoked").iter().any(|text| parse_session_id(text).is_none()) {
         faults.push(tokens.fault("revoked", "is not 32 hexadecimal digits"));
     }
     if let Err(key_faults) = keys(&tokens) {
@@ -126,7 +126,7 @@
 }
 
 /// Parses a session id of 32 hexadecimal digits.
-pub fn session(text: &str) -> Option<u128> {
+pub fn parse_session_id(text: &str) -> Option<u128> {
     u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 32)
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// The retry budget for further tune-ins, if there is one: its time span, the number that is always free,
-/// and the share of first tune-ins that may be repeated.
+/// and the allowed further tune-ins per viewing.
 pub fn ration(settings: &Section) -> Option<(Duration, f64, f64)> {
     let ration = settings.section("ration");
     settings.has("ration").then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share")))
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -282,7 +282,7 @@
 
 /// The sessions that the settings revoke.
 fn revoked_sessions(tokens: &Section) -> BTreeSet<u128> {
-    tokens.texts("revoked").iter().filter_map(|text| setup::session(text)).collect()
+    tokens.texts("revoked").iter().filter_map(|text| setup::parse_session_id(text)).collect()
 }
 
 impl ViewerService {
