--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -88,7 +88,7 @@
 }
 
 /// Runs a manager until a signal ends it. SIGHUP reads the settings file again.
-fn run_manager(
+fn run_from_settings(
     file: Option<&Path>, listen: Option<std::net::SocketAddr>, dropped: Rc<dyn Fn() -> u64>,
 ) -> Result<(), String> {
     let mut settings = match file {
@@ -177,7 +177,7 @@
     };
     let (_log, dropped) = ivyward_daemon::log::start(filter, cli.json);
     let result = match cli.command {
-        Command::Run { settings, listen } => run_manager(settings.as_deref(), listen, dropped),
+        Command::Run { settings, listen } => run_from_settings(settings.as_deref(), listen, dropped),
         Command::Node { config } => ivyward_node::run(&config),
         Command::Check { settings: file } => {
             load_settings(&file).map(|_| println!("{}: no faults found", file.display()))
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether it is open and has not been idle for too long.
-    pub fn is_usable(&self) -> bool {
+    pub fn stands(&self) -> bool {
         !self.sender.is_closed() && self.idle_since.elapsed() < IDLE_TIMEOUT
     }
 
@@ -132,7 +132,7 @@
         let connections = idle_by_server.get_mut(&address)?;
         let found = loop {
             match connections.pop() {
-                Some(connection) if !connection.is_usable() => {}
+                Some(connection) if !connection.stands() => {}
                 other => break other,
             }
         };
@@ -147,7 +147,7 @@
         connection.idle_since = Instant::now();
         let mut idle_by_server = self.0.borrow_mut();
         let connections = idle_by_server.entry(address).or_default();
-        connections.retain(Connection::is_usable);
+        connections.retain(Connection::stands);
         if connections.len() < MAX_IDLE_PER_SERVER_COUNT && connection.sender.is_ready() {
             connections.push(connection);
         }
@@ -161,7 +161,7 @@
     /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         self.0.borrow_mut().retain(|_, connections| {
-            connections.retain(Connection::is_usable);
+            connections.retain(Connection::stands);
             !connections.is_empty()
         });
     }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -148,7 +148,7 @@
             clock_consensus: RefCell::new(ClockConsensus::new(settings.section("tokens").duration("skew_s"))),
             connection_limits: RefCell::new(ConnectionLimits::new(limits.count("connections"))),
             admission_waiters: RefCell::default(),
-            monotonic_clock: monotonic_clock,
+            monotonic_clock,
             events,
             note_streams: RefCell::default(),
             server_entries: RefCell::default(),
