--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -92,10 +92,10 @@
         }
     }
     let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
-    let unix_date = crate::date();
+    let date_now = crate::date();
     // A unique session: the date in nanoseconds, then 32 bits for the process id.
-    let session = unix_date.as_nanos() << 32 | u128::from(std::process::id());
+    let session = date_now.as_nanos() << 32 | u128::from(std::process::id());
     let (title, package) = (title.to_string(), package.to_string());
     let token_claims = TokenClaims { session, title, package, top, tenant: String::new(), granted: None };
-    keys.mint(&token_claims, unix_date, lifetime)
+    keys.mint(&token_claims, date_now, lifetime)
 }
