--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -33,7 +33,7 @@
 const ANSWER_SLACK: Duration = Duration::from_millis(40);
 
 /// How many events may wait in the core's queue before notes are dropped.
-const MAX_QUEUED_NOTE_COUNT: usize = 4096;
+const MAX_QUEUED_EVENT_COUNT: usize = 4096;
 
 /// Returns how many lines the log has dropped so far.
 pub type DroppedLineCounter = Rc<dyn Fn() -> u64>;
@@ -230,7 +230,7 @@
     pub fn enqueue_droppable(
         &self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static,
     ) {
-        if self.0.events.waiting() < MAX_QUEUED_NOTE_COUNT {
+        if self.0.events.waiting() < MAX_QUEUED_EVENT_COUNT {
             return self.enqueue(event);
         }
         self.0.dropped_event_count.set(self.0.dropped_event_count.get().saturating_add(1));
