--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -1,9 +1,10 @@
-//! Where viewers come in: one manifest request is one viewing request, and its HTTP answer is the viewing's answer.
+//! The HTTP service for viewers and operators. One manifest request is one viewing request, and its HTTP
+//! response is the viewing's answer.
 
 use crate::quality::Quality;
 use crate::setup;
 use crate::shell::Shell;
-use crate::tally::{self, Told};
+use crate::tally::{self, AnswerLabel};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body as _, Incoming};
@@ -33,30 +34,41 @@
 use tokio::time::{interval, sleep, timeout};
 use tokio_io_timeout::TimeoutStream;
 
-/// The head of a request must fit into this.
-const LONGEST_HEAD: usize = 16 << 10;
+/// The largest head of a request.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Reports of one request fit into this, and come within so long.
-const LONGEST_REPORTS: usize = 64 << 10;
-const REPORTED_WITHIN: Duration = Duration::from_secs(5);
+/// The largest body of a request with reports.
+const MAX_REPORTS_BYTES: usize = 64 << 10;
+/// How long such a body may take to arrive.
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// For a head that began and never ended (RFC 9110, 15.5.9); an idle connection is closed without a word.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+/// Sent if the head of a request began and did not end in time (RFC 9110, 15.5.9). An idle connection is
+/// closed without a response.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// What requests are answered by.
-struct Desk {
+/// Answers the requests of viewers.
+struct ViewerService {
     shell: Shell,
     quality: Quality,
+    /// The keys that check and sign tokens.
     keys: RefCell<Keys>,
+    /// The sessions that the settings revoke.
     revoked: RefCell<BTreeSet<u128>>,
-    life: Duration,
-    skew: Duration,
-    refresh: RefCell<RefreshSchedule>,
+    /// How long a new token is valid.
+    token_lifetime: Duration,
+    /// How far clocks may differ when the dates of a token are checked.
+    clock_skew: Duration,
+    /// When players must request their next manifest.
+    refresh_schedule: RefCell<RefreshSchedule>,
+    /// The titles by name.
     titles: BTreeMap<String, setup::Title>,
-    /// By name: its id, patience, and the rates of its rungs.
+    /// The packages by name: id, patience, and the rates of the rungs.
     packages: BTreeMap<String, (PackageId, Duration, Vec<f64>)>,
 }
 
+/// Accepts viewers' connections and answers their requests until it is aborted. `texts` delivers new texts
+/// of the settings, of which `tokens` is applied.
 pub async fn serve(
     shell: Shell, listener: TcpListener, settings: Section, texts: Option<UnboundedReceiver<String>>,
     quality: Quality,
@@ -64,117 +76,132 @@
     let (tokens, manager) = (settings.section("tokens"), settings.section("manager"));
     let Ok(keys) = setup::keys(&tokens) else { return };
     let titles = setup::titles(&settings).into_iter().map(|title| (title.name.clone(), title)).collect();
-    let terms = setup::terms(&settings);
-    let package = |(id, name, rates): (PackageId, _, _)| (name, (id, terms[id.0].0, rates));
-    let packages = setup::rates(&settings).into_iter().map(package).collect();
-    let (manifest, life) = (settings.section("manifest"), tokens.duration("life_s"));
-    let margin = RefreshSchedule::margin(manifest.duration("segment_s"), setup::patiences(&settings).1);
-    let refresh = RefreshSchedule::new(manager.integer("seed"), manifest.duration("refresh_s"), life, margin);
-    let desk = Rc::new(Desk {
+    let terms = setup::package_terms(&settings);
+    let named_package = |(id, name, rates): (PackageId, _, _)| (name, (id, terms[id.0].0, rates));
+    let packages = setup::package_rates(&settings).into_iter().map(named_package).collect();
+    let (manifest, token_lifetime) = (settings.section("manifest"), tokens.duration("life_s"));
+    let refresh_margin =
+        RefreshSchedule::margin(manifest.duration("segment_s"), setup::patience_bounds(&settings).1);
+    let refresh_schedule = RefreshSchedule::new(
+        manager.integer("seed"),
+        manifest.duration("refresh_s"),
+        token_lifetime,
+        refresh_margin,
+    );
+    let viewer_service = Rc::new(ViewerService {
         shell,
         quality,
         keys: RefCell::new(keys),
-        revoked: RefCell::new(revoked(&tokens)),
-        life,
-        skew: tokens.duration("skew_s"),
-        refresh: RefCell::new(refresh),
+        revoked: RefCell::new(revoked_sessions(&tokens)),
+        token_lifetime,
+        clock_skew: tokens.duration("skew_s"),
+        refresh_schedule: RefCell::new(refresh_schedule),
         titles,
         packages,
     });
-    if let Some(peers) = &desk.shell.0.peers {
-        spawn_local(desk.clone().learns(peers.clone()));
+    if let Some(peers) = &viewer_service.shell.0.peers {
+        spawn_local(viewer_service.clone().share_revocations(peers.clone()));
     }
     if let Some(mut texts) = texts {
-        let desk = desk.clone();
+        let viewer_service = viewer_service.clone();
         spawn_local(async move {
             while let Some(text) = texts.recv().await {
-                desk.takes_over(&text);
+                viewer_service.reload_tokens(&text);
             }
         });
     }
-    let (most, head) = (manager.count("most_connections"), manager.duration("head_within_s"));
-    let open = Rc::new(Cell::new(0_usize));
+    let (max_connections, head_timeout) =
+        (manager.count("most_connections"), manager.duration("head_within_s"));
+    let open_connections = Rc::new(Cell::new(0_usize));
     loop {
-        // Guards against a flood of connections or requests: the next ones wait in the listener's queue.
-        while !desk.shell.0.overload_gate.borrow().may_accept(desk.shell.now(), open.get(), most) {
+        // Guards against a flood of connections or requests: further connections wait in the listener's
+        // backlog.
+        while !viewer_service.shell.0.overload_gate.borrow().may_accept(
+            viewer_service.shell.now(),
+            open_connections.get(),
+            max_connections,
+        ) {
             sleep(Duration::from_millis(5)).await;
         }
-        let (stream, from) = match listener.accept().await {
-            Ok((stream, from)) => (stream, from.ip()),
+        let (stream, remote_ip) = match listener.accept().await {
+            Ok((stream, remote_address)) => (stream, remote_address.ip()),
             Err(error) => {
-                // Out of file handles, most likely: a pause, or this would spin.
-                if let Some(left_out) = desk.shell.line("accept") {
-                    tracing::warn!(%error, left_out, "no connection can be taken");
+                // Most likely out of file descriptors; without a pause this loop would spin.
+                if let Some(left_out) = viewer_service.shell.allow_log_line("accept") {
+                    tracing::warn!(%error, left_out, "can't accept a viewer's connection: check the limit of open files");
                 }
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
         stream.set_nodelay(true).ok();
-        // Guards against readers that ask and ask and never read what they are answered.
+        // Guards against clients that send requests and never read the responses.
         let mut stream = Box::pin(TimeoutStream::new(stream));
-        stream.as_mut().set_write_timeout_pinned(Some(head));
-        open.set(open.get() + 1);
-        let (desk, open) = (desk.clone(), open.clone());
+        stream.as_mut().set_write_timeout_pinned(Some(head_timeout));
+        open_connections.set(open_connections.get() + 1);
+        let (viewer_service, open_connections) = (viewer_service.clone(), open_connections.clone());
         spawn_local(async move {
-            let answer = |request| {
-                let desk = desk.clone();
+            let respond = |request| {
+                let viewer_service = viewer_service.clone();
                 Box::pin(async move {
-                    let page = desk.answer(request, from).await;
-                    let told = page.extensions().get::<Told>().copied();
-                    desk.shell.count(told.unwrap_or(("turned away", "no viewing request")));
-                    Ok::<_, Infallible>(page)
+                    let response = viewer_service.respond(request, remote_ip).await;
+                    let label = response.extensions().get::<AnswerLabel>().copied();
+                    viewer_service.shell.count_answer(label.unwrap_or(("turned away", "no viewing request")));
+                    Ok::<_, Infallible>(response)
                 })
             };
             let mut connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(head)
-                .max_buf_size(LONGEST_HEAD)
-                .serve_connection(TokioIo::new(stream), hyper::service::service_fn(answer));
+                .header_read_timeout(head_timeout)
+                .max_buf_size(MAX_HEAD_BYTES)
+                .serve_connection(TokioIo::new(stream), hyper::service::service_fn(respond));
             if let Err(error) = (&mut connection).await {
-                tracing::debug!(%error, "a viewer's connection broke");
+                tracing::debug!(%error, "a viewer's connection ended with an error");
                 let parts = connection.into_parts();
                 if error.is_timeout() && !parts.read_buf.is_empty() {
-                    parts.io.into_inner().write_all(TOO_SLOW).await.ok();
+                    parts.io.into_inner().write_all(REQUEST_TIMEOUT_RESPONSE).await.ok();
                 }
             }
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-type Page = Response<Full<Bytes>>;
+/// A complete response.
+type TextResponse = Response<Full<Bytes>>;
 
-fn page(status: StatusCode, text: impl Into<Bytes>) -> Page {
-    let mut page = Response::new(Full::new(text.into()));
-    *page.status_mut() = status;
-    page.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    page
+/// Builds a response that caches must not store.
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> TextResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
+    response
 }
 
-/// The page of an answer, as it is counted.
-fn told(mut page: Page, answer: &'static str, why: &'static str) -> Page {
-    page.extensions_mut().insert::<Told>((answer, why));
-    page
+/// Attaches the label under which a response is counted.
+fn labelled(mut response: TextResponse, answer: &'static str, reason: &'static str) -> TextResponse {
+    response.extensions_mut().insert::<AnswerLabel>((answer, reason));
+    response
 }
 
-fn with(mut page: Page, name: &'static str, value: &str) -> Page {
+/// Adds a header; a value that HTTP does not allow is left out.
+fn with_header(mut response: TextResponse, name: &'static str, value: &str) -> TextResponse {
     if let Ok(value) = HeaderValue::from_str(value) {
-        page.headers_mut().insert(HeaderName::from_static(name), value);
+        response.headers_mut().insert(HeaderName::from_static(name), value);
     }
-    page
+    response
 }
 
-/// The token of a request: a bearer's (RFC 6750, 2.1), or the query's.
-fn given(request: &Request<Incoming>) -> Option<&str> {
-    let bearer = request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let bearer = bearer.and_then(|value| value.strip_prefix("Bearer "));
+/// The token of a request, from the `Authorization` header (RFC 6750, 2.1) or from the query.
+fn request_token(request: &Request<Incoming>) -> Option<&str> {
+    let bearer_token = request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let bearer_token = bearer_token.and_then(|value| value.strip_prefix("Bearer "));
     let query = request.uri().query().unwrap_or_default();
-    bearer.or(query.split('&').find_map(|pair| pair.strip_prefix("token=")))
+    bearer_token.or(query.split('&').find_map(|pair| pair.strip_prefix("token=")))
 }
 
-/// The operators' pages.
-pub async fn console(listener: TcpListener, shell: Shell, quality: Quality) {
+/// Serves the console, the pages for operators, until it is aborted.
+pub async fn serve_console(listener: TcpListener, shell: Shell, quality: Quality) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(50)).await;
@@ -182,278 +209,335 @@
         };
         let (shell, quality) = (shell.clone(), quality.clone());
         spawn_local(async move {
-            let answer = |request: Request<Incoming>| {
+            let respond = |request: Request<Incoming>| {
                 let (shell, quality) = (&shell, &quality);
                 async move {
                     let json = |value: serde_json::Value| {
-                        with(page(StatusCode::OK, value.to_string()), "content-type", "application/json")
+                        with_header(
+                            text_response(StatusCode::OK, value.to_string()),
+                            "content-type",
+                            "application/json",
+                        )
                     };
-                    let found = match (request.method(), request.uri().path(), &shell.0.peers) {
+                    let console_page = match (request.method(), request.uri().path(), &shell.0.peers) {
                         (&Method::GET, "/quality", _) => json(quality.page()),
-                        (&Method::GET, "/counts", _) => json(shell.counts()),
+                        (&Method::GET, "/counts", _) => json(shell.counts_page()),
                         (&Method::GET, "/peers", Some(peers)) => json(peers.status().await),
-                        _ => page(StatusCode::NOT_FOUND, "no such page\n"),
+                        _ => text_response(StatusCode::NOT_FOUND, "no such page\n"),
                     };
-                    Ok::<_, Infallible>(found)
+                    Ok::<_, Infallible>(console_page)
                 }
             };
-            let served = hyper::server::conn::http1::Builder::new()
+            let result = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .serve_connection(TokioIo::new(stream), hyper::service::service_fn(answer))
+                .serve_connection(TokioIo::new(stream), hyper::service::service_fn(respond))
                 .await;
-            if let Err(error) = served {
-                tracing::debug!(%error, "an operator's connection broke");
+            if let Err(error) = result {
+                tracing::debug!(%error, "an operator's connection ended with an error");
             }
         });
     }
 }
 
-fn blocked(come_back: Duration, why: &'static str) -> Page {
-    let page = page(StatusCode::SERVICE_UNAVAILABLE, "blocked: nothing plays it now\n");
-    let page = told(page, "blocked", why);
-    // Whole seconds (RFC 9110, 10.2.3); the span as it is beside them.
-    let page = with(page, "retry-after", &come_back.as_secs_f64().ceil().to_string());
-    with(page, "ivy-come-back-ms", &come_back.as_millis().to_string())
+/// The response to a viewing that no server can take now.
+fn blocked_response(come_back_after: Duration, reason: &'static str) -> TextResponse {
+    let response = text_response(StatusCode::SERVICE_UNAVAILABLE, "blocked: nothing plays it now\n");
+    let response = labelled(response, "blocked", reason);
+    // `Retry-After` has whole seconds (RFC 9110, 10.2.3); the other header has the exact duration.
+    let response = with_header(response, "retry-after", &come_back_after.as_secs_f64().ceil().to_string());
+    with_header(response, "ivy-come-back-ms", &come_back_after.as_millis().to_string())
 }
 
-fn refused(refusal: Refusal) -> Page {
+/// The response to a token that is not accepted.
+fn token_refused(refusal: Refusal) -> TextResponse {
     let status =
         if refusal == Refusal::ForeignTitle { StatusCode::FORBIDDEN } else { StatusCode::UNAUTHORIZED };
-    let page = page(status, format!("the token is not taken: {refusal}\n"));
-    let page = told(page, "turned away", refusal.name());
-    let page = with(page, "www-authenticate", "Bearer error=\"invalid_token\"");
-    with(page, "ivy-refused", refusal.name())
+    let response = text_response(status, format!("the token is not taken: {refusal}\n"));
+    let response = labelled(response, "turned away", refusal.name());
+    let response = with_header(response, "www-authenticate", "Bearer error=\"invalid_token\"");
+    with_header(response, "ivy-refused", refusal.name())
 }
 
-/// Tells the core if the viewer closes before the answer.
-struct Waiting {
+/// A request that waits for the core's answer. Dropping it first means that the viewer closed the
+/// connection, and tells the core so.
+struct PendingRequest {
     shell: Shell,
     session: SessionId,
     request: RequestId,
     answered: Cell<bool>,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.answered.get() {
             let (session, request) = (self.session, self.request);
-            self.shell.count(("closed", "the viewer left before its answer"));
-            self.shell.tell(move |core, host, now| {
-                host.forget(request);
+            self.shell.count_answer(("closed", "the viewer left before its answer"));
+            self.shell.enqueue(move |core, host, now| {
+                host.forget_request(request);
                 core.on_request_closed(host, now, session, request);
             });
         }
     }
 }
 
-fn revoked(tokens: &Section) -> BTreeSet<u128> {
-    tokens.texts("revoked").iter().filter_map(|text| setup::session(text)).collect()
+/// The sessions that the settings revoke.
+fn revoked_sessions(tokens: &Section) -> BTreeSet<u128> {
+    tokens.texts("revoked").iter().filter_map(|text| setup::parse_session_id(text)).collect()
 }
 
-impl Desk {
-    /// Takes the tokens of settings given anew: keys, which one signs, and sessions that are revoked.
-    fn takes_over(&self, text: &str) {
-        let tokens = match crate::read(text) {
+impl ViewerService {
+    /// Applies the `tokens` of new settings: the keys, which one signs, and the revoked sessions.
+    fn reload_tokens(&self, text: &str) {
+        let tokens = match crate::read_settings(text) {
             Ok(settings) => settings.section("tokens"),
             Err(faults) => {
-                // Guards against a service without keys: what was in force stays.
-                faults.iter().for_each(|fault| tracing::error!(%fault, "new settings are not taken"));
+                // The old tokens stay in force. Guards against a service without keys.
+                faults.iter().for_each(
+                    |fault| tracing::error!(%fault, "the new settings have a fault and are ignored"),
+                );
                 return;
             }
         };
         if let Ok(keys) = setup::keys(&tokens) {
             *self.keys.borrow_mut() = keys;
         }
-        let before = self.revoked.replace(revoked(&tokens));
-        let new: Vec<_> = self.revoked.borrow().difference(&before).copied().collect();
-        tracing::info!(signs = tokens.text("signs"), revoked = new.len(), "new tokens are in force");
-        for session in new.into_iter().map(SessionId) {
-            self.shell.tell(move |core, host, now| core.on_revoked(host, now, session));
+        let previously_revoked = self.revoked.replace(revoked_sessions(&tokens));
+        let newly_revoked: Vec<_> = self.revoked.borrow().difference(&previously_revoked).copied().collect();
+        tracing::info!(
+            signs = tokens.text("signs"),
+            revoked = newly_revoked.len(),
+            "the new tokens section is in force"
+        );
+        for session in newly_revoked.into_iter().map(SessionId) {
+            self.shell.enqueue(move |core, host, now| core.on_revoked(host, now, session));
             self.shell.0.peers.iter().for_each(|peers| peers.revoke(session));
         }
     }
 
-    /// Shares with the other managers which sessions are revoked.
-    async fn learns(self: Rc<Self>, peers: Peers) {
-        let mut learned = peers.subscribe_revocations();
-        // Whatever is told is over after a span; what the settings here still tell by then is told anew.
-        let mut anew = interval(peers.retention() / 2);
+    /// Exchanges revoked sessions with the other managers.
+    async fn share_revocations(self: Rc<Self>, peers: Peers) {
+        let mut remote_revocations = peers.subscribe_revocations();
+        // Revocations expire after `Peers::span`. Those that the settings here still contain are repeated
+        // before that.
+        let mut repeat_timer = interval(peers.retention() / 2);
         loop {
             tokio::select! {
-                _ = anew.tick() => {
+                _ = repeat_timer.tick() => {
                     let revoked = self.revoked.borrow().iter().copied().map(SessionId).collect::<Vec<_>>();
                     revoked.into_iter().for_each(|session| peers.revoke(session));
                 }
-                session = learned.recv() => {
+                session = remote_revocations.recv() => {
                     let Some(session) = session else { return };
-                    self.shell.tell(move |core, host, now| core.on_revoked(host, now, session));
+                    self.shell.enqueue(move |core, host, now| core.on_revoked(host, now, session));
                 }
             }
         }
     }
 
+    /// Whether a session is revoked, here or by another manager.
     fn is_revoked(&self, session: u128) -> bool {
-        let elsewhere =
+        let revoked_by_peer =
             || self.shell.0.peers.as_ref().is_some_and(|peers| peers.is_revoked(SessionId(session)));
-        self.revoked.borrow().contains(&session) || elsewhere()
+        self.revoked.borrow().contains(&session) || revoked_by_peer()
     }
 
-    /// A player's reports (CMCD's report mode), on its session's token.
-    async fn reported(&self, request: Request<Incoming>, from: IpAddr) -> Page {
+    /// Receives a player's reports (the report mode of CMCD); the token of its session identifies them.
+    async fn receive_reports(&self, request: Request<Incoming>, remote_ip: IpAddr) -> TextResponse {
         if request.method() != Method::POST {
-            return with(
-                page(StatusCode::METHOD_NOT_ALLOWED, "only POST is answered here\n"),
+            return with_header(
+                text_response(StatusCode::METHOD_NOT_ALLOWED, "only POST is answered here\n"),
                 "allow",
                 "POST",
             );
         }
-        let token = given(&request).map(String::from).unwrap_or_default();
-        let checked = self.keys.borrow().check(&token, self.shell.date(), self.skew);
-        let token_claims = match checked {
+        let token = request_token(&request).map(String::from).unwrap_or_default();
+        let check_result = self.keys.borrow().check(&token, self.shell.trusted_date(), self.clock_skew);
+        let token_claims = match check_result {
             Ok((token_claims, _)) => token_claims,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return token_refused(refusal),
         };
-        let body = Limited::new(request.into_body(), LONGEST_REPORTS).collect();
-        let Ok(Ok(body)) = timeout(REPORTED_WITHIN, body).await else {
-            let page = page(StatusCode::PAYLOAD_TOO_LARGE, "reports are shorter, and sent at once\n");
-            return with(page, "connection", "close");
+        let body = Limited::new(request.into_body(), MAX_REPORTS_BYTES).collect();
+        let Ok(Ok(body)) = timeout(REPORTS_TIMEOUT, body).await else {
+            let response =
+                text_response(StatusCode::PAYLOAD_TOO_LARGE, "reports are shorter, and sent at once\n");
+            return with_header(response, "connection", "close");
         };
         let body = body.to_bytes();
-        match self.hears(&token_claims, from, &String::from_utf8_lossy(&body)) {
-            ReportOutcome::Flood | ReportOutcome::Full => {
-                told(page(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"), "reports", "too many")
-            }
-            _ => told(page(StatusCode::NO_CONTENT, ""), "reports", "heard"),
+        match self.record_session_reports(&token_claims, remote_ip, &String::from_utf8_lossy(&body)) {
+            ReportOutcome::Flood | ReportOutcome::Full => labelled(
+                text_response(StatusCode::TOO_MANY_REQUESTS, "too many reports\n"),
+                "reports",
+                "too many",
+            ),
+            _ => labelled(text_response(StatusCode::NO_CONTENT, ""), "reports", "heard"),
         }
     }
 
-    fn hears(&self, token_claims: &TokenClaims, from: IpAddr, text: &str) -> ReportOutcome {
-        let server =
-            token_claims.granted.as_ref().and_then(|given| setup::server_id(&given.server.to_string()));
-        let server = server.and_then(|server| Some((server, self.shell.cell(server)?)));
-        self.quality.hear(self.shell.now(), token_claims, server, from, text)
+    /// Records the reports of a session and the server that it plays from.
+    fn record_session_reports(
+        &self, token_claims: &TokenClaims, remote_ip: IpAddr, text: &str,
+    ) -> ReportOutcome {
+        let server = token_claims
+            .granted
+            .as_ref()
+            .and_then(|granted_tune_in| setup::server_id(&granted_tune_in.server.to_string()));
+        let server = server.and_then(|server| Some((server, self.shell.server_cell(server)?)));
+        self.quality.record_reports(self.shell.now(), token_claims, server, remote_ip, text)
     }
 
-    async fn answer(&self, request: Request<Incoming>, from: IpAddr) -> Page {
+    /// Answers one request of a viewer.
+    async fn respond(&self, request: Request<Incoming>, remote_ip: IpAddr) -> TextResponse {
         let path = request.uri().path();
         if path == "/cmcd" {
-            return self.reported(request, from).await;
+            return self.receive_reports(request, remote_ip).await;
         }
         let name = path.strip_prefix("/mpd/").and_then(|rest| rest.strip_suffix(".mpd"));
-        let Some(name) = name else { return page(StatusCode::NOT_FOUND, "no such page\n") };
+        let Some(name) = name else { return text_response(StatusCode::NOT_FOUND, "no such page\n") };
         if request.method() != Method::GET {
-            return with(page(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n"), "allow", "GET");
+            return with_header(
+                text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n"),
+                "allow",
+                "GET",
+            );
         }
         if request.body().size_hint().lower() > 0 || !request.body().is_end_stream() {
-            let page = page(StatusCode::BAD_REQUEST, "no body belongs here\n");
-            return with(page, "connection", "close");
+            let response = text_response(StatusCode::BAD_REQUEST, "no body belongs here\n");
+            return with_header(response, "connection", "close");
         }
-        let Some(token) = given(&request) else { return refused(Refusal::Malformed) };
-        let now = self.shell.date();
-        let checked = self.keys.borrow().check(token, now, self.skew);
-        let (token_claims, (issued, until)) = match checked {
-            Ok(taken) => taken,
-            Err(refusal) => return refused(refusal),
+        let Some(token) = request_token(&request) else { return token_refused(Refusal::Malformed) };
+        let now = self.shell.trusted_date();
+        let check_result = self.keys.borrow().check(token, now, self.clock_skew);
+        let (token_claims, (issued, expires)) = match check_result {
+            Ok(accepted) => accepted,
+            Err(refusal) => return token_refused(refusal),
         };
         if self.is_revoked(token_claims.session) {
-            return refused(Refusal::Revoked);
+            return token_refused(Refusal::Revoked);
         }
         let Some(title) = self.titles.get(name) else {
-            return page(StatusCode::NOT_FOUND, "no such title\n");
+            return text_response(StatusCode::NOT_FOUND, "no such title\n");
         };
         if token_claims.title != name {
-            return refused(Refusal::ForeignTitle);
+            return token_refused(Refusal::ForeignTitle);
         }
         let Some((package, patience, rates)) = self.packages.get(&token_claims.package) else {
-            return page(StatusCode::FORBIDDEN, "no such package\n");
+            return text_response(StatusCode::FORBIDDEN, "no such package\n");
         };
-        // What a player says of itself with a request (CMCD's request mode) is heard as a report.
+        // What a player reports with a request (the request mode of CMCD) counts as a report.
         if token_claims.granted.is_some() {
             let headers = HEADERS.iter().filter_map(|name| request.headers().get(*name)?.to_str().ok());
-            let mut said: Vec<_> = headers.map(String::from).collect();
+            let mut reports: Vec<_> = headers.map(String::from).collect();
             let query = request.uri().query().unwrap_or_default();
-            said.extend(in_query(query));
-            if !said.is_empty() {
-                self.hears(&token_claims, from, &said.join(","));
+            reports.extend(in_query(query));
+            if !reports.is_empty() {
+                self.record_session_reports(&token_claims, remote_ip, &reports.join(","));
             }
         }
-        let (request, session) = (self.shell.request(), SessionId(token_claims.session));
-        let (tell, given_back) = oneshot::channel();
-        // A token of another manager is no step of a viewing here: it is as if the app had given it.
-        let given = token_claims.granted.as_ref().filter(|given| given.manager == self.shell.0.name);
-        let origin = given.and_then(|given| {
-            let server = setup::server_id(&given.server.to_string())?;
-            Some(TokenOrigin::Manager { incarnation: given.incarnation, server, sequence: given.sequence })
+        let (request, session) = (self.shell.next_request_id(), SessionId(token_claims.session));
+        let (answer_sender, answer_receiver) = oneshot::channel();
+        // A token of another manager does not continue a viewing here: it counts as one from the
+        // application.
+        let granted_tune_in = token_claims
+            .granted
+            .as_ref()
+            .filter(|granted_tune_in| granted_tune_in.manager == self.shell.0.name);
+        let origin = granted_tune_in.and_then(|granted_tune_in| {
+            let server = setup::server_id(&granted_tune_in.server.to_string())?;
+            Some(TokenOrigin::Manager {
+                incarnation: granted_tune_in.incarnation,
+                server,
+                sequence: granted_tune_in.sequence,
+            })
         });
         let begun_at = self.shell.now();
         if token_claims.granted.is_none()
-            && let Err(wait) = self.shell.0.overload_gate.borrow().admit(begun_at, *patience)
+            && let Err(retry_after) = self.shell.0.overload_gate.borrow().admit(begun_at, *patience)
         {
-            return blocked(wait, "gate");
+            return blocked_response(retry_after, "gate");
         }
-        let about = (*package, title.id, title.cells, token_claims.top);
-        let left = until.saturating_sub(now);
-        self.shell.tell(move |core, host, now| {
-            host.expect(request, tell);
+        let viewing_terms = (*package, title.id, title.cells, token_claims.top);
+        let valid_for = expires.saturating_sub(now);
+        self.shell.enqueue(move |core, host, now| {
+            host.expect_answer(request, answer_sender);
             let origin = origin.unwrap_or(TokenOrigin::App { issued });
-            core.on_request(host, now, request, session, about, origin, now + left);
+            core.on_request(host, now, request, session, viewing_terms, origin, now + valid_for);
         });
-        let waiting = Waiting { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
-        let Ok(answer) = given_back.await else {
-            let page = page(StatusCode::BAD_GATEWAY, "the manager ends\n");
-            return told(page, "aborted", "the manager ends");
+        let pending_request =
+            PendingRequest { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
+        let Ok(answer) = answer_receiver.await else {
+            let response = text_response(StatusCode::BAD_GATEWAY, "the manager ends\n");
+            return labelled(response, "aborted", "the manager ends");
         };
-        waiting.answered.set(true);
+        pending_request.answered.set(true);
         tracing::debug!(session = %format_args!("{:032x}", token_claims.session), title = name, ?answer, "answered");
         if origin.is_none() {
-            let after = self.shell.now().saturating_sub(begun_at);
-            self.shell.0.overload_gate.borrow_mut().record_answer(after);
+            let answered_after = self.shell.now().saturating_sub(begun_at);
+            self.shell.0.overload_gate.borrow_mut().record_answer(answered_after);
         }
         match answer {
             Answer::Plays { server, incarnation, viewing_id, tune_in, rung, sequence } => {
                 let server = setup::server_address(server);
-                // The answer may have taken a while: what is said now is dated now.
-                let now = self.shell.date();
-                let said = token_claims.granted.as_ref().map(|given| given.began);
-                let began = self.shell.began(session, said);
-                let (manager, incarnation, viewing_id, n) =
+                // The answer may have taken a while, so its dates are of now.
+                let now = self.shell.trusted_date();
+                let reported_start =
+                    token_claims.granted.as_ref().map(|granted_tune_in| granted_tune_in.began);
+                let playback_start = self.shell.playback_start(session, reported_start);
+                let (manager, incarnation, viewing_id, tune_in_no) =
                     (self.shell.0.name.clone(), incarnation.0, viewing_id.0, tune_in.0);
-                let given = GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began };
-                let token_claims = TokenClaims { granted: Some(given), ..token_claims };
+                let granted_tune_in = GrantedTuneIn {
+                    manager,
+                    incarnation,
+                    viewing_id,
+                    n: tune_in_no,
+                    server,
+                    sequence,
+                    began: playback_start,
+                };
+                let token_claims = TokenClaims { granted: Some(granted_tune_in), ..token_claims };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
-                let page = self.manifest(title, server, rates, &token_claims, (began, now));
-                told(page, "plays", if origin.is_none() { "asked" } else { "asked again" })
+                let response =
+                    self.manifest_response(title, server, rates, &token_claims, (playback_start, now));
+                labelled(response, "plays", if origin.is_none() { "asked" } else { "asked again" })
+            }
+            Answer::Replayed => token_refused(Refusal::Replayed),
+            Answer::Revoked => token_refused(Refusal::Revoked),
+            Answer::Blocked { come_back, why } => {
+                blocked_response(come_back.unwrap_or_default(), tally::cause_name(why))
             }
-            Answer::Replayed => refused(Refusal::Replayed),
-            Answer::Revoked => refused(Refusal::Revoked),
-            Answer::Blocked { come_back, why } => blocked(come_back.unwrap_or_default(), tally::name(why)),
             Answer::Aborted { why } => {
-                let page = match why {
-                    FailureCause::AnswerOverdue => page(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n"),
-                    _ => page(StatusCode::BAD_GATEWAY, "aborted: it could not be set up\n"),
+                let response = match why {
+                    FailureCause::AnswerOverdue => {
+                        text_response(StatusCode::GATEWAY_TIMEOUT, "aborted: too late\n")
+                    }
+                    _ => text_response(StatusCode::BAD_GATEWAY, "aborted: it could not be set up\n"),
                 };
-                told(page, "aborted", tally::name(why))
+                labelled(response, "aborted", tally::cause_name(why))
             }
             Answer::Conflict => {
-                let page = page(StatusCode::CONFLICT, "this session watches something else\n");
-                told(page, "turned away", "the session watches something else")
+                let response = text_response(StatusCode::CONFLICT, "this session watches something else\n");
+                labelled(response, "turned away", "the session watches something else")
             }
         }
     }
 
-    fn manifest(
+    /// Builds the response with the manifest of a viewing that plays.
+    fn manifest_response(
         &self, title: &setup::Title, server: SocketAddr, rates: &[f64], token_claims: &TokenClaims,
-        (began, now): (Duration, Duration),
-    ) -> Page {
-        let token = match self.keys.borrow().mint(token_claims, now, self.life) {
+        (playback_start, now): (Duration, Duration),
+    ) -> TextResponse {
+        let token = match self.keys.borrow().mint(token_claims, now, self.token_lifetime) {
             Ok(token) => token,
-            Err(error) => return page(StatusCode::INTERNAL_SERVER_ERROR, format!("no token: {error}\n")),
+            Err(error) => {
+                return text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("no token: {error}\n"));
+            }
         };
-        let here = self.shell.0.address;
-        let base = format!("http://{server}/v/{token}/");
-        let again = format!("http://{here}/mpd/{}.mpd?token={token}", title.name);
-        let spans = (title.length, self.shell.0.segment, self.refresh.borrow_mut().next_interval());
-        let text = manifest(&title.name, &base, &again, rates, spans, (began, now));
-        with(page(StatusCode::OK, text), "content-type", "application/dash+xml")
+        let own_address = self.shell.0.address;
+        let base_url = format!("http://{server}/v/{token}/");
+        let refresh_url = format!("http://{own_address}/mpd/{}.mpd?token={token}", title.name);
+        let durations =
+            (title.length, self.shell.0.segment_length, self.refresh_schedule.borrow_mut().next_interval());
+        let manifest_text =
+            manifest(&title.name, &base_url, &refresh_url, rates, durations, (playback_start, now));
+        with_header(text_response(StatusCode::OK, manifest_text), "content-type", "application/dash+xml")
     }
 }
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
 use ivyward_daemon::pool::Connection;
-use ivyward_daemon::{Ended, Outside, date, setup};
+use ivyward_daemon::{Ended, Environment, setup, unix_date};
 use ivyward_dash::token::{Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_fleet::ServerNo;
@@ -70,15 +70,16 @@
     let (end, told) = oneshot::channel::<()>();
     let (tell, ended) = mpsc::channel();
     thread::spawn(move || {
-        let settings = ivyward_daemon::read(&text).expect("settings that fit");
+        let settings = ivyward_daemon::read_settings(&text).expect("settings that fit");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let clock = move || {
             let ahead = ahead.load(Ordering::Relaxed);
             let span = Duration::from_secs(ahead.unsigned_abs());
-            if ahead < 0 { date() - span } else { date() + span }
+            if ahead < 0 { unix_date() - span } else { unix_date() + span }
         };
-        let outside = Outside { clock: Rc::new(clock), texts: Some(texts), ..Default::default() };
-        let came = runtime.block_on(ivyward_daemon::manage(
+        let outside =
+            Environment { clock: Rc::new(clock), settings_texts: Some(texts), ..Default::default() };
+        let came = runtime.block_on(ivyward_daemon::run_manager(
             &settings,
             |address| ready.send(address).expect("a test that waits"),
             async {
@@ -110,13 +111,13 @@
 pub fn token(keys: &Keys, session: u128, package: &str, title: &str, life: Duration) -> String {
     let (title, package) = (title.to_string(), package.to_string());
     let token_claims = TokenClaims { session, title, package, top: 3, tenant: String::new(), granted: None };
-    keys.mint(&token_claims, date(), life).expect("a token")
+    keys.mint(&token_claims, unix_date(), life).expect("a token")
 }
 
 impl Harness {
     async fn start(tweak: impl Fn(String) -> String) -> Harness {
         let (standins, text) = standins(tweak);
-        let settings = ivyward_daemon::read(&text).expect("settings that fit");
+        let settings = ivyward_daemon::read_settings(&text).expect("settings that fit");
         let (ahead, (texts, given)) = (Arc::new(AtomicI64::new(0)), unbounded_channel());
         let (end, ended, address) = start(text.clone(), ahead.clone(), given).await;
         let harness = Harness { standins, address, settings, ahead, texts, text, end: Some(end), ended };
@@ -236,7 +237,7 @@
     let mut request = Request::new(Full::<Bytes>::default());
     *request.uri_mut() = path.parse().expect("a path");
     request.headers_mut().insert("host", host.parse().expect("a host"));
-    let answer = connection.ask(request).await.expect("an answer");
+    let answer = connection.round_trip(request).await.expect("an answer");
     let refused = answer.headers().get("ivy-refused").map(|text| text.to_str().expect("text").to_string());
     let come_back = answer.headers().get("ivy-come-back-ms");
     let come_back = come_back.map(|text| text.to_str().expect("text").to_string());
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -28,7 +28,7 @@
 /// The manager and the servers are given other keys.
 async fn change(harness: &Harness, keys: &str, signs: &str) {
     let text = keyed(harness, keys, signs);
-    let settings = ivyward_daemon::read(&text).expect("settings that fit");
+    let settings = ivyward_daemon::read_settings(&text).expect("settings that fit");
     harness.standins.keys(ivyward_daemon::setup::keys(&settings.section("tokens")).expect("keys"));
     harness.texts.send(text).expect("a manager");
     sleep(ms(150)).await;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -32,7 +32,7 @@
     let script = ivyward_settings::read("Day", text)?;
     let settings = script.section("settings");
     let without_list = |fault: &Fault| !fault.field.ends_with("list_address");
-    let mut faults: Vec<_> = setup::faults(&settings).into_iter().filter(without_list).collect();
+    let mut faults: Vec<_> = setup::consistency_faults(&settings).into_iter().filter(without_list).collect();
     let packages = settings.sections("package").len();
     let viewers = script.section("viewers");
     let shares = viewers.numbers("package_share");
@@ -224,7 +224,7 @@
             }
             let no = names.iter().find(|(_, name)| **name == manager.name).map(|(no, _)| *no);
             if script.section("viewers").boolean("reports")
-                && let Ok(page) = ivyward_daemon::quality::ask(manager.console, "/quality").await
+                && let Ok(page) = ivyward_daemon::quality::fetch_page(manager.console, "/quality").await
             {
                 quality.push_str(&ivyward_daemon::quality::table(&page));
             }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -687,13 +687,13 @@
         };
         let spans = (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
         let incarnation = self.managers[manager].incarnation + 1;
-        let (rule_guard, terms) = (setup::rule_guard(&settings), setup::terms(&settings));
+        let (rule_guard, terms) = (setup::rule_guard(&settings), setup::package_terms(&settings));
         let core = SessionCore::new(
             policy,
             rule_guard,
             terms,
             spans,
-            setup::ration(&settings),
+            setup::retry_budget_parameters(&settings),
             Incarnation(incarnation),
         );
         let paid = self.managers[manager].paid.clone();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -190,7 +190,8 @@
 
 fn run(file: &Path, random: bool) -> Result<(), String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let settings = ivyward_daemon::read(&text).map_err(|faults| format!("{}: {faults:?}", file.display()))?;
+    let settings =
+        ivyward_daemon::read_settings(&text).map_err(|faults| format!("{}: {faults:?}", file.display()))?;
     let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
     let (_log, dropped) = ivyward_daemon::log::start(filter, false);
     let runtime =
@@ -204,9 +205,13 @@
         let jumped = ahead.clone();
         // The clock of a day's manager jumps an hour when it is told to, and back.
         let clock = move || {
-            ivyward_daemon::date() + std::time::Duration::from_secs(if jumped.get() { 3600 } else { 0 })
+            ivyward_daemon::unix_date() + std::time::Duration::from_secs(if jumped.get() { 3600 } else { 0 })
+        };
+        let outside = ivyward_daemon::Environment {
+            clock: std::rc::Rc::new(clock),
+            dropped_log_lines: dropped,
+            settings_texts: Some(texts),
         };
-        let outside = ivyward_daemon::Outside { clock: std::rc::Rc::new(clock), dropped, texts: Some(texts) };
         let again = file.to_path_buf();
         let ended = async move {
             loop {
@@ -223,7 +228,10 @@
             Box::new(ivyward_daemon::setup::policy(&settings))
         };
         let ready = |address| println!("listening {address}");
-        println!("{}", ivyward_daemon::manage_by(&settings, policy, ready, ended, outside).await?);
+        println!(
+            "{}",
+            ivyward_daemon::run_manager_with_policy(&settings, policy, ready, ended, outside).await?
+        );
         Ok(())
     })
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use ivyward_daemon::{date, setup};
+use ivyward_daemon::{setup, unix_date};
 use ivyward_dash::manifest;
 use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_settings::Section;
@@ -64,7 +64,14 @@
     let spans = (Duration::from_secs(12), Duration::from_secs(1), Duration::from_secs(2));
     let long = "x".repeat(400);
     let address = format!("http://127.1.0.1:40000/v/{long}/");
-    manifest::manifest("a", &address, &address, &[200.0, 450.0, 900.0, 1800.0], spans, (date(), date()))
+    manifest::manifest(
+        "a",
+        &address,
+        &address,
+        &[200.0, 450.0, 900.0, 1800.0],
+        spans,
+        (unix_date(), unix_date()),
+    )
 }
 
 /// Processor time of a process so far, in its clock's ticks of a hundredth of a second (proc(5), `stat` 14 and 15).
@@ -182,7 +189,7 @@
             let about = format!("http://{address}/mpd/{title}.mpd?token=");
             let token_claims =
                 TokenClaims { session, title, package, top: 3, tenant: "lab".into(), granted: None };
-            Ok(about + &keys.mint(&token_claims, date(), Duration::from_secs(600))?)
+            Ok(about + &keys.mint(&token_claims, unix_date(), Duration::from_secs(600))?)
         };
         (0..count).map(one).collect()
     };
@@ -234,17 +241,17 @@
             began: Duration::ZERO,
         }),
     };
-    let token = keys.mint(&token_claims, date(), Duration::from_secs(600)).unwrap_or_default();
+    let token = keys.mint(&token_claims, unix_date(), Duration::from_secs(600)).unwrap_or_default();
     let time = |name: &str, part: &mut dyn FnMut()| {
         let begun = Instant::now();
         (0..TURNS).for_each(|_| part());
         println!("part  {name:<34} {:>7.1} us", begun.elapsed().as_secs_f64() * 1e6 / f64::from(TURNS));
     };
     time("token checked", &mut || {
-        let _ = black_box(keys.check(&token, date(), Duration::ZERO));
+        let _ = black_box(keys.check(&token, unix_date(), Duration::ZERO));
     });
     time("token minted", &mut || {
-        let _ = black_box(keys.mint(&token_claims, date(), Duration::from_secs(600)));
+        let _ = black_box(keys.mint(&token_claims, unix_date(), Duration::from_secs(600)));
     });
     time("manifest written", &mut || drop(black_box(fixed())));
 }
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -153,7 +153,7 @@
 }
 
 async fn page(console: SocketAddr) -> Result<Value, String> {
-    ivyward_daemon::quality::ask(console, "/peers").await
+    ivyward_daemon::quality::fetch_page(console, "/peers").await
 }
 
 impl Fleet {
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -6,7 +6,7 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 use ivyward_daemon::pool::Connection;
-use ivyward_daemon::{date, setup};
+use ivyward_daemon::{setup, unix_date};
 use ivyward_dash::manifest;
 use ivyward_dash::token::{Keys, TokenClaims};
 use ivyward_settings::Section;
@@ -201,7 +201,7 @@
             let about = format!("http://{at}/mpd/{title}.mpd?token=");
             let (package, tenant) = (package.to_string(), "lab".to_string());
             let token_claims = TokenClaims { session, title, package, top: 3, tenant, granted: None };
-            Ok(about + &self.keys.mint(&token_claims, date(), Duration::from_secs(3600))?)
+            Ok(about + &self.keys.mint(&token_claims, unix_date(), Duration::from_secs(3600))?)
         };
         (0..count).map(one).collect()
     }
@@ -241,14 +241,14 @@
 
 async fn manifest_of(kept: &mut Option<Connection>, url: &str) -> Option<String> {
     let (host, path) = url.strip_prefix("http://")?.split_once('/')?;
-    let mut connection = match kept.take().filter(Connection::stands) {
+    let mut connection = match kept.take().filter(Connection::is_usable) {
         Some(connection) => connection,
         None => Connection::open(host.parse().ok()?, CONNECT).await.ok()?,
     };
     let mut request = Request::new(Full::<Bytes>::default());
     *request.uri_mut() = format!("/{path}").parse().ok()?;
     request.headers_mut().insert("host", HeaderValue::from_str(host).ok()?);
-    let answer = connection.ask(request).await.ok()?;
+    let answer = connection.round_trip(request).await.ok()?;
     let played = answer.status().is_success();
     let body = Limited::new(answer.into_body(), LONGEST).collect().await.ok()?.to_bytes();
     *kept = Some(connection);
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Request, StatusCode};
 use ivyward_daemon::pool::Connection;
-use ivyward_daemon::{date, setup};
+use ivyward_daemon::{setup, unix_date};
 use ivyward_dash::token::{GrantedTuneIn, Keys, TokenClaims};
 use ivyward_dash::{check, manifest};
 use ivyward_rules::{ManifestRequest, RequestOutcome};
@@ -244,7 +244,7 @@
     }
 
     async fn open(&mut self, address: SocketAddr) -> bool {
-        if self.0.as_ref().is_some_and(|(to, connection)| *to == address && connection.stands()) {
+        if self.0.as_ref().is_some_and(|(to, connection)| *to == address && connection.is_usable()) {
             return true;
         }
         self.0 = Connection::open(address, CONNECT).await.ok().map(|connection| (address, connection));
@@ -254,7 +254,7 @@
     /// Status, the headers that matter to a player, and the body.
     async fn get(&mut self, request: Request<Full<Bytes>>) -> Option<(StatusCode, [Option<u64>; 2], Bytes)> {
         let (_, connection) = self.0.as_mut()?;
-        let answer = match connection.ask(request).await {
+        let answer = match connection.round_trip(request).await {
             Ok(answer) => answer,
             Err(_) => {
                 self.0 = None;
@@ -295,13 +295,13 @@
         };
         let changed = self.changed.as_ref().is_some_and(|(at, _)| self.now() >= *at);
         let keys = self.changed.as_ref().filter(|_| changed).map_or(&self.keys, |(_, keys)| keys);
-        keys.mint(&token_claims, date(), self.life)
+        keys.mint(&token_claims, unix_date(), self.life)
     }
 
     /// The tune-in that a manifest's segments are fetched by.
     fn given(&self, base: &str) -> Option<GrantedTuneIn> {
         let token = base.trim_end_matches('/').rsplit('/').next()?;
-        self.keys.check(token, date(), self.life).ok()?.0.granted
+        self.keys.check(token, unix_date(), self.life).ok()?.0.granted
     }
 
     /// Looks through a manifest; `before`: the one before it, if it is of the same tune-in.
@@ -488,7 +488,7 @@
             return;
         };
         let Some((address, mut request)) = get(&format!("{host}/cmcd?token={token}")) else { return };
-        let sent = date().as_millis() as i64 + viewer.ahead;
+        let sent = unix_date().as_millis() as i64 + viewer.ahead;
         let mut text = format!("sn={number},ts={sent},bsda={},br={}", stalled.as_millis(), (rung + 1) * 1000);
         if let Some(start) = start {
             text += &format!(",msd={}", start.as_millis());
@@ -507,7 +507,7 @@
     ) -> bool {
         let (mut base, mut again, mut rungs, mut refresh, mut text) = given;
         // A player asks for no segment before the date that the manifest gives, by its own clock as that corrects it.
-        let own = i64::try_from(date().as_millis()).unwrap_or_default() + viewer.ahead;
+        let own = i64::try_from(unix_date().as_millis()).unwrap_or_default() + viewer.ahead;
         let own = Duration::from_millis(u64::try_from(own).unwrap_or_default());
         let corrected = manifest::behind(&text, own).unwrap_or_default() + own.as_millis() as i64;
         if manifest::available(&text).is_none_or(|at| at.as_millis() as i64 > corrected + SKEW) {
