--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,11 +1,11 @@
 //! A model of video servers: links and uplinks that are shared, places, warm-up and falling over, leases, fences and
 //! faults. It has no sockets and no clock; `now` is a span since the start, chance comes from the seed.
 
-mod cold;
-mod notes;
+mod load_notes;
+mod slow_start;
 
-pub use cold::Cold;
-pub use notes::{LoadNote, LoadNotes};
+pub use load_notes::{LoadNote, LoadNotes};
+pub use slow_start::Cold;
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -2,13 +2,13 @@
 //! many servers in one process. What passes on the sockets is recorded as it passes. They are not real servers: what
 //! they show of a manager is how it behaves, not how fast a real fleet is.
 
-mod given;
-mod list;
+mod fleet_settings;
 pub mod platform;
 mod record;
 mod server;
+mod server_list;
 
-pub use given::fleet;
+pub use fleet_settings::fleet;
 pub use ivyward_rules::{Event, Record, ServerStatus, SetUpEnd};
 pub use record::Records;
 
@@ -18,8 +18,8 @@
 use hyper_util::rt::TokioIo;
 use ivyward_dash::token::Keys;
 use ivyward_fleet::{Fleet, LoadNote, ManagerNo, ServerNo, StreamEnd, TuneInKey};
-use list::List;
 use serde_json::{Value, json};
+use server_list::List;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -132,7 +132,7 @@
             })
         });
         let doors: Vec<_> = doors.collect::<io::Result<_>>()?;
-        let rows = fleet.boxes().map(|at| list::Row::new(doors[at.0].address, at.0 % cells.max(1)));
+        let rows = fleet.boxes().map(|at| server_list::Row::new(doors[at.0].address, at.0 % cells.max(1)));
         let list = List::new(rows.collect(), list_late);
         let list_listener = listen(SocketAddr::from(([127, 1, 0, 0], 0)))?;
         list.address.set(list_listener.local_addr()?);
