--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,8 @@
-//! A model of video servers: links and uplinks that are shared, places, warm-up and falling over, leases, fences and
-//! faults. It has no sockets and no clock; `now` is a span since the start, chance comes from the seed.
+//! An event-driven model of video servers, their links and their racks' uplinks.
+//!
+//! The model covers shared bandwidth, stream limits, slow start and overload of servers that have just started, leases,
+//! the rejection of outdated set-ups, load reports and faults. It has no sockets and no clock: `now` is the time since
+//! the model's start, and all random numbers come from the seed.
 
 mod load_notes;
 mod slow_start;
@@ -13,15 +16,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A server of the fleet, by its order.
+/// Index of a server in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerNo(pub usize);
 
-/// A manager, as whoever drives the model numbers them.
+/// Number of a session manager, assigned by the caller of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ManagerNo(pub u32);
 
-/// A tune-in, as its manager names it: the manager and its start, the viewing there, and the tune-in's number.
+/// Identifies a tune-in: its manager, the manager's incarnation, the viewing and the number of the tune-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TuneInKey {
     pub manager: ManagerNo,
@@ -30,127 +33,154 @@
     pub n: u16,
 }
 
-/// What a set-up comes to.
+/// Result of a set-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SetUpOutcome {
-    /// It ran; the answer goes out after the span.
+    /// The stream plays; the answer is sent after this time.
     Plays(Duration),
-    /// Turned away before it ran: full, draining, or older than what is known of its viewing.
+    /// Refused before it ran: the server has no free capacity.
     Full,
+    /// Refused before it ran: the server is draining.
     Draining,
+    /// Refused before it ran: the tune-in is older than what the server knows of the viewing or its manager.
     Stale,
-    /// An error after it may have run.
+    /// The server reports an error; to the manager, the set-up may have run.
     Error,
-    /// It ran and the answer is lost.
+    /// The stream plays, but the answer is lost.
     AnswerLost,
-    /// It ran and the connection breaks before the answer.
+    /// The connection breaks before the answer. The stream plays, unless the server is down or crashes.
     Breaks,
 }
 
-/// Why a stream is over.
+/// Reason for the end of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// Its last segment was fetched.
+    /// The last segment was fetched and its playing time has passed.
     Ended,
-    /// Nobody came for it within its lease.
+    /// The lease expired without a fetch.
     Lease,
     /// The manager released it.
     Released,
-    /// The server died.
+    /// The server crashed.
     Died,
 }
 
-/// Whether a segment is given.
+/// Result of a segment request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FetchOutcome {
-    /// Given, this late because of what else is asked of the link and uplink.
+    /// The segment is served after this delay, which depends on the utilization of link and uplink.
     Served(Duration),
-    /// Nothing plays here by that name.
+    /// The server has no stream for the tune-in.
     Unknown,
-    /// Over the rung in force.
+    /// The requested rung is above the stream's current rung, which is given.
     AboveRung(usize),
 }
 
-/// What may be wrong with a server.
+/// Faults of a server.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// It takes what comes and answers nothing.
+    /// The server accepts requests and answers none.
     pub frozen: bool,
+    /// Set-ups run, but their answers are lost.
     pub answer_lost: bool,
+    /// Set-ups run, but the connection breaks before the answer.
     pub breaks: bool,
-    /// The part of set-ups that fail at once.
+    /// Fraction of set-ups that fail immediately.
     pub errors: f64,
-    /// Set-ups take so many times longer, where over 1.
+    /// Factor by which set-ups take longer; values below 1 count as 1.
     pub slow: f64,
-    /// The link gives so many times less, where over 1.
+    /// Factor by which the link's bandwidth is reduced; values below 1 count as 1.
     pub link: f64,
 }
 
+/// A stream that plays at a server.
 #[derive(Clone, Debug)]
 struct Stream {
+    /// Rate of each rung, in kB/s.
     rates: Vec<f64>,
     rung: usize,
     lease: Duration,
-    until: Duration,
-    ends: Option<Duration>,
+    lease_expires_at: Duration,
+    /// When the last segment's playing time is over, once that segment is fetched.
+    ends_at: Option<Duration>,
 }
 
+/// State of one server.
 struct Server {
     rack: usize,
+    /// Bandwidth of the link when warm and without faults, in kB/s.
     link_kb: f64,
     up: bool,
     draining: bool,
-    born: Option<Duration>,
+    /// Start of the process; none for one that has been running since before the model's start.
+    started_at: Option<Duration>,
     incarnation: u64,
     faults: Faults,
     streams: BTreeMap<TuneInKey, Stream>,
-    /// The latest start of each manager, and the tune-ins that were released up to which number.
-    births: BTreeMap<ManagerNo, u64>,
+    /// Latest known incarnation of each manager.
+    latest_incarnations: BTreeMap<ManagerNo, u64>,
+    /// Highest released tune-in number of each viewing, and until when it is remembered.
     released: BTreeMap<(ManagerNo, u64, u32), (u16, Duration)>,
-    set_ups: VecDeque<(Duration, ManagerNo)>,
+    /// Times and senders of recent set-ups, for overload detection.
+    recent_set_ups: VecDeque<(Duration, ManagerNo)>,
 }
 
-/// The fleet.
+/// All servers with their racks' uplinks.
 pub struct Fleet {
     servers: Vec<Server>,
+    /// Bandwidth of each rack's uplink in kB/s, and the factor by which a fault reduces it.
     uplinks: Vec<(f64, f64)>,
-    chance: Pcg64Mcg,
-    cold: Cold,
-    places: usize,
-    guard: f64,
-    set_up: Duration,
-    notes: LoadNotes,
-    /// Servers that fell over since they were last asked for.
-    fallen: Vec<ServerNo>,
+    rng: Pcg64Mcg,
+    slow_start: Cold,
+    max_streams: usize,
+    max_link_utilization: f64,
+    set_up_duration_mean: Duration,
+    load_notes: LoadNotes,
+    /// Servers that crashed from overload since the last call of `fallen`.
+    overloaded_servers: Vec<ServerNo>,
 }
 
 impl Fleet {
-    /// `cells` by `racks`: a server stands in the cell of its order, modulo the cells; its rack is the cell modulo the
-    /// racks. `links`: kB a second of a link and of an uplink, and the part by which they lie above or below.
-    /// `places`: streams a server runs at most; `guard`: it turns set-ups away while so much of its link is asked, 0 for
-    /// never; `set_up`: how long one takes.
+    /// Creates a fleet of warm servers.
+    ///
+    /// A server's cell is its index modulo the number of cells, and its rack is the cell modulo the number of racks.
+    /// `link` and `uplink` are bandwidths in kB/s, varied by at most the fraction `rate_variation` up or down.
+    /// A server runs at most `max_streams` streams and refuses set-ups while its link utilization is at least
+    /// `max_link_utilization` (0: never). A set-up takes `set_up_duration_mean` on average.
     pub fn new(
-        seed: u64, servers: usize, (cells, racks): (usize, usize), (link, uplink, uneven): (f64, f64, f64),
-        (places, guard, set_up): (usize, f64, Duration), cold: Cold, notes: LoadNotes,
+        seed: u64, servers: usize, (cell_count, rack_count): (usize, usize),
+        (link, uplink, rate_variation): (f64, f64, f64),
+        (max_streams, max_link_utilization, set_up_duration_mean): (usize, f64, Duration), slow_start: Cold,
+        load_notes: LoadNotes,
     ) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut vary = |kb: f64| kb * (1.0 + uneven * (2.0 * chance.random::<f64>() - 1.0));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut varied = |kb: f64| kb * (1.0 + rate_variation * (2.0 * rng.random::<f64>() - 1.0));
         let server = |i: usize, link_kb: f64| Server {
-            rack: i % cells.max(1) % racks.max(1),
+            rack: i % cell_count.max(1) % rack_count.max(1),
             link_kb,
             up: true,
             draining: false,
-            born: None,
+            started_at: None,
             incarnation: 1,
             faults: Faults::default(),
             streams: BTreeMap::new(),
-            births: BTreeMap::new(),
+            latest_incarnations: BTreeMap::new(),
             released: BTreeMap::new(),
-            set_ups: VecDeque::new(),
+            recent_set_ups: VecDeque::new(),
         };
-        let servers = (0..servers).map(|i| server(i, vary(link))).collect();
-        let uplinks = (0..racks.max(1)).map(|_| (vary(uplink), 1.0)).collect();
-        Fleet { servers, uplinks, chance, cold, places, guard, set_up, notes, fallen: vec![] }
+        let servers = (0..servers).map(|i| server(i, varied(link))).collect();
+        let uplinks = (0..rack_count.max(1)).map(|_| (varied(uplink), 1.0)).collect();
+        Fleet {
+            servers,
+            uplinks,
+            rng,
+            slow_start,
+            max_streams,
+            max_link_utilization,
+            set_up_duration_mean,
+            load_notes,
+            overloaded_servers: vec![],
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -161,92 +191,105 @@
         self.servers.is_empty()
     }
 
+    /// Returns the indices of all servers.
     pub fn boxes(&self) -> impl Iterator<Item = ServerNo> + use<> {
         (0..self.servers.len()).map(ServerNo)
     }
 
-    pub fn faults(&mut self, at: ServerNo) -> &mut Faults {
-        &mut self.servers[at.0].faults
+    /// Gives access to a server's faults.
+    pub fn faults(&mut self, server_no: ServerNo) -> &mut Faults {
+        &mut self.servers[server_no.0].faults
     }
 
-    pub fn frozen(&self, at: ServerNo) -> bool {
-        self.servers[at.0].faults.frozen
+    /// Returns whether a server accepts requests without answering.
+    pub fn frozen(&self, server_no: ServerNo) -> bool {
+        self.servers[server_no.0].faults.frozen
     }
 
-    pub fn up(&self, at: ServerNo) -> bool {
-        self.servers[at.0].up
+    /// Returns whether a server's process runs.
+    pub fn up(&self, server_no: ServerNo) -> bool {
+        self.servers[server_no.0].up
     }
 
-    pub fn draining(&self, at: ServerNo) -> bool {
-        self.servers[at.0].draining
+    /// Returns whether a server is draining.
+    pub fn draining(&self, server_no: ServerNo) -> bool {
+        self.servers[server_no.0].draining
     }
 
-    /// Its start's number, and when it was; none for long ago.
-    pub fn incarnation(&self, at: ServerNo) -> (u64, Option<Duration>) {
-        (self.servers[at.0].incarnation, self.servers[at.0].born)
+    /// Returns a server's incarnation and when it started; none if that was before the model's start.
+    pub fn incarnation(&self, server_no: ServerNo) -> (u64, Option<Duration>) {
+        (self.servers[server_no.0].incarnation, self.servers[server_no.0].started_at)
     }
 
-    pub fn rack(&self, at: ServerNo) -> usize {
-        self.servers[at.0].rack
+    /// Returns a server's rack.
+    pub fn rack(&self, server_no: ServerNo) -> usize {
+        self.servers[server_no.0].rack
     }
 
-    /// An uplink gives so many times less.
-    pub fn sag(&mut self, rack: usize, times: f64) {
+    /// Divides the bandwidth of a rack's uplink by `slowdown`; values below 1 count as 1.
+    pub fn sag(&mut self, rack: usize, slowdown: f64) {
         if let Some(uplink) = self.uplinks.get_mut(rack) {
-            uplink.1 = times.max(1.0);
+            uplink.1 = slowdown.max(1.0);
         }
     }
 
+    /// Returns the number of racks.
     pub fn racks(&self) -> usize {
         self.uplinks.len()
     }
 
-    fn gives(&self, now: Duration, at: ServerNo) -> f64 {
-        let server = &self.servers[at.0];
-        server.link_kb * self.cold.warmth(now, server.born) / server.faults.link.max(1.0)
+    /// Returns the current bandwidth of a server's link, in kB/s.
+    fn link_capacity_kb(&self, now: Duration, server_no: ServerNo) -> f64 {
+        let server = &self.servers[server_no.0];
+        server.link_kb * self.slow_start.warmth(now, server.started_at) / server.faults.link.max(1.0)
     }
 
-    fn asks(&self, at: ServerNo) -> f64 {
-        self.servers[at.0].streams.values().map(|stream| stream.rates[stream.rung]).sum()
+    /// Returns the sum of the rates of a server's streams, in kB/s.
+    fn requested_kb(&self, server_no: ServerNo) -> f64 {
+        self.servers[server_no.0].streams.values().map(|stream| stream.rates[stream.rung]).sum()
     }
 
-    /// What is asked of a server's link over what it gives.
-    pub fn full(&self, now: Duration, at: ServerNo) -> f64 {
-        self.asks(at) / self.gives(now, at).max(1.0)
+    /// Returns the utilization of a server's link: requested rate over bandwidth.
+    pub fn full(&self, now: Duration, server_no: ServerNo) -> f64 {
+        self.requested_kb(server_no) / self.link_capacity_kb(now, server_no).max(1.0)
     }
 
-    /// The same of its rack's uplink.
-    pub fn full_up(&self, at: ServerNo) -> f64 {
-        let rack = self.servers[at.0].rack;
-        let near = self.boxes().filter(|other| self.servers[other.0].rack == rack);
-        let (kb, times) = self.uplinks[rack];
-        near.map(|other| self.asks(other)).sum::<f64>() * times / kb.max(1.0)
+    /// Returns the utilization of the uplink of a server's rack.
+    pub fn full_up(&self, server_no: ServerNo) -> f64 {
+        let rack = self.servers[server_no.0].rack;
+        let rack_servers = self.boxes().filter(|other| self.servers[other.0].rack == rack);
+        let (bandwidth_kb, slowdown) = self.uplinks[rack];
+        rack_servers.map(|other| self.requested_kb(other)).sum::<f64>() * slowdown / bandwidth_kb.max(1.0)
     }
 
-    /// The share of their rates that streams at a server get.
-    pub fn share(&self, now: Duration, at: ServerNo) -> f64 {
-        if self.servers[at.0].faults.frozen {
+    /// Returns the fraction of their rates that the streams of a server receive.
+    pub fn share(&self, now: Duration, server_no: ServerNo) -> f64 {
+        if self.servers[server_no.0].faults.frozen {
             return 0.0;
         }
-        (1.0 / self.full(now, at).max(self.full_up(at)).max(1e-9)).min(1.0)
+        (1.0 / self.full(now, server_no).max(self.full_up(server_no)).max(1e-9)).min(1.0)
     }
 
-    /// A server runs a set-up. `rates`: kB a second of each rung of the title, `lease`: how long it is held for nobody.
+    /// Runs a set-up at a server.
+    ///
+    /// `rates` are the rates of the title's rungs in kB/s. The stream ends when no fetch arrives for `lease`.
     pub fn set_up(
-        &mut self, now: Duration, at: ServerNo, key: TuneInKey, rates: &[f64], rung: usize, lease: Duration,
+        &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, rates: &[f64], rung: usize,
+        lease: Duration,
     ) -> SetUpOutcome {
-        if !self.servers[at.0].up {
+        if !self.servers[server_no.0].up {
             return SetUpOutcome::Breaks;
         }
-        let full = self.guard > 0.0 && self.full(now, at) >= self.guard;
-        let (places, slow) = (self.places, self.set_up);
-        let server = &mut self.servers[at.0];
-        // Guards against a set-up that outlived its manager, or its viewing's move elsewhere.
-        let incarnation = server.births.entry(key.manager).or_insert(key.incarnation);
-        *incarnation = key.incarnation.max(*incarnation);
+        let is_link_full =
+            self.max_link_utilization > 0.0 && self.full(now, server_no) >= self.max_link_utilization;
+        let (max_streams, mean_duration) = (self.max_streams, self.set_up_duration_mean);
+        let server = &mut self.servers[server_no.0];
+        // Guards against a set-up that arrives after its manager restarted, or after its viewing moved to another server.
+        let latest_incarnation = server.latest_incarnations.entry(key.manager).or_insert(key.incarnation);
+        *latest_incarnation = key.incarnation.max(*latest_incarnation);
         let released = server.released.get(&(key.manager, key.incarnation, key.viewing_id));
-        if key.incarnation < *incarnation
-            || released.is_some_and(|(n, _)| key.n <= *n)
+        if key.incarnation < *latest_incarnation
+            || released.is_some_and(|(released_n, _)| key.n <= *released_n)
             || server.streams.contains_key(&key)
         {
             return SetUpOutcome::Stale;
@@ -254,161 +297,186 @@
         if server.draining {
             return SetUpOutcome::Draining;
         }
-        server.set_ups.push_back((now, key.manager));
-        if self.cold.falls(now, server.born, places, &mut server.set_ups) {
-            self.fallen.push(at);
-            self.die(at);
+        server.recent_set_ups.push_back((now, key.manager));
+        if self.slow_start.falls(now, server.started_at, max_streams, &mut server.recent_set_ups) {
+            self.overloaded_servers.push(server_no);
+            self.die(server_no);
             return SetUpOutcome::Breaks;
         }
-        if full || server.streams.len() >= places {
+        if is_link_full || server.streams.len() >= max_streams {
             return SetUpOutcome::Full;
         }
-        if server.faults.errors > 0.0 && self.chance.random::<f64>() < server.faults.errors {
+        if server.faults.errors > 0.0 && self.rng.random::<f64>() < server.faults.errors {
             return SetUpOutcome::Error;
         }
-        let mut takes = slow.mul_f64(server.faults.slow.max(1.0));
-        takes = takes.mul_f64(0.7 + 0.6 * self.chance.random::<f64>());
+        let mut set_up_duration = mean_duration.mul_f64(server.faults.slow.max(1.0));
+        set_up_duration = set_up_duration.mul_f64(0.7 + 0.6 * self.rng.random::<f64>());
         let stream = Stream {
             rates: rates.to_vec(),
             rung: rung.min(rates.len() - 1),
             lease,
-            until: now + takes + lease,
-            ends: None,
+            lease_expires_at: now + set_up_duration + lease,
+            ends_at: None,
         };
         server.streams.insert(key, stream);
         match &server.faults {
             faults if faults.answer_lost => SetUpOutcome::AnswerLost,
             faults if faults.breaks => SetUpOutcome::Breaks,
-            _ => SetUpOutcome::Plays(takes),
+            _ => SetUpOutcome::Plays(set_up_duration),
         }
     }
 
-    pub fn rung(&mut self, at: ServerNo, key: TuneInKey, rung: usize) -> bool {
-        let stream = self.servers[at.0].streams.get_mut(&key);
+    /// Changes a stream's rung; returns false if the server has no such stream.
+    pub fn rung(&mut self, server_no: ServerNo, key: TuneInKey, rung: usize) -> bool {
+        let stream = self.servers[server_no.0].streams.get_mut(&key);
         stream.map(|stream| stream.rung = rung.min(stream.rates.len() - 1)).is_some()
     }
 
-    /// Ends what there is of a tune-in, and whatever of it comes later. Whether it ran here.
-    pub fn release(&mut self, now: Duration, at: ServerNo, key: TuneInKey, keep: Duration) -> bool {
-        let server = &mut self.servers[at.0];
-        server.released.retain(|_, (_, until)| *until > now);
+    /// Ends a tune-in's stream and returns whether there was one.
+    ///
+    /// For the time `remembered_for`, set-ups of the viewing with this tune-in's number or a lower one are refused.
+    pub fn release(
+        &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, remembered_for: Duration,
+    ) -> bool {
+        let server = &mut self.servers[server_no.0];
+        server.released.retain(|_, (_, remembered_until)| *remembered_until > now);
         let released =
             server.released.entry((key.manager, key.incarnation, key.viewing_id)).or_insert((key.n, now));
-        *released = (released.0.max(key.n), now + keep);
+        *released = (released.0.max(key.n), now + remembered_for);
         server.streams.remove(&key).is_some()
     }
 
-    /// A player fetches a segment of `span`; the last one ends the stream after its time.
+    /// Handles a player's request for a segment that plays for `span`.
+    ///
+    /// After the last segment, the stream ends when that segment's playing time is over.
     pub fn fetch(
-        &mut self, now: Duration, at: ServerNo, key: TuneInKey, rung: usize, last: bool, span: Duration,
+        &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, rung: usize, last: bool,
+        span: Duration,
     ) -> FetchOutcome {
-        let share = self.share(now, at);
-        let Some(stream) = self.servers[at.0].streams.get_mut(&key) else { return FetchOutcome::Unknown };
+        let share = self.share(now, server_no);
+        let Some(stream) = self.servers[server_no.0].streams.get_mut(&key) else {
+            return FetchOutcome::Unknown;
+        };
         if rung > stream.rung {
             return FetchOutcome::AboveRung(stream.rung);
         }
-        stream.until = now + stream.lease;
+        stream.lease_expires_at = now + stream.lease;
         if last {
-            stream.ends = Some(now + span);
+            stream.ends_at = Some(now + span);
         }
-        // A segment comes in a quarter of its time where the link gives all that is asked.
+        // With enough bandwidth, a segment arrives in a quarter of its playing time.
         FetchOutcome::Served(span.mul_f64(0.25 / share.max(0.05)))
     }
 
-    /// How long ago a player last fetched of a stream that plays.
-    pub fn quiet(&self, now: Duration, at: ServerNo, key: TuneInKey) -> Option<Duration> {
-        let stream = self.servers[at.0].streams.get(&key)?;
-        Some((now + stream.lease).saturating_sub(stream.until))
+    /// Returns the time since the last fetch from a stream.
+    pub fn quiet(&self, now: Duration, server_no: ServerNo, key: TuneInKey) -> Option<Duration> {
+        let stream = self.servers[server_no.0].streams.get(&key)?;
+        Some((now + stream.lease).saturating_sub(stream.lease_expires_at))
     }
 
-    /// The rung in force.
-    pub fn rung_of(&self, at: ServerNo, key: TuneInKey) -> Option<usize> {
-        self.servers[at.0].streams.get(&key).map(|stream| stream.rung)
+    /// Returns a stream's current rung.
+    pub fn rung_of(&self, server_no: ServerNo, key: TuneInKey) -> Option<usize> {
+        self.servers[server_no.0].streams.get(&key).map(|stream| stream.rung)
     }
 
-    /// A manager's start makes itself known: what an earlier one sent and that has not run yet never will. False where a
-    /// later start is known.
-    pub fn begins(&mut self, at: ServerNo, manager: ManagerNo, incarnation: u64) -> bool {
-        let last = self.servers[at.0].births.entry(manager).or_insert(incarnation);
-        *last = incarnation.max(*last);
-        incarnation == *last
+    /// Registers an incarnation of a manager, so that set-ups from earlier ones are refused from now on.
+    ///
+    /// Returns false if a later incarnation is known.
+    pub fn begins(&mut self, server_no: ServerNo, manager: ManagerNo, incarnation: u64) -> bool {
+        let known_incarnation =
+            self.servers[server_no.0].latest_incarnations.entry(manager).or_insert(incarnation);
+        *known_incarnation = incarnation.max(*known_incarnation);
+        incarnation == *known_incarnation
     }
 
-    /// What a manager has there, from that start and from those before it.
-    pub fn playing(&self, at: ServerNo, manager: ManagerNo, incarnation: u64) -> Vec<TuneInKey> {
-        let ours = |key: &&TuneInKey| key.manager == manager && key.incarnation <= incarnation;
-        self.servers[at.0].streams.keys().filter(ours).copied().collect()
+    /// Returns the streams at a server that an incarnation of a manager and earlier ones have set up.
+    pub fn playing(&self, server_no: ServerNo, manager: ManagerNo, incarnation: u64) -> Vec<TuneInKey> {
+        let is_of_manager = |key: &&TuneInKey| key.manager == manager && key.incarnation <= incarnation;
+        self.servers[server_no.0].streams.keys().filter(is_of_manager).copied().collect()
     }
 
-    /// All that has streams there.
-    pub fn managers(&self, at: ServerNo) -> Vec<ManagerNo> {
-        let mut managers: Vec<_> = self.servers[at.0].streams.keys().map(|key| key.manager).collect();
+    /// Returns the managers that have streams at a server.
+    pub fn managers(&self, server_no: ServerNo) -> Vec<ManagerNo> {
+        let mut managers: Vec<_> = self.servers[server_no.0].streams.keys().map(|key| key.manager).collect();
         managers.dedup();
         managers
     }
 
-    pub fn streams(&self, at: ServerNo) -> usize {
-        self.servers[at.0].streams.len()
+    /// Returns the number of streams at a server.
+    pub fn streams(&self, server_no: ServerNo) -> usize {
+        self.servers[server_no.0].streams.len()
     }
 
-    /// Streams whose lease ran out or whose title ended. A server that stands still ends nothing.
+    /// Ends and returns the streams whose lease expired or whose title ended. Frozen servers end none.
     pub fn expire(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, StreamEnd)> {
-        let mut over = vec![];
-        for (i, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.up && !s.faults.frozen) {
+        let mut ended_streams = vec![];
+        for (i, server) in
+            self.servers.iter_mut().enumerate().filter(|(_, server)| server.up && !server.faults.frozen)
+        {
             server.streams.retain(|key, stream| {
-                let ended = stream.ends.is_some_and(|ends| ends <= now);
-                let why = if ended { StreamEnd::Ended } else { StreamEnd::Lease };
-                let stays = !ended && stream.until > now;
-                over.extend((!stays).then_some((ServerNo(i), *key, why)));
-                stays
+                let ended = stream.ends_at.is_some_and(|ends_at| ends_at <= now);
+                let end_reason = if ended { StreamEnd::Ended } else { StreamEnd::Lease };
+                let continues = !ended && stream.lease_expires_at > now;
+                ended_streams.extend((!continues).then_some((ServerNo(i), *key, end_reason)));
+                continues
             });
         }
-        over
+        ended_streams
     }
 
-    /// The process dies with all that it had.
-    pub fn die(&mut self, at: ServerNo) -> Vec<TuneInKey> {
-        let server = &mut self.servers[at.0];
+    /// Crashes a server's process and returns the tune-ins of its lost streams.
+    pub fn die(&mut self, server_no: ServerNo) -> Vec<TuneInKey> {
+        let server = &mut self.servers[server_no.0];
         server.up = false;
         (server.draining, server.faults) = (false, Faults::default());
-        server.births.clear();
+        server.latest_incarnations.clear();
         server.released.clear();
         std::mem::take(&mut server.streams).into_keys().collect()
     }
 
-    /// A process starts there, cold.
-    pub fn start(&mut self, now: Duration, at: ServerNo) {
-        let server = &mut self.servers[at.0];
-        (server.up, server.born, server.incarnation) = (true, Some(now), server.incarnation + 1);
-        server.set_ups.clear();
+    /// Starts a new process at a server, in slow start.
+    pub fn start(&mut self, now: Duration, server_no: ServerNo) {
+        let server = &mut self.servers[server_no.0];
+        (server.up, server.started_at, server.incarnation) = (true, Some(now), server.incarnation + 1);
+        server.recent_set_ups.clear();
     }
 
-    pub fn drain(&mut self, at: ServerNo) {
-        self.servers[at.0].draining = true;
+    /// Puts a server into draining.
+    pub fn drain(&mut self, server_no: ServerNo) {
+        self.servers[server_no.0].draining = true;
     }
 
-    /// Servers that fell over since the last call.
+    /// Returns the servers that crashed from overload since the last call.
     pub fn fallen(&mut self) -> Vec<ServerNo> {
-        std::mem::take(&mut self.fallen)
+        std::mem::take(&mut self.overloaded_servers)
     }
 
-    /// Notes that are due, each for one tune-in of a manager.
+    /// Returns the load notes that are due, each addressed to one tune-in of a manager.
     pub fn notes(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, LoadNote)> {
-        let mut due = vec![];
-        for at in self.boxes().filter(|at| self.servers[at.0].up && !self.servers[at.0].faults.frozen) {
-            let seen = (self.share(now, at), self.full(now, at), self.full_up(at));
-            let mut keys = BTreeMap::new();
-            for key in self.servers[at.0].streams.keys() {
-                keys.entry(key.manager).or_insert(*key);
+        let mut due_notes = vec![];
+        for server_no in self
+            .boxes()
+            .filter(|server_no| self.servers[server_no.0].up && !self.servers[server_no.0].faults.frozen)
+        {
+            let utilization =
+                (self.share(now, server_no), self.full(now, server_no), self.full_up(server_no));
+            let mut key_of_manager = BTreeMap::new();
+            for key in self.servers[server_no.0].streams.keys() {
+                key_of_manager.entry(key.manager).or_insert(*key);
             }
-            due.extend(self.notes.due(now, at, seen, &keys).into_iter().map(|(key, note)| (at, key, note)));
+            due_notes.extend(
+                self.load_notes
+                    .due(now, server_no, utilization, &key_of_manager)
+                    .into_iter()
+                    .map(|(key, note)| (server_no, key, note)),
+            );
         }
-        due
+        due_notes
     }
 
-    /// Notes come this much later than usual.
-    pub fn notes_late(&mut self, by: Duration) {
-        self.notes.late = by;
+    /// Delays load notes by this additional time.
+    pub fn notes_late(&mut self, delay: Duration) {
+        self.load_notes.additional_delay = delay;
     }
 }
 
--- a/crates/fleet/src/load_notes.rs
+++ b/crates/fleet/src/load_notes.rs
@@ -1,69 +1,92 @@
-//! Late notes to managers: the share delivered while it is short, and how full links and uplinks are.
+//! Delayed load notes to managers: the delivered share while it is too low, and the utilization of links and uplinks.
 
 use crate::{ManagerNo, ServerNo, TuneInKey};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Delivery under this share is told of.
-const FULL: f64 = 0.98;
-/// While it is short, once in this.
-const SHORT_EVERY: Duration = Duration::from_secs(1);
+/// Delivered shares below this value are reported.
+const FULL_SHARE_FRACTION: f64 = 0.98;
+/// Interval between reports while the delivered share is too low.
+const SHORTFALL_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A note, on one of a manager's tune-ins.
+/// Load note on one of a manager's tune-ins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadNote {
+    /// Fraction of their rates that the server's streams receive.
     Share(f64),
+    /// Utilization of the server's link.
     Link(f64),
+    /// Utilization of the uplink of the server's rack.
     Uplink(f64),
 }
 
-/// Share, link and uplink as they were at a time.
-type Seen = (Duration, (f64, f64, f64));
+/// Time of a measurement, with the delivered share and the utilization of link and uplink.
+type Sample = (Duration, (f64, f64, f64));
 
-/// How late notes are and how often they come, and what is still to be told.
+/// Schedule of load notes and the measurements still to be reported.
 pub struct LoadNotes {
-    seen: Duration,
-    told: Duration,
-    uplinks: bool,
-    pub(crate) late: Duration,
-    past: BTreeMap<ServerNo, VecDeque<Seen>>,
-    /// When each manager was last told of a server, that it was short, and how full it is.
-    last: BTreeMap<(ServerNo, ManagerNo), (Option<Duration>, Duration)>,
+    report_delay: Duration,
+    utilization_interval: Duration,
+    reports_uplinks: bool,
+    /// Delay from a fault, added to `report_delay`.
+    pub(crate) additional_delay: Duration,
+    /// Measurements of each server, from the latest one that is old enough to be reported.
+    history: BTreeMap<ServerNo, VecDeque<Sample>>,
+    /// When each manager last received a server's share (while too low) and its utilization.
+    last_reports: BTreeMap<(ServerNo, ManagerNo), (Option<Duration>, Duration)>,
 }
 
 impl LoadNotes {
-    /// `uplinks`: whether servers tell of their uplinks too.
-    pub fn new(seen: Duration, told: Duration, uplinks: bool) -> Self {
-        LoadNotes { seen, told, uplinks, late: Duration::ZERO, past: BTreeMap::new(), last: BTreeMap::new() }
+    /// Creates a schedule on which measurements are reported after `report_delay`.
+    ///
+    /// Utilization is reported every `utilization_interval`; `reports_uplinks` includes that of uplinks.
+    pub fn new(report_delay: Duration, utilization_interval: Duration, reports_uplinks: bool) -> Self {
+        LoadNotes {
+            report_delay,
+            utilization_interval,
+            reports_uplinks,
+            additional_delay: Duration::ZERO,
+            history: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
+        }
     }
 
+    /// Adds a measurement and returns the notes that are due: one per manager and kind, at the given tune-in.
     pub(crate) fn due(
-        &mut self, now: Duration, at: ServerNo, seen: (f64, f64, f64), keys: &BTreeMap<ManagerNo, TuneInKey>,
+        &mut self, now: Duration, server_no: ServerNo, sample: (f64, f64, f64),
+        key_of_manager: &BTreeMap<ManagerNo, TuneInKey>,
     ) -> Vec<(TuneInKey, LoadNote)> {
-        let past = self.past.entry(at).or_default();
-        past.push_back((now, seen));
-        let late = self.seen + self.late;
-        while past.len() > 1 && past[1].0 + late <= now {
-            past.pop_front();
+        let history = self.history.entry(server_no).or_default();
+        history.push_back((now, sample));
+        let total_delay = self.report_delay + self.additional_delay;
+        while history.len() > 1 && history[1].0 + total_delay <= now {
+            history.pop_front();
         }
-        let Some(&(_, (share, full, full_up))) = past.front().filter(|(at, _)| *at + late <= now) else {
+        let Some(&(_, (share, link_utilization, uplink_utilization))) =
+            history.front().filter(|(sampled_at, _)| *sampled_at + total_delay <= now)
+        else {
             return vec![];
         };
-        let mut due = vec![];
-        for (manager, key) in keys {
-            let (short, told) = self.last.entry((at, *manager)).or_insert((None, now));
-            let was = short.is_some();
-            if (share < FULL && short.is_none_or(|last| now >= last + SHORT_EVERY)) || (was && share >= FULL)
+        let mut due_notes = vec![];
+        for (manager, key) in key_of_manager {
+            let (short_reported_at, utilization_reported_at) =
+                self.last_reports.entry((server_no, *manager)).or_insert((None, now));
+            let was_short = short_reported_at.is_some();
+            if (share < FULL_SHARE_FRACTION
+                && short_reported_at
+                    .is_none_or(|last_reported_at| now >= last_reported_at + SHORTFALL_REPORT_INTERVAL))
+                || (was_short && share >= FULL_SHARE_FRACTION)
             {
-                due.push((*key, LoadNote::Share(share)));
-                *short = (share < FULL).then_some(now);
+                due_notes.push((*key, LoadNote::Share(share)));
+                *short_reported_at = (share < FULL_SHARE_FRACTION).then_some(now);
             }
-            if now >= *told + self.told {
-                *told = now;
-                due.push((*key, LoadNote::Link(full)));
-                due.extend(self.uplinks.then_some((*key, LoadNote::Uplink(full_up))));
+            if now >= *utilization_reported_at + self.utilization_interval {
+                *utilization_reported_at = now;
+                due_notes.push((*key, LoadNote::Link(link_utilization)));
+                due_notes
+                    .extend(self.reports_uplinks.then_some((*key, LoadNote::Uplink(uplink_utilization))));
             }
         }
-        due
+        due_notes
     }
 }
--- a/crates/fleet/src/slow_start.rs
+++ b/crates/fleet/src/slow_start.rs
@@ -1,38 +1,51 @@
-//! Servers that have just started: what they give, and when they are pushed over.
+//! Slow start: the reduced capacity of a server that has just started, and when set-ups overload it.
 
 use crate::ManagerNo;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How servers warm up, and how much faster than they can take set-ups for how long pushes them over.
+/// Parameters of a server's slow start.
+///
+/// A cold server crashes when set-ups arrive at more than `multiple` times the rate that it can accept,
+/// measured over the window `fall`.
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
+    /// Fraction of its capacity that a server has right after its start.
     pub from: f64,
+    /// Time until a server has its whole capacity.
     pub warm_up: Duration,
+    /// Multiple of the acceptable set-up rate above which a cold server crashes.
     pub multiple: f64,
+    /// Window over which set-ups are counted.
     pub fall: Duration,
 }
 
 impl Cold {
-    /// The share of its capacity that a server has.
-    pub fn warmth(&self, now: Duration, born: Option<Duration>) -> f64 {
-        let Some(born) = born else { return 1.0 };
-        let age = now.saturating_sub(born).as_secs_f64() / self.warm_up.as_secs_f64();
-        (self.from + (1.0 - self.from) * age).min(1.0)
+    /// Returns the fraction of its capacity that a server has at `now`; 1 without a known start.
+    pub fn warmth(&self, now: Duration, started_at: Option<Duration>) -> f64 {
+        let Some(started_at) = started_at else { return 1.0 };
+        let warm_up_fraction = now.saturating_sub(started_at).as_secs_f64() / self.warm_up.as_secs_f64();
+        (self.from + (1.0 - self.from) * warm_up_fraction).min(1.0)
     }
 
-    /// Whether the set-ups of the last window push it over; older ones are dropped.
+    /// Returns whether the set-ups of the last window overload a cold server.
+    ///
+    /// Removes the set-ups that are older than the window.
     pub fn falls(
-        &self, now: Duration, born: Option<Duration>, places: usize,
-        set_ups: &mut VecDeque<(Duration, ManagerNo)>,
+        &self, now: Duration, started_at: Option<Duration>, max_streams: usize,
+        recent_set_ups: &mut VecDeque<(Duration, ManagerNo)>,
     ) -> bool {
-        while set_ups.front().is_some_and(|(at, _)| *at + self.fall <= now) {
-            set_ups.pop_front();
+        while recent_set_ups.front().is_some_and(|(at, _)| *at + self.fall <= now) {
+            recent_set_ups.pop_front();
         }
-        let Some(born) = born.filter(|born| now < *born + self.warm_up) else { return false };
-        let pace = places as f64 / self.warm_up.as_secs_f64() * self.warmth(now, Some(born));
-        let bears = self.multiple * pace * self.fall.as_secs_f64();
-        // Three roots of it and three more are chance, as managers that draw alone may come at once.
-        set_ups.len() as f64 > bears + 3.0 * bears.sqrt() + 3.0
+        let Some(started_at) = started_at.filter(|start| now < *start + self.warm_up) else {
+            return false;
+        };
+        let allowed_rate =
+            max_streams as f64 / self.warm_up.as_secs_f64() * self.warmth(now, Some(started_at));
+        let allowed = self.multiple * allowed_rate * self.fall.as_secs_f64();
+        // Managers choose servers independently, so their set-ups can coincide: three standard deviations and three
+        // more set-ups are tolerated as chance.
+        recent_set_ups.len() as f64 > allowed + 3.0 * allowed.sqrt() + 3.0
     }
 }
