--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
 //! An event-driven model of video servers, their links and their racks' uplinks.
 //!
-//! The model covers shared bandwidth, stream limits, slow start and overload of servers that have just started, leases,
-//! the rejection of outdated set-ups, load reports and faults. It has no sockets and no clock: `now` is the time since
-//! the model's start, and all random numbers come from the seed.
+//! The model covers shared bandwidth, stream limits, slow start and overload of servers that have just
+//! started, leases, the rejection of outdated set-ups, load reports and faults. It has no sockets and no
+//! clock: `now` is the time since the model's start, and all random numbers come from the seed.
 
 mod load_notes;
 mod slow_start;
@@ -42,7 +42,8 @@
     Full,
     /// Refused before it ran: the server is draining.
     Draining,
-    /// Refused before it ran: the tune-in is older than what the server knows of the viewing or its manager.
+    /// Refused before it ran: the tune-in is older than what the server knows of the viewing or its
+    /// manager.
     Stale,
     /// The server reports an error; to the manager, the set-up may have run.
     Error,
@@ -143,10 +144,11 @@
 impl Fleet {
     /// Creates a fleet of warm servers.
     ///
-    /// A server's cell is its index modulo the number of cells, and its rack is the cell modulo the number of racks.
-    /// `link` and `uplink` are bandwidths in kB/s, varied by at most the fraction `rate_variation` up or down.
-    /// A server runs at most `max_streams` streams and refuses set-ups while its link utilization is at least
-    /// `max_link_utilization` (0: never). A set-up takes `set_up_duration_mean` on average.
+    /// A server's cell is its index modulo the number of cells, and its rack is the cell modulo the
+    /// number of racks. `link` and `uplink` are bandwidths in kB/s, varied by at most the fraction
+    /// `rate_variation` up or down. A server runs at most `max_streams` streams and refuses set-ups while
+    /// its link utilization is at least `max_link_utilization` (0: never). A set-up takes
+    /// `set_up_duration_mean` on average.
     pub fn new(
         seed: u64, servers: usize, (cell_count, rack_count): (usize, usize),
         (link, uplink, rate_variation): (f64, f64, f64),
@@ -272,7 +274,8 @@
 
     /// Runs a set-up at a server.
     ///
-    /// `rates` are the rates of the title's rungs in kB/s. The stream ends when no fetch arrives for `lease`.
+    /// `rates` are the rates of the title's rungs in kB/s. The stream ends when no fetch arrives for
+    /// `lease`.
     pub fn set_up(
         &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, rates: &[f64], rung: usize,
         lease: Duration,
@@ -284,7 +287,8 @@
             self.max_link_utilization > 0.0 && self.full(now, server_no) >= self.max_link_utilization;
         let (max_streams, mean_duration) = (self.max_streams, self.set_up_duration_mean);
         let server = &mut self.servers[server_no.0];
-        // Guards against a set-up that arrives after its manager restarted, or after its viewing moved to another server.
+        // Guards against a set-up that arrives after its manager restarted, or after its viewing moved to
+        // another server.
         let latest_incarnation = server.latest_incarnations.entry(key.manager).or_insert(key.incarnation);
         *latest_incarnation = key.incarnation.max(*latest_incarnation);
         let released = server.released.get(&(key.manager, key.incarnation, key.viewing_id));
@@ -334,7 +338,8 @@
 
     /// Ends a tune-in's stream and returns whether there was one.
     ///
-    /// For the time `remembered_for`, set-ups of the viewing with this tune-in's number or a lower one are refused.
+    /// For the time `remembered_for`, set-ups of the viewing with this tune-in's number or a lower one
+    /// are refused.
     pub fn release(
         &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, remembered_for: Duration,
     ) -> bool {
--- a/crates/fleet/src/load_notes.rs
+++ b/crates/fleet/src/load_notes.rs
@@ -1,4 +1,5 @@
-//! Delayed load notes to managers: the delivered share while it is too low, and the utilization of links and uplinks.
+//! Delayed load notes to managers: the delivered share while it is too low, and the utilization of links
+//! and uplinks.
 
 use crate::{ManagerNo, ServerNo, TuneInKey};
 use std::collections::{BTreeMap, VecDeque};
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Adds a measurement and returns the notes that are due: one per manager and kind, at the given tune-in.
+    /// Adds a measurement and returns the notes that are due: one per manager and kind, at the given
+    /// tune-in.
     pub(crate) fn due(
         &mut self, now: Duration, server_no: ServerNo, sample: (f64, f64, f64),
         key_of_manager: &BTreeMap<ManagerNo, TuneInKey>,
--- a/crates/fleet/src/slow_start.rs
+++ b/crates/fleet/src/slow_start.rs
@@ -38,14 +38,12 @@
         while recent_set_ups.front().is_some_and(|(at, _)| *at + self.fall <= now) {
             recent_set_ups.pop_front();
         }
-        let Some(started_at) = started_at.filter(|start| now < *start + self.warm_up) else {
-            return false;
-        };
+        let Some(started_at) = started_at.filter(|start| now < *start + self.warm_up) else { return false };
         let allowed_rate =
             max_streams as f64 / self.warm_up.as_secs_f64() * self.warmth(now, Some(started_at));
         let allowed = self.multiple * allowed_rate * self.fall.as_secs_f64();
-        // Managers choose servers independently, so their set-ups can coincide: three standard deviations and three
-        // more set-ups are tolerated as chance.
+        // Managers choose servers independently, so their set-ups can coincide: three standard deviations
+        // and three more set-ups are tolerated as chance.
         recent_set_ups.len() as f64 > allowed + 3.0 * allowed.sqrt() + 3.0
     }
 }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -117,7 +117,8 @@
 
 #[test]
 fn a_cold_server_crashes_only_above_its_acceptable_set_up_rate() {
-    // 20 streams over 10 s at half capacity and a multiple of 2: two set-ups per second, plus the tolerance.
+    // 20 streams over 10 s at half capacity and a multiple of 2: two set-ups per second, plus the
+    // tolerance.
     for (interval_ms, crashes) in [(500, false), (100, true)] {
         let mut fleet = fleet(20, 0.0);
         fleet.die(ServerNo(0));
