--- a/crates/standin/src/fleet_settings.rs
+++ b/crates/standin/src/fleet_settings.rs
@@ -1,26 +1,29 @@
-//! The fleet that a script gives.
+//! Builds a fleet model from the `Fleet` section of a script.
 
 use ivyward_fleet::{Cold, Fleet, LoadNotes};
 use ivyward_settings::Section;
 
-/// The fleet of a `Fleet` part, for managers that go by the settings given.
-pub fn fleet(seed: u64, part: &Section, settings: &Section) -> Fleet {
+/// Builds the fleet described by a `Fleet` section, for managers with the given settings.
+pub fn fleet(seed: u64, fleet_section: &Section, settings: &Section) -> Fleet {
     let network = settings.section("network");
-    let cold = Cold {
-        from: part.number("cold_from"),
-        warm_up: part.duration("warm_up_s"),
-        multiple: part.number("multiple"),
-        fall: part.duration("fall_s"),
+    let slow_start = Cold {
+        from: fleet_section.number("cold_from"),
+        warm_up: fleet_section.duration("warm_up_s"),
+        multiple: fleet_section.number("multiple"),
+        fall: fleet_section.duration("fall_s"),
     };
-    let notes =
-        LoadNotes::new(part.duration("seen_s"), part.duration("told_s"), part.boolean("reports_uplink"));
+    let load_notes = LoadNotes::new(
+        fleet_section.duration("seen_s"),
+        fleet_section.duration("told_s"),
+        fleet_section.boolean("reports_uplink"),
+    );
     Fleet::new(
         seed,
-        part.count("servers"),
+        fleet_section.count("servers"),
         (network.count("places"), network.count("racks")),
-        (part.number("link_kb"), part.number("uplink_kb"), part.number("uneven")),
-        (part.count("places"), part.number("guard"), part.duration("set_up_s")),
-        cold,
-        notes,
+        (fleet_section.number("link_kb"), fleet_section.number("uplink_kb"), fleet_section.number("uneven")),
+        (fleet_section.count("places"), fleet_section.number("guard"), fleet_section.duration("set_up_s")),
+        slow_start,
+        load_notes,
     )
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,8 @@
-//! Stand-ins of the video servers and of the list service: the model of `ivyward-fleet` behind sockets on loopback,
-//! many servers in one process. What passes on the sockets is recorded as it passes. They are not real servers: what
-//! they show of a manager is how it behaves, not how fast a real fleet is.
+//! Stand-ins of the video servers and of the server list service.
+//!
+//! They put the model of `ivyward-fleet` behind loopback sockets, many servers in one process, and record
+//! the traffic on these sockets. They are not real servers: they show how a manager behaves, not how fast
+//! a real fleet is.
 
 mod fleet_settings;
 pub mod platform;
@@ -19,7 +21,7 @@
 use ivyward_dash::token::Keys;
 use ivyward_fleet::{Fleet, LoadNote, ManagerNo, ServerNo, StreamEnd, TuneInKey};
 use serde_json::{Value, json};
-use server_list::List;
+use server_list::ServerList;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -33,70 +35,78 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// The model is looked at so often for notes, leases and falls.
-const TICK: Duration = Duration::from_millis(50);
-/// Events that a slow reader may have waiting.
-const WAITING: usize = 1024;
+/// Interval at which the model is checked for load notes, expired leases and overloaded servers.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of events queued for a slow reader.
+const EVENT_QUEUE_LENGTH: usize = 1024;
 
+/// Body of a response: a whole text or a stream of events.
 pub(crate) type Body = http_body_util::Either<http_body_util::Full<Bytes>, Channel<Bytes, Infallible>>;
 
-/// A manager, its start, and where its notes go.
-type Reader = (ManagerNo, u64, Sender<Bytes, Infallible>);
+/// A manager, its incarnation, and the sender of the event stream that carries its notes.
+type NoteReader = (ManagerNo, u64, Sender<Bytes, Infallible>);
 
-/// What a set-up said of its stream.
+/// Properties of a stream, from its set-up.
 #[derive(Clone)]
-struct About {
+struct StreamInfo {
     session: u128,
     package: usize,
     title: String,
-    top: usize,
-    /// How many segments it has, and how long each is.
+    top_rung: usize,
+    /// Number of segments.
     segments: u64,
-    span: Duration,
-    /// When its manifests say that it began, in seconds.
-    began: u64,
+    /// Playing time of each segment.
+    segment_duration: Duration,
+    /// Start of the presentation in the stream's manifests, in seconds since the Unix epoch.
+    began_at_s: u64,
 }
 
-/// One server's sockets.
-struct Door {
+/// Sockets of one server.
+struct ServerSockets {
     address: SocketAddr,
-    /// Ends its listener and connections.
-    life: RefCell<CancellationToken>,
+    /// Closes the listener and all connections.
+    shutdown: RefCell<CancellationToken>,
+    /// Wakes requests that wait for the server to thaw.
     thawed: Notify,
-    /// It doesn't even accept.
-    silent: Cell<bool>,
-    readers: RefCell<Vec<Reader>>,
-    /// Its clock goes so many seconds before the right one.
-    ahead: Cell<i64>,
-    /// Connections that stand.
-    open: Cell<usize>,
+    /// Whether the server accepts no connections.
+    accept_paused: Cell<bool>,
+    note_readers: RefCell<Vec<NoteReader>>,
+    /// Offset of the server's clock from the right time, in seconds; positive when ahead.
+    clock_offset_s: Cell<i64>,
+    /// Number of open connections.
+    connection_count: Cell<usize>,
 }
 
+/// State that all stand-ins share.
 struct State {
     fleet: RefCell<Fleet>,
-    doors: Vec<Door>,
-    list: List,
-    keys: RefCell<Keys>,
-    skew: Duration,
-    /// True rates over the ladder's, by title, lie this part above or below.
-    vary: f64,
+    server_sockets: Vec<ServerSockets>,
+    server_list: ServerList,
+    /// Keys that check players' tokens.
+    token_keys: RefCell<Keys>,
+    /// Clock skew that is tolerated between a manager and a server.
+    max_clock_skew: Duration,
+    /// Maximum fraction by which a title's true rates lie above or below the ladder's rates.
+    rate_variation: f64,
     seed: u64,
-    managers: RefCell<BTreeMap<String, ManagerNo>>,
-    /// What each stream is of.
-    abouts: RefCell<BTreeMap<(ServerNo, TuneInKey), About>>,
+    /// Numbers of the managers, by name.
+    manager_numbers: RefCell<BTreeMap<String, ManagerNo>>,
+    /// Properties of each stream.
+    stream_infos: RefCell<BTreeMap<(ServerNo, TuneInKey), StreamInfo>>,
     records: Records,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// A fleet of stand-ins that runs. To be used on one `LocalSet`.
+/// A running fleet of stand-ins; all of its handles belong to one `LocalSet`.
 #[derive(Clone)]
 pub struct Standins(Rc<State>);
 
-fn event(value: Value) -> Frame<Bytes> {
+/// Formats a JSON value as a server-sent event.
+fn sse_frame(value: Value) -> Frame<Bytes> {
     Frame::data(Bytes::from(format!("data: {value}\n\n")))
 }
 
-/// A listener that can be opened again at once where one was closed.
+/// Opens a listener; its address can be reused immediately after it is closed.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -104,286 +114,315 @@
     socket.listen(1024)
 }
 
-/// The loopback address of a server, by its order.
-fn address(at: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 1, (at / 250) as u8, (at % 250 + 1) as u8), 0))
+/// Returns the loopback address of a server by its index.
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::new(127, 1, (index / 250) as u8, (index % 250 + 1) as u8), 0))
 }
 
 impl Standins {
-    /// Opens all servers and the list service. `keys` check players' tokens, with clocks `skew` apart at most; `list_late`:
-    /// how late the list is; `begun`: when the records' clock starts.
+    /// Opens all servers and the server list service.
+    ///
+    /// `token_keys` check players' tokens, with clocks at most `max_clock_skew` apart. `list_delay` is
+    /// the delay of the server list, and the times of records count from `started_at`.
     ///
     /// # Errors
-    /// An address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub fn open(
-        seed: u64, fleet: Fleet, cells: usize, (keys, skew): (Keys, Duration),
-        (vary, list_late): (f64, Duration), begun: Instant,
+        seed: u64, fleet: Fleet, cell_count: usize, (token_keys, max_clock_skew): (Keys, Duration),
+        (rate_variation, list_delay): (f64, Duration), started_at: Instant,
     ) -> io::Result<Standins> {
-        let listeners: Vec<_> = (0..fleet.len()).map(|at| listen(address(at))).collect::<io::Result<_>>()?;
-        let doors = listeners.iter().map(|listener| {
-            Ok(Door {
+        let listeners: Vec<_> =
+            (0..fleet.len()).map(|index| listen(address(index))).collect::<io::Result<_>>()?;
+        let server_sockets = listeners.iter().map(|listener| {
+            Ok(ServerSockets {
                 address: listener.local_addr()?,
-                life: RefCell::default(),
+                shutdown: RefCell::default(),
                 thawed: Notify::new(),
-                silent: Cell::new(false),
-                readers: RefCell::default(),
-                ahead: Cell::new(0),
-                open: Cell::new(0),
+                accept_paused: Cell::new(false),
+                note_readers: RefCell::default(),
+                clock_offset_s: Cell::new(0),
+                connection_count: Cell::new(0),
             })
         });
-        let doors: Vec<_> = doors.collect::<io::Result<_>>()?;
-        let rows = fleet.boxes().map(|at| server_list::Row::new(doors[at.0].address, at.0 % cells.max(1)));
-        let list = List::new(rows.collect(), list_late);
+        let server_sockets: Vec<_> = server_sockets.collect::<io::Result<_>>()?;
+        let list_rows = fleet.boxes().map(|server_no| {
+            server_list::Row::new(server_sockets[server_no.0].address, server_no.0 % cell_count.max(1))
+        });
+        let server_list = ServerList::new(list_rows.collect(), list_delay);
         let list_listener = listen(SocketAddr::from(([127, 1, 0, 0], 0)))?;
-        list.address.set(list_listener.local_addr()?);
+        server_list.address.set(list_listener.local_addr()?);
         let state = State {
             fleet: RefCell::new(fleet),
-            doors,
-            list,
-            keys: RefCell::new(keys),
-            skew,
-            vary,
+            server_sockets,
+            server_list,
+            token_keys: RefCell::new(token_keys),
+            max_clock_skew,
+            rate_variation,
             seed,
-            managers: RefCell::default(),
-            abouts: RefCell::default(),
+            manager_numbers: RefCell::default(),
+            stream_infos: RefCell::default(),
             records: Records::default(),
-            begun,
+            started_at,
         };
         let standins = Standins(Rc::new(state));
-        listeners.into_iter().enumerate().for_each(|(at, listener)| standins.serve(ServerNo(at), listener));
+        listeners
+            .into_iter()
+            .enumerate()
+            .for_each(|(index, listener)| standins.serve(ServerNo(index), listener));
         spawn_local(standins.clone().serve_list(list_listener));
         spawn_local(standins.clone().tick());
         Ok(standins)
     }
 
+    /// Returns the time since the start of the records.
     pub fn now(&self) -> Duration {
-        self.0.begun.elapsed()
+        self.0.started_at.elapsed()
     }
 
+    /// Returns the address of the server list service.
     pub fn list_address(&self) -> SocketAddr {
-        self.0.list.address.get()
+        self.0.server_list.address.get()
     }
 
-    pub fn address(&self, at: ServerNo) -> SocketAddr {
-        self.0.doors[at.0].address
+    /// Returns a server's address.
+    pub fn address(&self, server_no: ServerNo) -> SocketAddr {
+        self.0.server_sockets[server_no.0].address
     }
 
+    /// Returns the records.
     pub fn records(&self) -> &Records {
         &self.0.records
     }
 
-    fn record(&self, what: Event) {
-        self.0.records.add(self.now(), what);
+    /// Records an event at the current time.
+    fn record(&self, recorded: Event) {
+        self.0.records.add(self.now(), recorded);
     }
 
-    /// Looks at the model, or changes it.
-    pub fn model<T>(&self, with: impl FnOnce(&mut Fleet) -> T) -> T {
-        with(&mut self.0.fleet.borrow_mut())
+    /// Reads or changes the model.
+    pub fn model<T>(&self, access: impl FnOnce(&mut Fleet) -> T) -> T {
+        access(&mut self.0.fleet.borrow_mut())
     }
 
-    /// The number that a manager has here.
+    /// Returns a manager's number; assigns one to a new name.
     pub(crate) fn manager(&self, name: &str) -> ManagerNo {
-        let mut managers = self.0.managers.borrow_mut();
-        let next = ManagerNo(managers.len() as u32);
-        *managers.entry(name.to_string()).or_insert(next)
+        let mut manager_numbers = self.0.manager_numbers.borrow_mut();
+        let next = ManagerNo(manager_numbers.len() as u32);
+        *manager_numbers.entry(name.to_string()).or_insert(next)
     }
 
+    /// Returns the names of the managers by number.
     pub fn manager_names(&self) -> BTreeMap<ManagerNo, String> {
-        self.0.managers.borrow().iter().map(|(name, no)| (*no, name.clone())).collect()
+        self.0.manager_numbers.borrow().iter().map(|(name, no)| (*no, name.clone())).collect()
     }
 
-    fn serve(&self, at: ServerNo, listener: TcpListener) {
-        let life = CancellationToken::new();
-        *self.0.doors[at.0].life.borrow_mut() = life.clone();
+    /// Accepts a server's connections and serves them until its sockets are closed.
+    fn serve(&self, server_no: ServerNo, listener: TcpListener) {
+        let shutdown = CancellationToken::new();
+        *self.0.server_sockets[server_no.0].shutdown.borrow_mut() = shutdown.clone();
         let standins = self.clone();
         spawn_local(async move {
-            let ended = life.clone();
+            let listener_shutdown = shutdown.clone();
             let accept = async {
                 loop {
-                    while standins.0.doors[at.0].silent.get() {
-                        sleep(TICK).await;
+                    while standins.0.server_sockets[server_no.0].accept_paused.get() {
+                        sleep(TICK_INTERVAL).await;
                     }
                     let Ok((stream, _)) = listener.accept().await else { continue };
                     stream.set_nodelay(true).ok();
-                    let (standins, life) = (standins.clone(), life.clone());
+                    let (standins, shutdown) = (standins.clone(), shutdown.clone());
                     spawn_local(async move {
-                        let open = &standins.0.doors[at.0].open;
-                        open.set(open.get() + 1);
-                        let service =
-                            hyper::service::service_fn(|request| standins.clone().answer(at, request));
+                        let connection_count = &standins.0.server_sockets[server_no.0].connection_count;
+                        connection_count.set(connection_count.get() + 1);
+                        let service = hyper::service::service_fn(|request| {
+                            standins.clone().handle_request(server_no, request)
+                        });
                         let connection = hyper::server::conn::http1::Builder::new()
                             .serve_connection(TokioIo::new(stream), service);
                         tokio::select! {
                             _ = connection => {}
-                            () = life.cancelled() => {}
+                            () = shutdown.cancelled() => {}
                         }
-                        open.set(open.get() - 1);
+                        connection_count.set(connection_count.get() - 1);
                     });
                 }
             };
-            tokio::select! { () = accept => {}, () = ended.cancelled() => {} }
+            tokio::select! { () = accept => {}, () = listener_shutdown.cancelled() => {} }
         });
     }
 
+    /// Handles expired leases, overloaded servers and due load notes at each tick.
     async fn tick(self) {
         loop {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
             let now = self.now();
-            for (at, key, why) in self.model(|fleet| fleet.expire(now)) {
-                self.over(at, key, why);
+            for (server_no, key, end_reason) in self.model(|fleet| fleet.expire(now)) {
+                self.on_stream_end(server_no, key, end_reason);
             }
-            for at in self.model(Fleet::fallen) {
-                self.record(Event::ServerOverloaded { server: at });
-                self.closed(at);
-                self.list_soon(at, ServerStatus::Gone);
+            for server_no in self.model(Fleet::fallen) {
+                self.record(Event::ServerOverloaded { server: server_no });
+                self.close_sockets(server_no);
+                self.schedule_list_update(server_no, ServerStatus::Gone);
             }
-            for (at, key, note) in self.model(|fleet| fleet.notes(now)) {
-                let (what, x) = match note {
-                    LoadNote::Share(x) => ("share", x),
-                    LoadNote::Link(x) => ("link", x),
-                    LoadNote::Uplink(x) => ("uplink", x),
+            for (server_no, key, note) in self.model(|fleet| fleet.notes(now)) {
+                let (note_kind, value) = match note {
+                    LoadNote::Share(share) => ("share", share),
+                    LoadNote::Link(utilization) => ("link", utilization),
+                    LoadNote::Uplink(utilization) => ("uplink", utilization),
                 };
-                self.tell(
-                    at,
+                self.notify_manager(
+                    server_no,
                     key,
-                    json!({"note": what, "x": x, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}),
+                    json!({"note": note_kind, "x": value, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}),
                 );
             }
         }
     }
 
-    /// A stream is over: its manager is told.
-    fn over(&self, at: ServerNo, key: TuneInKey, why: StreamEnd) {
-        self.0.abouts.borrow_mut().remove(&(at, key));
-        self.record(Event::StreamEnded { server: at, key, why });
-        let why = match why {
+    /// Records the end of a stream and notifies its manager, unless the manager released it or the server
+    /// crashed.
+    fn on_stream_end(&self, server_no: ServerNo, key: TuneInKey, end_reason: StreamEnd) {
+        self.0.stream_infos.borrow_mut().remove(&(server_no, key));
+        self.record(Event::StreamEnded { server: server_no, key, why: end_reason });
+        let reported_reason = match end_reason {
             StreamEnd::Ended => "ended",
             StreamEnd::Lease => "left",
             StreamEnd::Released | StreamEnd::Died => return,
         };
-        self.tell(at, key, json!({"over": why, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}));
+        self.notify_manager(
+            server_no,
+            key,
+            json!({"over": reported_reason, "birth": key.incarnation, "vw": key.viewing_id, "n": key.n}),
+        );
     }
 
-    fn tell(&self, at: ServerNo, key: TuneInKey, value: Value) {
-        let mut readers = self.0.doors[at.0].readers.borrow_mut();
-        readers.retain_mut(|(manager, incarnation, sender)| {
+    /// Sends an event to each incarnation of the tune-in's manager that is not older than the tune-in's.
+    ///
+    /// Removes readers that are gone or whose queue is full.
+    fn notify_manager(&self, server_no: ServerNo, key: TuneInKey, value: Value) {
+        let mut note_readers = self.0.server_sockets[server_no.0].note_readers.borrow_mut();
+        note_readers.retain_mut(|(manager, incarnation, sender)| {
             *manager != key.manager
                 || *incarnation < key.incarnation
-                || sender.try_send(event(value.clone())).is_ok()
+                || sender.try_send(sse_frame(value.clone())).is_ok()
         });
     }
 
-    /// Its sockets close at once.
-    fn closed(&self, at: ServerNo) {
-        let door = &self.0.doors[at.0];
-        door.life.borrow().cancel();
-        door.readers.borrow_mut().clear();
-        door.silent.set(false);
-        door.thawed.notify_waiters();
+    /// Closes a server's listener, connections and event streams.
+    fn close_sockets(&self, server_no: ServerNo) {
+        let sockets = &self.0.server_sockets[server_no.0];
+        sockets.shutdown.borrow().cancel();
+        sockets.note_readers.borrow_mut().clear();
+        sockets.accept_paused.set(false);
+        sockets.thawed.notify_waiters();
     }
 
-    /// Stands still: takes what comes and answers nothing.
-    pub fn freeze(&self, at: ServerNo) {
-        self.record(Event::Fault { server: at, name: "freeze", on: true });
-        self.model(|fleet| fleet.faults(at).frozen = true);
+    /// Freezes a server: it accepts requests and answers none.
+    pub fn freeze(&self, server_no: ServerNo) {
+        self.record(Event::Fault { server: server_no, name: "freeze", on: true });
+        self.model(|fleet| fleet.faults(server_no).frozen = true);
     }
 
-    /// Goes on with what it took.
-    pub fn thaw(&self, at: ServerNo) {
-        self.record(Event::Fault { server: at, name: "freeze", on: false });
-        self.model(|fleet| fleet.faults(at).frozen = false);
-        self.0.doors[at.0].silent.set(false);
-        self.0.doors[at.0].thawed.notify_waiters();
+    /// Thaws a server: it continues with the requests that it has accepted.
+    pub fn thaw(&self, server_no: ServerNo) {
+        self.record(Event::Fault { server: server_no, name: "freeze", on: false });
+        self.model(|fleet| fleet.faults(server_no).frozen = false);
+        self.0.server_sockets[server_no.0].accept_paused.set(false);
+        self.0.server_sockets[server_no.0].thawed.notify_waiters();
     }
 
-    /// Goes silent: nothing is accepted either.
-    pub fn vanish(&self, at: ServerNo) {
-        self.freeze(at);
-        self.0.doors[at.0].silent.set(true);
+    /// Freezes a server and stops accepting connections.
+    pub fn vanish(&self, server_no: ServerNo) {
+        self.freeze(server_no);
+        self.0.server_sockets[server_no.0].accept_paused.set(true);
     }
 
-    /// The process dies.
-    pub fn crash(&self, at: ServerNo) {
-        let managers = self.model(|fleet| fleet.managers(at));
-        self.record(Event::ServerDied { server: at, managers });
-        for key in self.model(|fleet| fleet.die(at)) {
-            self.over(at, key, StreamEnd::Died);
+    /// Crashes a server's process.
+    pub fn crash(&self, server_no: ServerNo) {
+        let managers = self.model(|fleet| fleet.managers(server_no));
+        self.record(Event::ServerDied { server: server_no, managers });
+        for key in self.model(|fleet| fleet.die(server_no)) {
+            self.on_stream_end(server_no, key, StreamEnd::Died);
         }
-        self.closed(at);
-        self.list_soon(at, ServerStatus::Gone);
+        self.close_sockets(server_no);
+        self.schedule_list_update(server_no, ServerStatus::Gone);
     }
 
-    /// A process starts there, cold, as soon as its address is free.
-    pub fn start(&self, at: ServerNo) {
+    /// Starts a new process, in slow start, as soon as the server's address is free.
+    pub fn start(&self, server_no: ServerNo) {
         let standins = self.clone();
         spawn_local(async move {
-            let listener = standins.listener(at).await;
+            let listener = standins.reopen_listener(server_no).await;
             let now = standins.now();
-            standins.model(|fleet| fleet.start(now, at));
-            standins.record(Event::ServerStarted { server: at });
-            standins.serve(at, listener);
-            standins.list_soon(at, ServerStatus::Ready);
+            standins.model(|fleet| fleet.start(now, server_no));
+            standins.record(Event::ServerStarted { server: server_no });
+            standins.serve(server_no, listener);
+            standins.schedule_list_update(server_no, ServerStatus::Ready);
         });
     }
 
-    /// Its sockets close and nobody listens there, while the process lives on and the list knows of nothing.
-    pub fn refuse(&self, at: ServerNo) {
-        self.record(Event::Fault { server: at, name: "refuse", on: true });
-        self.closed(at);
+    /// Closes a server's sockets without reopening them; the process keeps running and the server list is
+    /// not updated.
+    pub fn refuse(&self, server_no: ServerNo) {
+        self.record(Event::Fault { server: server_no, name: "refuse", on: true });
+        self.close_sockets(server_no);
     }
 
-    /// It listens again as soon as its address is free.
-    pub fn accept(&self, at: ServerNo) {
+    /// Listens again after `refuse`, as soon as the server's address is free.
+    pub fn accept(&self, server_no: ServerNo) {
         let standins = self.clone();
         spawn_local(async move {
-            let listener = standins.listener(at).await;
-            standins.record(Event::Fault { server: at, name: "refuse", on: false });
-            standins.serve(at, listener);
+            let listener = standins.reopen_listener(server_no).await;
+            standins.record(Event::Fault { server: server_no, name: "refuse", on: false });
+            standins.serve(server_no, listener);
         });
     }
 
-    async fn listener(&self, at: ServerNo) -> TcpListener {
+    /// Opens a server's listener again, retrying until its address is free.
+    async fn reopen_listener(&self, server_no: ServerNo) -> TcpListener {
         loop {
-            match listen(self.0.doors[at.0].address) {
+            match listen(self.0.server_sockets[server_no.0].address) {
                 Ok(listener) => return listener,
-                // The one before has not let go of it yet.
-                Err(_) => sleep(TICK / 10).await,
+                // The previous listener has not released the address yet.
+                Err(_) => sleep(TICK_INTERVAL / 10).await,
             }
         }
     }
 
-    pub fn drain(&self, at: ServerNo) {
-        self.record(Event::Fault { server: at, name: "drain", on: true });
-        self.model(|fleet| fleet.drain(at));
-        self.list_soon(at, ServerStatus::Draining);
+    /// Puts a server into draining.
+    pub fn drain(&self, server_no: ServerNo) {
+        self.record(Event::Fault { server: server_no, name: "drain", on: true });
+        self.model(|fleet| fleet.drain(server_no));
+        self.schedule_list_update(server_no, ServerStatus::Draining);
     }
 
-    /// Its clock jumps so many seconds ahead of the right one, or back behind it.
-    pub fn clock(&self, at: ServerNo, ahead: i64) {
-        self.record(Event::Fault { server: at, name: "clock", on: ahead != 0 });
-        self.0.doors[at.0].ahead.set(ahead);
+    /// Sets a server's clock ahead of the right time by this many seconds, or behind it if negative.
+    pub fn clock(&self, server_no: ServerNo, clock_offset_s: i64) {
+        self.record(Event::Fault { server: server_no, name: "clock", on: clock_offset_s != 0 });
+        self.0.server_sockets[server_no.0].clock_offset_s.set(clock_offset_s);
     }
 
-    /// Connections that stand at a server, players' too.
-    pub fn open_at(&self, at: ServerNo) -> usize {
-        self.0.doors[at.0].open.get()
+    /// Returns the number of open connections at a server, including players'.
+    pub fn open_at(&self, server_no: ServerNo) -> usize {
+        self.0.server_sockets[server_no.0].connection_count.get()
     }
 
-    /// Other keys are in force.
-    pub fn keys(&self, keys: Keys) {
-        *self.0.keys.borrow_mut() = keys;
+    /// Replaces the keys that check players' tokens.
+    pub fn keys(&self, token_keys: Keys) {
+        *self.0.token_keys.borrow_mut() = token_keys;
     }
 
-    /// Something else is wrong with a server, or no more.
+    /// Records that another fault begins or ends, and applies it to the model.
     pub fn fault(
-        &self, at: ServerNo, name: &'static str, on: bool, change: impl FnOnce(&mut ivyward_fleet::Faults),
+        &self, server_no: ServerNo, name: &'static str, on: bool,
+        change: impl FnOnce(&mut ivyward_fleet::Faults),
     ) {
-        self.record(Event::Fault { server: at, name, on });
-        self.model(|fleet| change(fleet.faults(at)));
+        self.record(Event::Fault { server: server_no, name, on });
+        self.model(|fleet| change(fleet.faults(server_no)));
     }
 
-    /// The list is so much later than usual.
-    pub fn list_late(&self, by: Duration) {
-        self.0.list.stale.set(by);
+    /// Delays the server list by this additional time.
+    pub fn list_late(&self, delay: Duration) {
+        self.0.server_list.additional_delay.set(delay);
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,6 @@
-//! Stand-ins of a platform's video servers, event bus and viewers, speaking the viewing managers' protocol on loopback.
-//! They run nothing and model no load: each does what a test tells it, and records what reached it.
+//! Stand-ins of a platform's video servers, event bus and viewers, which use the viewing managers'
+//! protocol on loopback. They play no streams and model no load: each behaves as the test configures it
+//! and records the messages it receives.
 
 use ivyward_rules::SetUpEnd;
 use ivyward_signal::binary::{self, Messages};
@@ -20,44 +21,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG_CONNECTION_COUNT: u32 = 1024;
 
-/// What a server does with a set-up.
+/// Behavior of a server on a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
+    /// Answers that the stream plays.
     Plays,
-    /// An answer, and the same again.
+    /// Sends the answer twice.
     PlaysTwice,
-    /// An answer for something else before the one that is wanted.
+    /// Sends an answer for another session before the right one.
     AnswersOtherFirst,
+    /// Releases the session with this cause.
     Releases(u8),
-    /// The connection is reset.
+    /// Resets the connection.
     Resets,
+    /// Sends nothing.
     Ignores,
-    /// Bytes that are no message.
+    /// Sends bytes that are no message.
     SendsGarbage,
-    /// The answer stops short and the connection stays open.
+    /// Sends only the start of the answer and keeps the connection open.
     TruncatesAnswer,
-    /// A length that no message has.
+    /// Sends a length above that of any message.
     SendsOversizedLength,
-    /// An answer without its description.
+    /// Sends an answer without its description.
     OmitsDescription,
 }
 
-/// What a server does with connections.
+/// How a server treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptMode {
+    /// Accepts all connections.
     All,
-    /// Nobody listens, and what stood is reset.
+    /// Closes the listener and resets open connections.
     Refuse,
-    /// What stood is read no more, and new ones never come up.
+    /// Stops reading from open connections; new ones are never established.
     Silent,
-    /// What stood is reset, and so is each new one as soon as it is accepted.
+    /// Resets open connections, and each new one as soon as it is accepted.
     Reset,
 }
 
-/// What reached a server.
+/// A message that a server received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSignal {
     pub at: Instant,
@@ -70,7 +75,7 @@
     pub rung: Option<u64>,
 }
 
-/// How a set-up ended at a server, as that saw it.
+/// The end of a set-up, from the server's point of view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
     pub at: Instant,
@@ -79,41 +84,49 @@
     pub how: SetUpEnd,
 }
 
-/// What is written on a connection; nothing: it is reset.
-type Out = mpsc::UnboundedSender<Option<Vec<u8>>>;
+/// Sends bytes to be written on a connection; `None` resets it.
+type ConnectionWriter = mpsc::UnboundedSender<Option<Vec<u8>>>;
 
+/// A stand-in of a video server.
 pub struct Server {
+    /// Identifier in the server list.
     pub word: String,
     pub address: SocketAddr,
     pub behavior: Cell<Behavior>,
-    /// Whether tests are answered.
+    /// Whether heartbeats are answered.
     pub answers_tests: Cell<bool>,
+    /// Received messages, in order.
     pub signals: RefCell<Vec<ReceivedSignal>>,
+    /// Ends of set-ups, in order.
     pub set_up_ends: RefCell<Vec<End>>,
-    /// What was written on connections, in bytes.
+    /// Number of bytes written on all connections.
     pub written_bytes: Cell<usize>,
-    /// Set-ups without an end, and the connections that they came on.
+    /// Set-ups that have not ended, with the connections on which they arrived.
     open_set_ups: RefCell<BTreeSet<(usize, SessionRef)>>,
-    connections: RefCell<Vec<Out>>,
+    connections: RefCell<Vec<ConnectionWriter>>,
     accept_mode: watch::Sender<AcceptMode>,
 }
 
-/// An address of loopback that is nobody else's, of any port. Guards against one that closes its socket and finds the port
-/// taken when it opens it again: by another test, or by a connection, whose own end is at 127.0.0.1.
+/// Returns a loopback address that nothing else uses, without a port.
+///
+/// Guards against a listener that finds its port taken when it opens it again: by another test, or by the
+/// local end of a connection, which is at 127.0.0.1.
 pub fn own_address() -> SocketAddr {
-    static LAST: AtomicU32 = AtomicU32::new(0);
-    let [_, _, high, low] = LAST.fetch_add(1, Ordering::Relaxed).to_be_bytes();
-    let process = 2 + process::id() % 250;
-    SocketAddr::from((Ipv4Addr::new(127, process as u8, high, low), 0))
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let [_, _, high, low] = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    let process_octet = 2 + process::id() % 250;
+    SocketAddr::from((Ipv4Addr::new(127, process_octet as u8, high, low), 0))
 }
 
-/// A socket that listens where one did before. Guards against the one before, which may not have let go of it yet.
-pub async fn listen(address: SocketAddr, queue: u32) -> TcpListener {
+/// Opens a listener at an address where one was closed.
+///
+/// Retries while the previous listener has not released the address yet.
+pub async fn listen(address: SocketAddr, backlog: u32) -> TcpListener {
     loop {
         let socket = TcpSocket::new_v4().and_then(|socket| {
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
-            socket.listen(queue)
+            socket.listen(backlog)
         });
         match socket {
             Ok(listener) => return listener,
@@ -122,20 +135,23 @@
     }
 }
 
-/// The description that a server answers with: longer than the one it got, and with bytes that JSON has to escape.
+/// Returns the description of a server's answer: longer than the received one, with bytes that JSON must
+/// escape.
 pub fn answer(description: &[u8]) -> Vec<u8> {
     [b"v=0\r\n\t\"\\", description].concat()
 }
 
 impl Server {
+    /// Starts a server.
+    ///
     /// # Errors
-    /// No socket is to be had.
-    pub async fn start(word: &str, does: Behavior) -> io::Result<Rc<Server>> {
+    /// Returns an error if no socket can be opened.
+    pub async fn start(word: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind(own_address()).await?;
         let server = Rc::new(Server {
             word: word.into(),
             address: listener.local_addr()?,
-            behavior: Cell::new(does),
+            behavior: Cell::new(initial_behavior),
             answers_tests: Cell::new(true),
             signals: RefCell::default(),
             set_up_ends: RefCell::default(),
@@ -148,18 +164,19 @@
         Ok(server)
     }
 
+    /// Treats connections by the current accept mode.
     async fn accept_all(self: Rc<Self>, mut listener: TcpListener) {
         let mut mode_changed = self.accept_mode.subscribe();
         loop {
-            let how = *mode_changed.borrow_and_update();
-            if matches!(how, AcceptMode::Refuse | AcceptMode::Reset) {
+            let mode = *mode_changed.borrow_and_update();
+            if matches!(mode, AcceptMode::Refuse | AcceptMode::Reset) {
                 (0..self.connections()).for_each(|number| self.reset(number));
             }
-            match how {
+            match mode {
                 AcceptMode::All | AcceptMode::Reset => loop {
                     tokio::select! {
                         changed = mode_changed.changed() => if changed.is_ok() { break } else { return },
-                        Ok((stream, _)) = listener.accept() => match how {
+                        Ok((stream, _)) = listener.accept() => match mode {
                             AcceptMode::All => self.on_connection(stream),
                             _ => drop(stream.set_zero_linger()),
                         },
@@ -171,53 +188,58 @@
                     listener = listen(self.address, BACKLOG_CONNECTION_COUNT).await;
                 }
                 AcceptMode::Silent => {
-                    // A queue that is full takes no connection.
+                    // A listener whose backlog is full establishes no connection.
                     drop(listener);
-                    let full = listen(self.address, 1).await;
-                    let (mut queued, soon) = (vec![], Duration::from_millis(20));
-                    while let Ok(Ok(stream)) = timeout(soon, TcpStream::connect(self.address)).await {
-                        queued.push(stream);
+                    let full_listener = listen(self.address, 1).await;
+                    let (mut queued_connections, connect_timeout) = (vec![], Duration::from_millis(20));
+                    while let Ok(Ok(stream)) =
+                        timeout(connect_timeout, TcpStream::connect(self.address)).await
+                    {
+                        queued_connections.push(stream);
                     }
                     mode_changed.changed().await.ok();
-                    drop((full, queued));
+                    drop((full_listener, queued_connections));
                     listener = listen(self.address, BACKLOG_CONNECTION_COUNT).await;
                 }
             }
         }
     }
 
+    /// Serves a connection and records the set-ups that are still open at its end as closed by the manager.
     fn on_connection(self: &Rc<Self>, stream: TcpStream) {
         let (out, written) = mpsc::unbounded_channel();
         let number = self.connections.borrow().len();
         self.connections.borrow_mut().push(out);
-        let serves = self.clone();
+        let serving = self.clone();
         spawn_local(async move {
-            serves.serve(stream, number, written).await;
-            let open = std::mem::take(&mut *serves.open_set_ups.borrow_mut());
-            let (lost, others) = open.into_iter().partition(|(connection, _)| *connection == number);
-            *serves.open_set_ups.borrow_mut() = others;
+            serving.serve(stream, number, written).await;
+            let unfinished_set_ups = std::mem::take(&mut *serving.open_set_ups.borrow_mut());
+            let (lost, others) =
+                unfinished_set_ups.into_iter().partition(|(connection, _)| *connection == number);
+            *serving.open_set_ups.borrow_mut() = others;
             let lost: BTreeSet<(usize, SessionRef)> = lost;
             lost.into_iter()
-                .for_each(|(connection, of)| serves.record_end(connection, of, SetUpEnd::ManagerClosed));
+                .for_each(|(connection, of)| serving.record_end(connection, of, SetUpEnd::ManagerClosed));
         });
     }
 
-    /// What it does with connections from now on.
-    pub fn set_accept_mode(&self, how: AcceptMode) {
-        self.accept_mode.send_replace(how);
+    /// Sets how connections are treated from now on.
+    pub fn set_accept_mode(&self, mode: AcceptMode) {
+        self.accept_mode.send_replace(mode);
     }
 
+    /// Reads messages from a connection and writes what is sent on it.
     async fn serve(
         &self, mut stream: TcpStream, number: usize, mut written: mpsc::UnboundedReceiver<Option<Vec<u8>>>,
     ) {
-        let (mut messages, mut piece) = (Messages::default(), [0; 4096]);
+        let (mut messages, mut buffer) = (Messages::default(), [0; 4096]);
         let mut mode_changed = self.accept_mode.subscribe();
         loop {
-            if mode_changed.wait_for(|how| *how != AcceptMode::Silent).await.is_err() {
+            if mode_changed.wait_for(|mode| *mode != AcceptMode::Silent).await.is_err() {
                 return;
             }
             tokio::select! {
-                // Silent may be what it has turned to.
+                // The next iteration checks whether the new mode is silent.
                 Ok(()) = mode_changed.changed() => {}
                 out = written.recv() => match out {
                     Some(Some(bytes)) if stream.write_all(&bytes).await.is_ok() => {
@@ -225,9 +247,9 @@
                     }
                     _ => return drop(stream.set_zero_linger()),
                 },
-                read = stream.read(&mut piece) => {
+                read = stream.read(&mut buffer) => {
                     let Ok(read @ 1..) = read else { return };
-                    messages.push(&piece[..read]);
+                    messages.push(&buffer[..read]);
                     while let Ok(Some(message)) = messages.next_message() {
                         let Ok(signal) = binary::read(message) else { return };
                         self.on_signal(number, &signal);
@@ -237,17 +259,19 @@
         }
     }
 
+    /// Records the end of a set-up.
     fn record_end(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
         self.set_up_ends.borrow_mut().push(End { at: Instant::now(), connection, of, how });
     }
 
-    /// A set-up that was open has its end.
+    /// Ends a set-up if it is open, and records its end.
     fn end_set_up(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
         if self.open_set_ups.borrow_mut().remove(&(connection, of)) {
             self.record_end(connection, of, how);
         }
     }
 
+    /// Records a message and reacts to it by the configured behavior.
     fn on_signal(&self, connection: usize, signal: &Signal) {
         let of = signal.session;
         if signal.kind == Kind::SetUp {
@@ -265,8 +289,8 @@
             package: signal.text(Field::Package).map(Into::into),
             rung: signal.integer(Field::Rung),
         });
-        let say = |bytes| self.send_bytes(connection, bytes);
-        let up = |of, description: &[u8]| {
+        let reply = |bytes| self.send_bytes(connection, bytes);
+        let answer_message = |of, description: &[u8]| {
             binary::write(
                 Kind::Answer,
                 of,
@@ -280,81 +304,95 @@
         match (signal.kind, self.behavior.get()) {
             (Kind::Heartbeat, _) if self.answers_tests.get() => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
-                say(binary::write(Kind::HeartbeatAck, of, &report, Some(1), None).unwrap_or_default());
+                reply(binary::write(Kind::HeartbeatAck, of, &report, Some(1), None).unwrap_or_default());
             }
             (Kind::SetUp, Behavior::Plays) => {
                 self.end_set_up(connection, of, SetUpEnd::Plays);
-                say(up(of, description));
+                reply(answer_message(of, description));
+            }
+            (Kind::SetUp, Behavior::PlaysTwice) => {
+                reply([answer_message(of, description), answer_message(of, description)].concat())
             }
-            (Kind::SetUp, Behavior::PlaysTwice) => say([up(of, description), up(of, description)].concat()),
             (Kind::SetUp, Behavior::AnswersOtherFirst) => {
-                say([up(SessionRef(!of.0), description), up(of, description)].concat());
+                reply(
+                    [answer_message(SessionRef(!of.0), description), answer_message(of, description)]
+                        .concat(),
+                );
             }
             (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, of, cause),
             (Kind::SetUp, Behavior::Resets) => self.reset(connection),
-            (Kind::SetUp, Behavior::SendsGarbage) => say(vec![0xff; 200]),
-            (Kind::SetUp, Behavior::TruncatesAnswer) => say(up(of, description)[..20].to_vec()),
-            (Kind::SetUp, Behavior::SendsOversizedLength) => say(vec![0xff, 0xff, 9]),
+            (Kind::SetUp, Behavior::SendsGarbage) => reply(vec![0xff; 200]),
+            (Kind::SetUp, Behavior::TruncatesAnswer) => reply(answer_message(of, description)[..20].to_vec()),
+            (Kind::SetUp, Behavior::SendsOversizedLength) => reply(vec![0xff, 0xff, 9]),
             (Kind::SetUp, Behavior::OmitsDescription) => {
-                say(binary::write(Kind::Answer, of, &[], None, None).unwrap_or_default());
+                reply(binary::write(Kind::Answer, of, &[], None, None).unwrap_or_default());
             }
             _ => {}
         }
     }
 
-    /// Writes on one of the connections, counted from 0 in the order in which they came.
+    /// Writes bytes on a connection; connections are numbered from 0 in the order in which they were
+    /// accepted.
     pub fn send_bytes(&self, connection: usize, bytes: Vec<u8>) {
         if let Some(out) = self.connections.borrow().get(connection) {
             out.send(Some(bytes)).ok();
         }
     }
 
+    /// Releases a session with this cause.
     pub fn release(&self, connection: usize, of: SessionRef, cause: u8) {
-        // Full and moot: it never ran.
-        let never = [34, 102].contains(&cause);
-        self.end_set_up(connection, of, if never { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer });
+        // The causes "full" (34) and "moot" (102) mean that the set-up never ran.
+        let never_ran = [34, 102].contains(&cause);
+        self.end_set_up(connection, of, if never_ran { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer });
         self.send_bytes(
             connection,
             binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default(),
         );
     }
 
+    /// Resets a connection.
     pub fn reset(&self, connection: usize) {
         if let Some(out) = self.connections.borrow().get(connection) {
             out.send(None).ok();
         }
     }
 
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// What of a kind reached it.
+    /// Returns the received messages of a kind.
     pub fn received(&self, kind: Kind) -> Vec<ReceivedSignal> {
-        self.signals.borrow().iter().filter(|seen| seen.kind == kind).cloned().collect()
+        self.signals.borrow().iter().filter(|received_signal| received_signal.kind == kind).cloned().collect()
     }
 }
 
-/// The event bus. It holds all events and sends each reader those after the last that it has.
+/// A stand-in of the event bus, which keeps all events and sends each reader those after the last one it
+/// has received.
 pub struct Bus {
     pub address: SocketAddr,
-    /// The last numbers with which it was asked.
+    /// Event numbers after which readers have requested events, in the order of the requests.
     pub requested_after: RefCell<Vec<u64>>,
-    /// Whether a comment comes every second.
+    /// Whether readers receive a comment every second.
     pub sends_comments: Cell<bool>,
     events: RefCell<Vec<(u64, String)>>,
-    readers: RefCell<Vec<Out>>,
+    readers: RefCell<Vec<ConnectionWriter>>,
 }
 
 impl Bus {
+    /// Starts an event bus.
+    ///
     /// # Errors
-    /// No socket is to be had.
+    /// Returns an error if no socket can be opened.
     pub async fn start() -> io::Result<Rc<Bus>> {
         Bus::with_listener(TcpListener::bind("127.0.0.1:0").await?)
     }
 
+    /// Starts an event bus on a listener.
+    ///
     /// # Errors
-    /// The socket has no address.
+    /// Returns an error if the listener has no address.
     pub fn with_listener(listener: TcpListener) -> io::Result<Rc<Bus>> {
         let bus = Rc::new(Bus {
             address: listener.local_addr()?,
@@ -363,38 +401,40 @@
             events: RefCell::default(),
             readers: RefCell::default(),
         });
-        let accepts = bus.clone();
+        let accepting_bus = bus.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(accepts.clone().serve(stream));
+                spawn_local(accepting_bus.clone().serve(stream));
             }
         });
-        let ticks = bus.clone();
+        let commented_bus = bus.clone();
         spawn_local(async move {
             loop {
                 sleep(Duration::from_secs(1)).await;
-                if ticks.sends_comments.get() {
-                    ticks.write(": here\n\n");
+                if commented_bus.sends_comments.get() {
+                    commented_bus.write(": here\n\n");
                 }
             }
         });
         Ok(bus)
     }
 
+    /// Sends a reader the events after the one it names, then new ones.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
-        let (mut head, mut piece) = (vec![], [0; 1024]);
+        let (mut head, mut buffer) = (vec![], [0; 1024]);
         while !head.ends_with(b"\r\n\r\n") {
-            let Ok(read @ 1..) = stream.read(&mut piece).await else { return };
-            head.extend(&piece[..read]);
+            let Ok(read @ 1..) = stream.read(&mut buffer).await else { return };
+            head.extend(&buffer[..read]);
         }
         let head = String::from_utf8_lossy(&head).to_lowercase();
-        let last = head.lines().find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse().ok());
-        let last: u64 = last.unwrap_or_default();
-        self.requested_after.borrow_mut().push(last);
+        let last_event_id =
+            head.lines().find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse().ok());
+        let last_event_id: u64 = last_event_id.unwrap_or_default();
+        self.requested_after.borrow_mut().push(last_event_id);
         let (out, mut written) = mpsc::unbounded_channel();
         out.send(Some(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_vec())).ok();
-        for (number, event) in self.events.borrow().iter().filter(|(number, _)| *number > last) {
-            out.send(Some(text(*number, event).into_bytes())).ok();
+        for (number, event) in self.events.borrow().iter().filter(|(number, _)| *number > last_event_id) {
+            out.send(Some(sse_text(*number, event).into_bytes())).ok();
         }
         self.readers.borrow_mut().push(out);
         while let Some(Some(bytes)) = written.recv().await {
@@ -404,23 +444,25 @@
         }
     }
 
-    /// Holds an event, and tells it as often as said.
+    /// Stores an event and sends it to all readers `times` times.
     pub fn publish(&self, number: u64, event: &Value, times: usize) {
         self.events.borrow_mut().push((number, event.to_string()));
-        (0..times).for_each(|_| self.write(&text(number, &event.to_string())));
+        (0..times).for_each(|_| self.write(&sse_text(number, &event.to_string())));
     }
 
-    pub fn write(&self, text: &str) {
-        self.readers.borrow_mut().retain(|out| out.send(Some(text.into())).is_ok());
+    /// Sends a text to all readers as it is.
+    pub fn write(&self, raw: &str) {
+        self.readers.borrow_mut().retain(|out| out.send(Some(raw.into())).is_ok());
     }
 
-    /// Ends all connections.
+    /// Closes all readers' connections.
     pub fn disconnect_all(&self) {
         self.readers.borrow_mut().drain(..).for_each(|out| drop(out.send(None)));
     }
 }
 
-fn text(number: u64, event: &str) -> String {
+/// Formats an event as a server-sent event.
+fn sse_text(number: u64, event: &str) -> String {
     format!("id: {number}\ndata: {event}\n\n")
 }
 
@@ -428,57 +470,60 @@
 pub struct Viewer {
     stream: TcpStream,
     lines: Lines,
-    /// Whole lines that have come and were not asked for yet.
+    /// Complete lines received and not yet returned.
     received_lines: VecDeque<Vec<u8>>,
 }
 
 impl Viewer {
+    /// Connects to a manager.
+    ///
     /// # Errors
-    /// No connection came about.
+    /// Returns an error if the connection fails.
     pub async fn connect(address: SocketAddr) -> io::Result<Viewer> {
         let stream = TcpStream::connect(address).await?;
-        // What is written second is there as soon as what was written first.
+        // Without a delay, a second message arrives as soon as the first.
         stream.set_nodelay(true)?;
         Ok(Viewer { stream, lines: Lines::default(), received_lines: VecDeque::new() })
     }
 
-    /// Ends the connection with a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         self.stream.set_zero_linger().ok();
     }
 
-    /// Writes bytes as they are; whether the connection took them.
+    /// Writes bytes as they are and returns whether this succeeded.
     pub async fn write(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).await.is_ok()
     }
 
+    /// Sends a message and returns whether this succeeded.
     pub async fn send_signal(&mut self, kind: Kind, of: SessionRef, cause: Option<u8>) -> bool {
         let line = line::write(kind, of, &[], cause, None).unwrap_or_default();
         self.write(&line).await
     }
 
-    /// The next message; none where the connection closed or nothing came in time.
-    pub async fn receive(&mut self, within: Duration) -> Option<Signal<'static>> {
-        let until = Instant::now() + within;
-        let mut piece = [0; 4096];
+    /// Returns the next message; none if the connection closes or nothing arrives in time.
+    pub async fn receive(&mut self, max_wait: Duration) -> Option<Signal<'static>> {
+        let deadline = Instant::now() + max_wait;
+        let mut buffer = [0; 4096];
         loop {
             if let Some(line) = self.received_lines.pop_front() {
                 return line::read(&line).ok();
             }
-            let left = until.saturating_duration_since(Instant::now());
-            let read = timeout(left, self.stream.read(&mut piece)).await;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let read = timeout(remaining, self.stream.read(&mut buffer)).await;
             let Ok(Ok(read @ 1..)) = read else { return None };
-            self.lines.push(&piece[..read]);
+            self.lines.push(&buffer[..read]);
             while let Ok(Some(line)) = self.lines.next_line() {
                 self.received_lines.push_back(line.to_vec());
             }
         }
     }
 
-    /// Whether the other end closes it in time, whatever it says before.
-    pub async fn wait_closed(&mut self, within: Duration) -> bool {
-        let mut piece = [0; 4096];
-        let ends = async { while let Ok(1..) = self.stream.read(&mut piece).await {} };
-        timeout(within, ends).await.is_ok()
+    /// Returns whether the other end closes the connection in time; ignores what it sends before.
+    pub async fn wait_closed(&mut self, max_wait: Duration) -> bool {
+        let mut buffer = [0; 4096];
+        let reads_to_end = async { while let Ok(1..) = self.stream.read(&mut buffer).await {} };
+        timeout(max_wait, reads_to_end).await.is_ok()
     }
 }
--- a/crates/standin/src/server_list.rs
+++ b/crates/standin/src/server_list.rs
@@ -1,7 +1,7 @@
-//! The list service: whole list on asking, then changes as server-sent events, late. It knows only of processes that
-//! run, drain or are gone.
+//! The server list service: the whole list on request, then changes as server-sent events, with a delay.
+//! Its only server states are ready, draining and gone.
 
-use crate::{Body, Standins, WAITING, event};
+use crate::{Body, EVENT_QUEUE_LENGTH, Standins, sse_frame};
 use bytes::Bytes;
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::{Either, Full};
@@ -19,78 +19,97 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What the list says of a server.
+/// One server's entry in the list.
 #[derive(Clone, Copy)]
 pub(crate) struct Row {
     address: SocketAddr,
     cell: usize,
-    standing: ServerStatus,
+    status: ServerStatus,
     incarnation: u64,
-    born: Option<Duration>,
+    started_at: Option<Duration>,
 }
 
 impl Row {
+    /// Creates the entry of a ready server that has been running since before the model's start.
     pub fn new(address: SocketAddr, cell: usize) -> Self {
-        Row { address, cell, standing: ServerStatus::Ready, incarnation: 1, born: None }
+        Row { address, cell, status: ServerStatus::Ready, incarnation: 1, started_at: None }
     }
 }
 
-pub(crate) struct List {
+/// The server list, its delay and its subscribers.
+pub(crate) struct ServerList {
     pub address: Cell<SocketAddr>,
     rows: RefCell<Vec<Row>>,
-    late: Duration,
-    pub stale: Cell<Duration>,
-    readers: RefCell<Vec<(ManagerNo, Sender<Bytes, Infallible>)>>,
+    /// Time between a change and its appearance in the list.
+    delay: Duration,
+    /// Delay from a fault, added to `delay`.
+    pub additional_delay: Cell<Duration>,
+    subscribers: RefCell<Vec<(ManagerNo, Sender<Bytes, Infallible>)>>,
 }
 
-impl List {
-    pub fn new(rows: Vec<Row>, late: Duration) -> Self {
+impl ServerList {
+    /// Creates a list that has no address yet.
+    pub fn new(rows: Vec<Row>, delay: Duration) -> Self {
         let address = Cell::new(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
-        List { address, rows: RefCell::new(rows), late, stale: Cell::default(), readers: RefCell::default() }
+        ServerList {
+            address,
+            rows: RefCell::new(rows),
+            delay,
+            additional_delay: Cell::default(),
+            subscribers: RefCell::default(),
+        }
     }
 }
 
 impl Standins {
-    /// The list hears of a server now and tells of it late.
-    pub(crate) fn list_soon(&self, at: ServerNo, standing: ServerStatus) {
-        let (standins, list) = (self.clone(), &self.0.list);
-        let late = list.late + list.stale.get();
-        let (incarnation, born) = self.model(|fleet| fleet.incarnation(at));
+    /// Schedules a change of a server's status; list and subscribers receive it after the list's delay.
+    pub(crate) fn schedule_list_update(&self, server_no: ServerNo, status: ServerStatus) {
+        let (standins, list) = (self.clone(), &self.0.server_list);
+        let delay = list.delay + list.additional_delay.get();
+        let (incarnation, started_at) = self.model(|fleet| fleet.incarnation(server_no));
         spawn_local(async move {
-            sleep(late).await;
-            let list = &standins.0.list;
+            sleep(delay).await;
+            let list = &standins.0.server_list;
             {
-                let row = &mut list.rows.borrow_mut()[at.0];
-                // Guards against news that overtook older news while the list was late.
+                let row = &mut list.rows.borrow_mut()[server_no.0];
+                // Guards against an update that arrives after a newer one, as happens when the list's
+                // delay changes.
                 if incarnation < row.incarnation {
                     return;
                 }
-                (row.standing, row.incarnation, row.born) = (standing, incarnation, born);
+                (row.status, row.incarnation, row.started_at) = (status, incarnation, started_at);
             }
-            let row = standins.row(at);
-            let mut readers = list.readers.borrow_mut();
-            readers.retain_mut(|(manager, sender)| {
-                let told = Event::ServerNotified { manager: *manager, server: at, standing, incarnation };
-                standins.record(told);
-                sender.try_send(event(json!({"changes": [row]}))).is_ok()
+            let row = standins.row(server_no);
+            let mut subscribers = list.subscribers.borrow_mut();
+            subscribers.retain_mut(|(manager, sender)| {
+                let notified = Event::ServerNotified {
+                    manager: *manager,
+                    server: server_no,
+                    standing: status,
+                    incarnation,
+                };
+                standins.record(notified);
+                sender.try_send(sse_frame(json!({"changes": [row]}))).is_ok()
             });
         });
     }
 
-    fn row(&self, at: ServerNo) -> Value {
-        let row = self.0.list.rows.borrow()[at.0];
-        let standing = match row.standing {
+    /// Returns a server's entry as JSON.
+    fn row(&self, server_no: ServerNo) -> Value {
+        let row = self.0.server_list.rows.borrow()[server_no.0];
+        let status = match row.status {
             ServerStatus::Ready => "ready",
             ServerStatus::Draining => "draining",
             ServerStatus::Gone => "gone",
         };
-        let age = row.born.map(|born| self.now().saturating_sub(born).as_millis() as u64);
+        let age = row.started_at.map(|started_at| self.now().saturating_sub(started_at).as_millis() as u64);
         json!({
-            "server": row.address.to_string(), "standing": standing, "birth": row.incarnation, "age_ms": age,
+            "server": row.address.to_string(), "standing": status, "birth": row.incarnation, "age_ms": age,
             "cell": row.cell, "weight": 1.0, "zone": 0, "kind": 0,
         })
     }
 
+    /// Answers a subscription with the whole list; changes follow on the same response.
     fn subscribe(&self, request: &Request<Incoming>) -> Response<Body> {
         let name = request.uri().query().and_then(|query| query.strip_prefix("manager="));
         let Some(name) = name.filter(|_| request.uri().path() == "/list") else {
@@ -99,20 +118,20 @@
             return answer;
         };
         let manager = self.manager(name);
-        let (mut sender, body) = Channel::new(WAITING);
-        let boxes: Vec<_> = self.model(|fleet| fleet.boxes().collect());
-        for at in &boxes {
-            let row = self.0.list.rows.borrow()[at.0];
+        let (mut sender, body) = Channel::new(EVENT_QUEUE_LENGTH);
+        let servers: Vec<_> = self.model(|fleet| fleet.boxes().collect());
+        for server_no in &servers {
+            let row = self.0.server_list.rows.borrow()[server_no.0];
             self.record(Event::ServerNotified {
                 manager,
-                server: *at,
-                standing: row.standing,
+                server: *server_no,
+                standing: row.status,
                 incarnation: row.incarnation,
             });
         }
-        let rows: Vec<_> = boxes.into_iter().map(|at| self.row(at)).collect();
-        if sender.try_send(event(json!({"whole": rows}))).is_ok() {
-            self.0.list.readers.borrow_mut().push((manager, sender));
+        let rows: Vec<_> = servers.into_iter().map(|server_no| self.row(server_no)).collect();
+        if sender.try_send(sse_frame(json!({"whole": rows}))).is_ok() {
+            self.0.server_list.subscribers.borrow_mut().push((manager, sender));
         }
         let mut answer = Response::new(Either::Right(body));
         answer
@@ -121,6 +140,7 @@
         answer
     }
 
+    /// Accepts and serves connections of the list service.
     pub(crate) async fn serve_list(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
@@ -135,7 +155,7 @@
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(error) = served {
-                    tracing::debug!(%error, "a reader of the list left");
+                    tracing::debug!(%error, "connection of a server list subscriber failed");
                 }
             });
         }
