--- a/crates/dash/src/lib.rs
+++ b/crates/dash/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a player is given: manifests (ISO/IEC 23009-1) and the tokens that carry a session (RFC 7519). Dates come as
-//! arguments, as spans since the Unix epoch: nothing here reads a clock.
+//! DASH manifests (ISO/IEC 23009-1) and session tokens (RFC 7519) for players.
+//!
+//! Nothing here reads a clock: dates are arguments, as time since the Unix epoch.
 
 pub mod check;
 pub mod manifest;
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -1,5 +1,7 @@
-//! Session tokens: JSON Web Tokens (RFC 7519) signed by HMAC (RFC 7518, 3.2) or Ed25519 (RFC 8037). The app gives a
-//! player one without a tune-in; the manager's own name the tune-in that they were given for.
+//! Session tokens: JSON Web Tokens (RFC 7519) signed by HMAC (RFC 7518, 3.2) or Ed25519 (RFC 8037).
+//!
+//! The app issues a player's first token, which names no tune-in. A manager's tokens name the tune-in
+//! they are issued for.
 
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use jsonwebtoken::errors::ErrorKind;
@@ -10,25 +12,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// No token of ours is longer; longer ones are not looked at.
+/// Maximum size of a token; longer ones are refused without being decoded.
 const MAX_TOKEN_BYTES: usize = 2048;
 
-/// Why a token is not taken.
+/// Reason for refusing a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
+    /// The token can't be decoded, or a claim is missing or invalid.
     Malformed,
+    /// The signature or its algorithm doesn't match the key.
     Forged,
+    /// The token names no key, or one that is not in force.
     UnknownKey,
+    /// The token is not valid yet.
     NotYetValid,
+    /// The token is no longer valid.
     Expired,
+    /// The token is for another title.
     ForeignTitle,
-    /// Spent before, by a player that went on with the next.
+    /// The token was used before, by a player that has since received a newer one.
     Replayed,
-    /// Its session was revoked.
+    /// The token's session was revoked.
     Revoked,
 }
 
 impl Refusal {
+    /// Returns the name of the reason as it is sent to players.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::Malformed => "malformed",
@@ -49,118 +58,138 @@
     }
 }
 
-/// What a token entitles to.
+/// Claims of a token: what it entitles its player to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenClaims {
-    /// The session.
+    /// Identifier of the session.
     pub session: u128,
     pub title: String,
     pub package: String,
+    /// Highest rung that may be played.
     pub top: usize,
     pub tenant: String,
-    /// What it was given for; none from the app.
+    /// Tune-in that the token is issued for; none in a token from the app.
     pub granted: Option<GrantedTuneIn>,
 }
 
-/// What a manager's token was given for: the manager and its start, the viewing there and the tune-in, the server that
-/// it plays at, the token's turn among the viewing's tokens, and the date at which its manifests say that it began, in
-/// whole seconds.
+/// The tune-in that a manager's token is issued for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantedTuneIn {
     pub manager: String,
     pub incarnation: u64,
     pub viewing_id: u32,
+    /// Number of the tune-in within its viewing.
     pub n: u16,
+    /// Server at which the tune-in plays.
     pub server: SocketAddr,
+    /// Number of the token among the viewing's tokens.
     pub sequence: u32,
+    /// Start of the presentation in the viewing's manifests: a date in whole seconds.
     pub began: Duration,
 }
 
 impl GrantedTuneIn {
-    /// Whether both are for one tune-in, whatever their turns.
+    /// Returns whether both are for the same tune-in, whatever their sequence numbers.
     pub fn same_tune_in(&self, other: &GrantedTuneIn) -> bool {
-        let of =
+        let server_and_numbers =
             |granted: &GrantedTuneIn| (granted.incarnation, granted.viewing_id, granted.n, granted.server);
-        self.manager == other.manager && of(self) == of(other)
+        self.manager == other.manager && server_and_numbers(self) == server_and_numbers(other)
     }
 }
 
+/// A key that checks tokens, and signs them if its private part is known.
 struct Key {
     algorithm: Algorithm,
-    checks: DecodingKey,
-    signs: Option<EncodingKey>,
+    decoding_key: DecodingKey,
+    encoding_key: Option<EncodingKey>,
 }
 
-/// The keys in force. Two are valid during a change of keys; one signs.
+/// The keys in force: one signs; during a change of keys, two are valid.
 #[derive(Default)]
 pub struct Keys {
     keys: BTreeMap<String, Key>,
-    signs: String,
+    /// Identifier of the key that signs.
+    signing_key_id: String,
 }
 
 impl Keys {
-    /// `signs`: the id of the key that signs.
-    pub fn new(signs: &str) -> Self {
-        Keys { keys: BTreeMap::new(), signs: signs.into() }
+    /// Creates an empty set of keys; the key that signs is named here and added later.
+    pub fn new(signing_key_id: &str) -> Self {
+        Keys { keys: BTreeMap::new(), signing_key_id: signing_key_id.into() }
     }
 
+    /// Adds a secret for HS256.
+    ///
     /// # Errors
-    /// The secret is too short for HS256 (RFC 7518, 3.2: as long as the hash, 32 bytes).
+    /// Returns an error if the secret is shorter than the hash, 32 bytes (RFC 7518, 3.2).
     pub fn add_secret(&mut self, id: &str, secret: &str) -> Result<(), String> {
         if secret.len() < 32 {
             return Err(format!("is {} bytes long, under 32", secret.len()));
         }
-        let checks = DecodingKey::from_secret(secret.as_bytes()).map_err(|e| e.to_string())?;
-        let signs = EncodingKey::from_secret(secret.as_bytes()).map_err(|e| e.to_string())?;
-        self.keys.insert(id.into(), Key { algorithm: Algorithm::HS256, checks, signs: Some(signs) });
+        let decoding_key = DecodingKey::from_secret(secret.as_bytes()).map_err(|e| e.to_string())?;
+        let encoding_key = EncodingKey::from_secret(secret.as_bytes()).map_err(|e| e.to_string())?;
+        self.keys.insert(
+            id.into(),
+            Key { algorithm: Algorithm::HS256, decoding_key, encoding_key: Some(encoding_key) },
+        );
         Ok(())
     }
 
-    /// An Ed25519 key: the public one as base64 of its 32 bytes, the private one as base64 of PKCS#8 DER.
+    /// Adds an Ed25519 key: the public part as base64 of its 32 bytes, the private part as base64 of
+    /// PKCS#8 DER.
     ///
     /// # Errors
-    /// One of them is not base64, or of a wrong length.
+    /// Returns an error if a part is not base64 or the public part has a wrong length.
     pub fn add_ed25519(&mut self, id: &str, public: &str, private: Option<&str>) -> Result<(), String> {
-        let bytes = |text: &str| BASE64_STANDARD.decode(text).map_err(|e| format!("is not base64: {e}"));
-        let public = bytes(public)?;
+        let decode_base64 =
+            |text: &str| BASE64_STANDARD.decode(text).map_err(|e| format!("is not base64: {e}"));
+        let public = decode_base64(public)?;
         if public.len() != 32 {
             return Err(format!("is {} bytes long, not 32", public.len()));
         }
-        let signs = private.map(bytes).transpose()?.map(|der| EncodingKey::from_ed_der(&der));
-        let checks = DecodingKey::from_ed_der(&public);
-        self.keys.insert(id.into(), Key { algorithm: Algorithm::EdDSA, checks, signs });
+        let encoding_key = private.map(decode_base64).transpose()?.map(|der| EncodingKey::from_ed_der(&der));
+        let decoding_key = DecodingKey::from_ed_der(&public);
+        self.keys.insert(id.into(), Key { algorithm: Algorithm::EdDSA, decoding_key, encoding_key });
         Ok(())
     }
 
-    /// Whether the signing key is there and can sign.
+    /// Returns whether the signing key is known and can sign.
     pub fn can_sign(&self) -> bool {
-        self.keys.get(&self.signs).is_some_and(|key| key.signs.is_some())
+        self.keys.get(&self.signing_key_id).is_some_and(|key| key.encoding_key.is_some())
     }
 
-    /// Another key signs from now on; false where that one is not there or can't sign.
+    /// Selects another key to sign with; returns false and changes nothing if it is missing or can't sign.
     pub fn sign_by(&mut self, id: &str) -> bool {
-        let before = std::mem::replace(&mut self.signs, id.into());
-        let can = self.can_sign();
-        if !can {
-            self.signs = before;
+        let previous_id = std::mem::replace(&mut self.signing_key_id, id.into());
+        let can_sign = self.can_sign();
+        if !can_sign {
+            self.signing_key_id = previous_id;
         }
-        can
+        can_sign
     }
 
-    /// A signed token, valid from `now` for `life`.
+    /// Returns a signed token, valid from `now` for `valid_for`.
     ///
     /// # Errors
-    /// No key signs.
-    pub fn mint(&self, token_claims: &TokenClaims, now: Duration, life: Duration) -> Result<String, String> {
-        let key = self.keys.get(&self.signs).ok_or_else(|| format!("no key {:?}", self.signs))?;
-        let signs = key.signs.as_ref().ok_or_else(|| format!("key {:?} can't sign", self.signs))?;
+    /// Returns an error if the signing key is missing or can't sign.
+    pub fn mint(
+        &self, token_claims: &TokenClaims, now: Duration, valid_for: Duration,
+    ) -> Result<String, String> {
+        let key = self
+            .keys
+            .get(&self.signing_key_id)
+            .ok_or_else(|| format!("signing key {:?} is missing", self.signing_key_id))?;
+        let encoding_key = key.encoding_key.as_ref().ok_or_else(|| {
+            format!("key {:?} can't sign: its private part is missing", self.signing_key_id)
+        })?;
         let mut header = Header::new(key.algorithm);
-        header.kid = Some(self.signs.clone());
-        // Dates are whole seconds (RFC 7519, 2); a part of a second more is not life lost.
-        let ends = (now + life).as_millis().div_ceil(1000) as u64;
+        header.kid = Some(self.signing_key_id.clone());
+        // Dates are whole seconds (RFC 7519, 2): the end is rounded up, so that the token is never valid
+        // for less.
+        let expires_at = (now + valid_for).as_millis().div_ceil(1000) as u64;
         let mut claims = json!({
             "vw": format!("{:032x}", token_claims.session), "title": token_claims.title, "pkg": token_claims.package, "top": token_claims.top,
-            "tenant": token_claims.tenant, "nbf": now.as_secs(), "exp": ends,
+            "tenant": token_claims.tenant, "nbf": now.as_secs(), "exp": expires_at,
         });
         if let Some(GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began }) =
             &token_claims.granted
@@ -168,13 +197,15 @@
             claims["tin"] =
                 json!([manager, incarnation, viewing_id, n, server.to_string(), sequence, began.as_secs()]);
         }
-        encode(&header, &claims, signs).map_err(|e| e.to_string())
+        encode(&header, &claims, encoding_key).map_err(|e| e.to_string())
     }
 
-    /// What a token entitles to, and from when to when. `skew`: how far clocks may be apart.
+    /// Checks a token and returns its claims with the dates from which and until which it is valid.
+    ///
+    /// `skew` is the tolerated difference between clocks.
     ///
     /// # Errors
-    /// Why it is not taken. Dates are looked at only of what is signed.
+    /// Returns the reason for refusing the token. Dates are checked only after the signature.
     pub fn check(
         &self, token: &str, now: Duration, skew: Duration,
     ) -> Result<(TokenClaims, (Duration, Duration)), Refusal> {
@@ -183,42 +214,44 @@
         }
         let header = decode_header(token).map_err(|_| Refusal::Malformed)?;
         let key = header.kid.and_then(|id| self.keys.get(&id)).ok_or(Refusal::UnknownKey)?;
-        // Guards against a token that names a weaker way of signing than its key's.
-        let mut how = Validation::new(key.algorithm);
-        how.validate_exp = false;
-        how.validate_aud = false;
-        how.required_spec_claims.clear();
-        let claims = decode::<Value>(token, &key.checks, &how).map_err(|error| match error.kind() {
-            ErrorKind::InvalidSignature | ErrorKind::InvalidAlgorithm => Refusal::Forged,
-            _ => Refusal::Malformed,
-        })?;
+        // Guards against a token that names a weaker algorithm than its key's.
+        let mut validation = Validation::new(key.algorithm);
+        validation.validate_exp = false;
+        validation.validate_aud = false;
+        validation.required_spec_claims.clear();
+        let claims =
+            decode::<Value>(token, &key.decoding_key, &validation).map_err(|error| match error.kind() {
+                ErrorKind::InvalidSignature | ErrorKind::InvalidAlgorithm => Refusal::Forged,
+                _ => Refusal::Malformed,
+            })?;
         let claims = claims.claims;
         let date = |name: &str| claims[name].as_u64().map(Duration::from_secs).ok_or(Refusal::Malformed);
-        let (from, until) = (date("nbf")?, date("exp")?);
-        if now + skew < from {
+        let (valid_from, valid_until) = (date("nbf")?, date("exp")?);
+        if now + skew < valid_from {
             return Err(Refusal::NotYetValid);
         }
-        if now >= until + skew {
+        if now >= valid_until + skew {
             return Err(Refusal::Expired);
         }
         let token_claims = parse_token_claims(&claims).ok_or(Refusal::Malformed)?;
-        Ok((token_claims, (from, until)))
+        Ok((token_claims, (valid_from, valid_until)))
     }
 }
 
+/// Reads the claims of a checked token; none if one is missing or invalid.
 fn parse_token_claims(claims: &Value) -> Option<TokenClaims> {
     let text = |name: &str| claims[name].as_str().map(String::from);
-    let session = text("vw").filter(|viewing_id| viewing_id.len() == 32)?;
+    let session = text("vw").filter(|digits| digits.len() == 32)?;
     let granted = match &claims["tin"] {
         Value::Null => None,
-        tin => Some(GrantedTuneIn {
-            manager: tin[0].as_str()?.to_string(),
-            incarnation: tin[1].as_u64()?,
-            viewing_id: u32::try_from(tin[2].as_u64()?).ok()?,
-            n: u16::try_from(tin[3].as_u64()?).ok()?,
-            server: tin[4].as_str()?.parse().ok()?,
-            sequence: u32::try_from(tin[5].as_u64()?).ok()?,
-            began: Duration::from_secs(tin[6].as_u64()?),
+        tune_in => Some(GrantedTuneIn {
+            manager: tune_in[0].as_str()?.to_string(),
+            incarnation: tune_in[1].as_u64()?,
+            viewing_id: u32::try_from(tune_in[2].as_u64()?).ok()?,
+            n: u16::try_from(tune_in[3].as_u64()?).ok()?,
+            server: tune_in[4].as_str()?.parse().ok()?,
+            sequence: u32::try_from(tune_in[5].as_u64()?).ok()?,
+            began: Duration::from_secs(tune_in[6].as_u64()?),
         }),
     };
     Some(TokenClaims {
