--- a/crates/hints/src/lib.rs
+++ b/crates/hints/src/lib.rs
@@ -1,22 +1,25 @@
-//! CMCD (CTA-5004, and version 2's report mode, CTA-5004-A): what a player says of itself. Each key that is understood goes
-//! straight to whoever listens, as a [`ReportItem`]; what can't be read is skipped and counted by kind, so that one odd key never
-//! costs a report. Values are structured fields (RFC 9651) in queries, headers and reports, and plain JSON in the JSON form.
+//! Reads CMCD reports of players (CTA-5004, and the report mode of version 2, CTA-5004-A).
+//!
+//! Each known key is passed to a callback as a [`ReportItem`]. Keys that can't be read are skipped and
+//! reported by kind, so that one invalid key never costs the whole report. Values are structured fields
+//! (RFC 9651) in queries, headers and reports, and plain JSON in the JSON form.
 
 use percent_encoding::percent_decode_str;
 use serde_json::Value;
 use sfv::{BareItem, Dictionary, ListEntry, Parser};
 use std::time::Duration;
 
-/// No report is longer, and no text in one.
+/// Maximum size of a report; longer ones are skipped.
 pub const MAX_REPORT_BYTES: usize = 4096;
+/// Maximum size of a text in a report; longer ones are skipped.
 const MAX_TEXT_BYTES: usize = 64;
-/// Members of a report that are looked at.
+/// Maximum number of members read from a report; the others are skipped.
 const MAX_KEY_COUNT: usize = 64;
 
 /// The headers that carry keys (CTA-5004, 2.2).
 pub const HEADERS: [&str; 4] = ["cmcd-object", "cmcd-request", "cmcd-session", "cmcd-status"];
 
-/// What a player is doing (`sta`).
+/// State of a player (`sta`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Starting,
@@ -31,47 +34,51 @@
     Preloading,
 }
 
-/// One thing that a report says.
+/// One key of a report with its value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReportItem<'a> {
-    /// `sid`, the player's session; `cid`, its content.
+    /// `sid`: the player's session.
     Session(&'a str),
+    /// `cid`: the content.
     Content(&'a str),
-    /// `sn`: the report's number, from 1.
+    /// `sn`: the sequence number of the report, from 1.
     Sequence(u64),
-    /// `ts`: when it was made, since the Unix epoch by the player's clock.
+    /// `ts`: the time of the report by the player's clock, since the Unix epoch.
     Sent(Duration),
-    /// `msd`: from the wish to play to the first picture.
+    /// `msd`: the start-up delay, from the request to play to the first picture.
     StartUp(Duration),
-    /// `bsd`: stalled since the last report. `bsda`: in all.
+    /// `bsd`: the time stalled since the last report.
     Stalled(Duration),
+    /// `bsda`: the total time stalled.
     StalledInAll(Duration),
-    /// `bsa`: stalls in all.
+    /// `bsa`: the total number of stalls.
     Stalls(u64),
-    /// `bs`: the buffer ran dry since the last request.
+    /// `bs`: the buffer has been empty since the last request.
     Starved,
-    /// `bl`: what the buffer holds.
+    /// `bl`: the playing time in the buffer.
     Buffer(Duration),
-    /// `br`: the rendition's rate, `mtp`: what the player measured, both in kilobits a second.
+    /// `br`: the rate of the rendition, in kbit/s.
     Rate(u64),
+    /// `mtp`: the throughput that the player measured, in kbit/s.
     Throughput(u64),
+    /// `sta`: the state of the player.
     State(State),
 }
 
-/// Why a member was skipped.
+/// Reason for skipping a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SkippedKey {
-    /// Not a member of a dictionary.
+    /// The text is not a member of a dictionary.
     Malformed,
-    /// A key that is known with a value of another kind or out of range.
+    /// A known key has a value of another type or out of range.
     Value,
-    /// A key that nothing here needs, or of the vendor's own.
+    /// The key is not used here, or belongs to a vendor.
     Unknown,
-    /// More members than are looked at.
+    /// The report is too long or has too many members.
     TooMany,
 }
 
-/// Reads one dictionary of members: a header's value, or a line of a report.
+/// Reads one dictionary: the value of a header, or a line of a report.
 pub fn read(text: &str, on_item: &mut dyn FnMut(ReportItem), on_skipped: &mut dyn FnMut(SkippedKey)) {
     if text.len() > MAX_REPORT_BYTES {
         return on_skipped(SkippedKey::TooMany);
@@ -80,7 +87,7 @@
         if i == MAX_KEY_COUNT {
             return on_skipped(SkippedKey::TooMany);
         }
-        // Each by itself: one that is malformed doesn't take the others with it.
+        // Members are parsed one by one, so that a malformed one doesn't invalidate the others.
         let parsed: Result<Dictionary, _> = Parser::new(member.as_bytes()).parse();
         let Ok(parsed) = parsed else {
             on_skipped(SkippedKey::Malformed);
@@ -89,22 +96,23 @@
         for (key, entry) in &parsed {
             let report_item = match entry {
                 ListEntry::Item(item) => parse_structured_item(key.as_str(), &item.bare_item),
-                // Lists of version 2 carry one value a rendition type; the last is the latest.
+                // A list of version 2 has one value for each rendition type; the last one is the latest.
                 ListEntry::InnerList(list) => {
-                    let last = list.items.last().map(|item| &item.bare_item);
-                    last.map_or(Err(SkippedKey::Value), |item| parse_structured_item(key.as_str(), item))
+                    let latest = list.items.last().map(|item| &item.bare_item);
+                    latest.map_or(Err(SkippedKey::Value), |item| parse_structured_item(key.as_str(), item))
                 }
             };
             match report_item {
                 Ok(report_item) => on_item(report_item),
-                Err(why) => on_skipped(why),
+                Err(skip_reason) => on_skipped(skip_reason),
             }
         }
     }
 }
 
-/// The dictionary in a URL's query: its parameter `CMCD`, percent-encoded (CTA-5004, 2.2). What can't be decoded is one
-/// that can't be read.
+/// Returns the dictionary in a URL's query: the percent-encoded parameter `CMCD` (CTA-5004, 2.2).
+///
+/// Bytes that are not UTF-8 are replaced, which makes the member around them malformed.
 pub fn in_query(query: &str) -> Option<String> {
     let text = query.split('&').find_map(|pair| pair.strip_prefix("CMCD="))?;
     Some(percent_decode_str(text).decode_utf8_lossy().into_owned())
@@ -118,24 +126,24 @@
         if i == MAX_KEY_COUNT {
             return on_skipped(SkippedKey::TooMany);
         }
-        let last = value.as_array().and_then(|list| list.last()).unwrap_or(value);
-        let report_item = match last {
+        let latest = value.as_array().and_then(|list| list.last()).unwrap_or(value);
+        let report_item = match latest {
             Value::Number(number) => match number.as_f64() {
-                Some(x) => parse_item(key, RawValue::Number(x)),
+                Some(decimal) => parse_item(key, RawValue::Number(decimal)),
                 None => Err(SkippedKey::Value),
             },
             Value::String(text) => parse_item(key, RawValue::Text(text)),
-            Value::Bool(truth) => parse_item(key, RawValue::Flag(*truth)),
+            Value::Bool(flag) => parse_item(key, RawValue::Flag(*flag)),
             _ => Err(SkippedKey::Value),
         };
         match report_item {
             Ok(report_item) => on_item(report_item),
-            Err(why) => on_skipped(why),
+            Err(skip_reason) => on_skipped(skip_reason),
         }
     }
 }
 
-/// The members of a dictionary: what lies between commas that stand in no text and no list.
+/// Splits a dictionary into its members, at commas outside of texts and lists.
 fn members(text: &str) -> impl Iterator<Item = &str> {
     let (mut quoted, mut escaped, mut depth) = (false, false, 0_usize);
     let split = move |c: char| {
@@ -154,20 +162,22 @@
     text.split(split).map(str::trim).filter(|member| !member.is_empty())
 }
 
+/// A value, whichever form the report has.
 enum RawValue<'a> {
     Number(f64),
     Text(&'a str),
     Flag(bool),
 }
 
+/// Interprets a key with a structured field's value.
 fn parse_structured_item<'a>(key: &str, item: &'a BareItem) -> Result<ReportItem<'a>, SkippedKey> {
     match item {
-        BareItem::Integer(x) => parse_item(key, RawValue::Number(i64::from(*x) as f64)),
-        BareItem::Decimal(x) => parse_item(key, RawValue::Number(f64::from(*x))),
+        BareItem::Integer(integer) => parse_item(key, RawValue::Number(i64::from(*integer) as f64)),
+        BareItem::Decimal(decimal) => parse_item(key, RawValue::Number(f64::from(*decimal))),
         BareItem::String(text) => parse_item(key, RawValue::Text(text.as_str())),
         BareItem::Token(text) => parse_item(key, RawValue::Text(text.as_str())),
-        BareItem::Boolean(truth) => parse_item(key, RawValue::Flag(*truth)),
-        // A date (RFC 9651, 3.3.7) counts in seconds, `ts` in milliseconds.
+        BareItem::Boolean(flag) => parse_item(key, RawValue::Flag(*flag)),
+        // A date (RFC 9651, 3.3.7) is in seconds, `ts` in milliseconds.
         BareItem::Date(date) => {
             parse_item(key, RawValue::Number(i64::from(date.unix_seconds()) as f64 * 1000.0))
         }
@@ -175,11 +185,12 @@
     }
 }
 
+/// Interprets a key with its value.
 fn parse_item<'a>(key: &str, raw_value: RawValue<'a>) -> Result<ReportItem<'a>, SkippedKey> {
-    /// Whole numbers up to what a structured field can hold (RFC 9651, 3.3.1).
-    const MOST: f64 = 999_999_999_999_999.0;
+    /// Largest integer in a structured field (RFC 9651, 3.3.1).
+    const MAX_INTEGER: f64 = 999_999_999_999_999.0;
     let number = |raw_value: &RawValue| match raw_value {
-        RawValue::Number(x) if (0.0..=MOST).contains(x) => Ok(*x as u64),
+        RawValue::Number(decimal) if (0.0..=MAX_INTEGER).contains(decimal) => Ok(*decimal as u64),
         _ => Err(SkippedKey::Value),
     };
     let ms = |raw_value: &RawValue| number(raw_value).map(Duration::from_millis);
