--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,5 +1,7 @@
-//! Paths between processes of the program, for tests and the laboratory: what is written to a path's address goes on to
-//! another, as long as the path is open. Loopback only; nothing here is of the product.
+//! A TCP proxy that injects faults between processes of the program, for tests and the laboratory.
+//!
+//! It forwards connections to its address to a target, unless a fault is set. It works on loopback only
+//! and is not part of the product.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,86 +12,98 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// What a path does with what comes.
+/// Treatment of the forwarded bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// Forwards everything.
     Forward,
-    /// Nothing goes on, in either direction; connections stay, new ones come up. What was held back goes on once it passes
-    /// again, however late.
+    /// Forwards nothing in either direction. Connections stay open and new ones are accepted; held bytes
+    /// are forwarded once the fault ends, however late.
     Stall,
-    /// The same in the direction of who connects only: what that writes goes on.
+    /// Forwards only what the client writes; the server's replies are held as by `Stall`.
     StallReplies,
-    /// Connections are reset, new ones too. What was held back is gone.
+    /// Resets all connections, including new ones; held bytes are lost.
     Reset,
 }
 
-/// One way from whoever connects to its address to where it leads.
+/// A running proxy; clones share its fault and target.
 #[derive(Clone)]
 pub struct FaultProxy {
+    /// Address to connect to.
     pub address: SocketAddr,
     fault: Rc<watch::Sender<Fault>>,
-    to: Rc<RefCell<SocketAddr>>,
+    target: Rc<RefCell<SocketAddr>>,
 }
 
 impl FaultProxy {
+    /// Starts a proxy in front of a target.
+    ///
     /// # Errors
-    /// No socket is to be had.
-    pub async fn open(to: SocketAddr) -> io::Result<FaultProxy> {
+    /// Returns an error if no socket can be opened.
+    pub async fn open(target: SocketAddr) -> io::Result<FaultProxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let path = FaultProxy {
+        let proxy = FaultProxy {
             address,
             fault: Rc::new(watch::Sender::new(Fault::Forward)),
-            to: Rc::new(RefCell::new(to)),
+            target: Rc::new(RefCell::new(target)),
         };
-        let opened = path.clone();
+        let accepting_proxy = proxy.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (fault, to) = (opened.fault.subscribe(), *opened.to.borrow());
-                spawn_local(carry(stream, to, fault));
+                let (fault, target) = (accepting_proxy.fault.subscribe(), *accepting_proxy.target.borrow());
+                spawn_local(proxy_connection(stream, target, fault));
             }
         });
-        Ok(path)
+        Ok(proxy)
     }
 
-    /// Where new connections go on to.
-    pub fn forward_to(&self, to: SocketAddr) {
-        self.to.replace(to);
+    /// Sets the target of new connections.
+    pub fn forward_to(&self, target: SocketAddr) {
+        self.target.replace(target);
     }
 
+    /// Sets the fault of all connections.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 }
 
-async fn carry(mut near: TcpStream, to: SocketAddr, mut fault: watch::Receiver<Fault>) {
-    // What can't be passed on is reset, so that whoever wrote it knows.
-    let open = fault.wait_for(|fault| *fault != Fault::Stall);
-    if open.await.is_ok_and(|fault| *fault != Fault::Reset)
-        && let Ok(mut far) = TcpStream::connect(to).await
+/// Forwards one connection until either end closes it or a fault resets it.
+async fn proxy_connection(mut client: TcpStream, target: SocketAddr, mut fault: watch::Receiver<Fault>) {
+    // A connection that can't be forwarded is reset, so that the client learns of it.
+    let may_forward = fault.wait_for(|fault| *fault != Fault::Stall);
+    if may_forward.await.is_ok_and(|fault| *fault != Fault::Reset)
+        && let Ok(mut server) = TcpStream::connect(target).await
     {
-        let (mut from_near, mut to_near) = near.split();
-        let (mut from_far, mut to_far) = far.split();
-        let forth = pass(&mut from_near, &mut to_far, fault.clone(), &[Fault::Stall]);
-        let back = pass(&mut from_far, &mut to_near, fault.clone(), &[Fault::Stall, Fault::StallReplies]);
+        let (mut from_client, mut to_client) = client.split();
+        let (mut from_server, mut to_server) = server.split();
+        let client_to_server = copy_stream(&mut from_client, &mut to_server, fault.clone(), &[Fault::Stall]);
+        let server_to_client = copy_stream(
+            &mut from_server,
+            &mut to_client,
+            fault.clone(),
+            &[Fault::Stall, Fault::StallReplies],
+        );
         tokio::select! {
-            () = forth => {}
-            () = back => {}
+            () = client_to_server => {}
+            () = server_to_client => {}
             _ = fault.wait_for(|fault| *fault == Fault::Reset) => {}
         }
-        far.set_zero_linger().ok();
+        server.set_zero_linger().ok();
     }
-    near.set_zero_linger().ok();
+    client.set_zero_linger().ok();
 }
 
-async fn pass(
-    from: &mut (impl AsyncReadExt + Unpin), to: &mut (impl AsyncWriteExt + Unpin),
-    mut fault: watch::Receiver<Fault>, stalling: &[Fault],
+/// Copies bytes in one direction and holds them during the given faults.
+async fn copy_stream(
+    reader: &mut (impl AsyncReadExt + Unpin), target: &mut (impl AsyncWriteExt + Unpin),
+    mut fault: watch::Receiver<Fault>, stalling_faults: &[Fault],
 ) {
-    let mut piece = [0; 4096];
-    while let Ok(read @ 1..) = from.read(&mut piece).await {
-        let open = fault.wait_for(|fault| !stalling.contains(fault)).await.is_ok();
-        if !open || to.write_all(&piece[..read]).await.is_err() {
+    let mut buffer = [0; 4096];
+    while let Ok(read @ 1..) = reader.read(&mut buffer).await {
+        let may_forward = fault.wait_for(|fault| !stalling_faults.contains(fault)).await.is_ok();
+        if !may_forward || target.write_all(&buffer[..read]).await.is_err() {
             return;
         }
     }
