--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -137,7 +137,7 @@
     max_link_utilization: f64,
     set_up_duration_mean: Duration,
     load_notes: LoadNotes,
-    /// Servers that crashed from overload since the last call of `fallen`.
+    /// Servers that crashed from overload and have not been reported to the caller yet.
     overloaded_servers: Vec<ServerNo>,
 }
 
--- a/crates/fleet/src/slow_start.rs
+++ b/crates/fleet/src/slow_start.rs
@@ -6,8 +6,8 @@
 
 /// Parameters of a server's slow start.
 ///
-/// A cold server crashes when set-ups arrive at more than `multiple` times the rate that it can accept,
-/// measured over the window `fall`.
+/// A cold server crashes when set-ups arrive at more than a multiple of the rate that it can accept, measured
+/// over a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
     /// Fraction of its capacity that a server has right after its start.
