--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -185,10 +185,12 @@
         }
     }
 
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
+    /// Returns whether the fleet has no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -24,10 +24,12 @@
         self.0.borrow().iter().filter(|record| matches_event(&record.what)).count()
     }
 
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.0.borrow().len()
     }
 
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
