--- a/crates/daemon/tests/flood.rs
+++ b/crates/daemon/tests/flood.rs
@@ -1,8 +1,8 @@
-//! A manager on sockets under floods, and while the list changes under it.
+//! A manager on real sockets under floods of requests, and while the server list changes.
 
 mod harness;
 
-use harness::{Harness, Listing, counts, free, get, ms, row, set_ups, with};
+use harness::{Harness, ListService, fetch_counts, free_address, get, list_row, ms, set_ups, with_manager};
 use ivyward_fleet::ServerNo;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,123 +13,154 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The settings of the world with a console, and its list at another address.
-fn text_with(harness: &Harness, list: SocketAddr, console: SocketAddr) -> String {
-    let text = harness.text.replace(&harness.standins.list_address().to_string(), &list.to_string());
+/// The harness's settings with a console, and with the server list at another address.
+fn settings_with(harness: &Harness, list: SocketAddr, console: SocketAddr) -> String {
+    let text = harness.settings_text.replace(&harness.standins.list_address().to_string(), &list.to_string());
     text.replacen("manager {", &format!("manager {{ console: \"{console}\""), 1)
 }
 
-/// Where a token's manifest is asked for at another manager.
-fn url(harness: &Harness, at: SocketAddr, session: u128) -> String {
-    harness.url(&harness.token(session, "clip")).replace(&harness.address.to_string(), &at.to_string())
+/// The URL of a session's manifest at another manager.
+fn manifest_url(harness: &Harness, manager_address: SocketAddr, session: u128) -> String {
+    harness
+        .url(&harness.token(session, "clip"))
+        .replace(&harness.address.to_string(), &manager_address.to_string())
 }
 
 #[test]
-fn what_a_whole_list_leaves_out_stays_gone_whatever_its_clock_does() {
-    with(
+fn a_server_missing_from_a_complete_list_gets_no_set_up_once_its_clock_is_right_again() {
+    with_manager(
         |text| text,
         |harness| async move {
-            let all: Vec<_> = harness
-                .all()
+            let rows: Vec<_> = harness
+                .servers()
                 .into_iter()
-                .map(|at| row(harness.standins.address(at), "ready", 1, None))
+                .map(|server| list_row(harness.standins.address(server), "ready", 1, None))
                 .collect();
-            let listing = Listing::open(json!({"whole": all}).to_string()).await;
-            let (at, end, _) = harness.start_with(text_with(&harness, listing.address, free())).await;
-            // Past the time in which all is cold to a manager that has just started.
+            let list_service = ListService::open(json!({"whole": rows}).to_string()).await;
+            let (manager_address, shutdown, _) = harness
+                .start_manager_with(settings_with(&harness, list_service.address, free_address()))
+                .await;
+            // By then the servers are no longer cold to the new manager.
             sleep(ms(800)).await;
             harness.standins.clock(ServerNo(0), 7200);
             let mut session = 0;
-            let there = |session: u128| get_at(&harness, at, session);
-            while session < 60 && harness.standins.records().count(|what| is_at(what, 0)) == 0 {
-                there(session).await;
+            let request = |session: u128| get_status(&harness, manager_address, session);
+            while session < 60 && harness.standins.records().count(|what| is_set_up_of(what, 0)) == 0 {
+                request(session).await;
                 session += 1;
             }
             sleep(ms(300)).await;
-            // The list is lost; the next whole one knows the first server no more.
-            *listing.first.borrow_mut() = json!({"whole": all[1..]}).to_string();
-            listing.cut();
+            // The list's connection is lost; the next complete list leaves out the first server.
+            *list_service.initial_list.borrow_mut() = json!({"whole": rows[1..]}).to_string();
+            list_service.disconnect_all();
             sleep(ms(1500)).await;
-            harness.records();
+            harness.take_records();
             harness.standins.clock(ServerNo(0), 0);
-            // Long enough for its clock to be asked for, were it still of use.
+            // Long enough for the manager to probe that server's clock, if it still counted the server.
             sleep(ms(17_000)).await;
             for session in 100..130 {
-                there(session).await;
+                request(session).await;
             }
-            let to = set_ups(&harness.records());
-            assert!(to.len() >= 25, "{} set-ups", to.len());
-            let to_first = to.iter().filter(|(at, ..)| *at == ServerNo(0)).count();
-            assert_eq!(to_first, 0, "of {} set-ups, long after a list without it", to.len());
-            end.send(()).ok();
+            let sent_set_ups = set_ups(&harness.take_records());
+            assert!(sent_set_ups.len() >= 25, "{} set-ups", sent_set_ups.len());
+            let first_server_set_ups =
+                sent_set_ups.iter().filter(|(server, ..)| *server == ServerNo(0)).count();
+            assert_eq!(
+                first_server_set_ups,
+                0,
+                "of {} set-ups, long after a list without the server",
+                sent_set_ups.len()
+            );
+            shutdown.send(()).ok();
         },
     );
 }
 
-fn is_at(what: &ivyward_standin::Event, server: usize) -> bool {
-    matches!(what, ivyward_standin::Event::SetUp { server: at, .. } if at.0 == server)
+/// Whether a record is a set-up at this server.
+fn is_set_up_of(what: &ivyward_standin::Event, server: usize) -> bool {
+    matches!(what, ivyward_standin::Event::SetUp { server: set_up_server, .. } if set_up_server.0 == server)
 }
 
-async fn get_at(harness: &Harness, at: SocketAddr, session: u128) -> u16 {
-    timeout(ms(9000), get(&url(harness, at, session))).await.expect("an answer in time").status.as_u16()
+/// Requests a manifest at a manager: the status of the answer.
+async fn get_status(harness: &Harness, manager_address: SocketAddr, session: u128) -> u16 {
+    timeout(ms(9000), get(&manifest_url(harness, manager_address, session)))
+        .await
+        .expect("an answer in time")
+        .status
+        .as_u16()
 }
 
 #[test]
-fn servers_replaced_under_new_addresses_leave_nothing_behind() {
-    with(
+fn servers_replaced_at_new_addresses_leave_no_entries_or_links() {
+    with_manager(
         |text| text,
         |harness| async move {
-            let living: Vec<_> = harness
-                .all()
+            let rows: Vec<_> = harness
+                .servers()
                 .into_iter()
-                .map(|at| row(harness.standins.address(at), "ready", 1, None))
+                .map(|server| list_row(harness.standins.address(server), "ready", 1, None))
                 .collect();
-            let listing = Listing::open(json!({"whole": living}).to_string()).await;
-            let console = free();
-            let (at, end, _) = harness.start_with(text_with(&harness, listing.address, console)).await;
-            let old = |turn: u8, i: u8| SocketAddr::from(([127, 3, turn, i], 9));
-            for turn in 0..20 {
-                let ready = (1..6).map(|i| row(old(turn, i), "ready", 1, Some(0)));
-                let gone = (1..6).filter(|_| turn > 0).map(|i| row(old(turn - 1, i), "gone", 1, None));
-                listing.tell(json!({"changes": ready.chain(gone).collect::<Vec<_>>()}).to_string());
+            let list_service = ListService::open(json!({"whole": rows}).to_string()).await;
+            let console = free_address();
+            let (manager_address, shutdown, _) =
+                harness.start_manager_with(settings_with(&harness, list_service.address, console)).await;
+            let replaced_address = |round: u8, i: u8| SocketAddr::from(([127, 3, round, i], 9));
+            for round in 0..20 {
+                let ready = (1..6).map(|i| list_row(replaced_address(round, i), "ready", 1, Some(0)));
+                let gone = (1..6)
+                    .filter(|_| round > 0)
+                    .map(|i| list_row(replaced_address(round - 1, i), "gone", 1, None));
+                list_service
+                    .send_update(json!({"changes": ready.chain(gone).collect::<Vec<_>>()}).to_string());
                 sleep(ms(50)).await;
             }
-            // The last whole list names none of them.
-            listing.cut();
-            // Their links are tried again after two seconds at most, and looked through every five.
-            let held = |page: &Value| page["held"]["servers"].as_u64().zip(page["held"]["links"].as_u64());
-            let begun = Instant::now();
-            while held(&counts(console).await) != Some((4, 4)) {
-                assert!(begun.elapsed() < Duration::from_secs(20), "{}", counts(console).await);
+            // The last complete list names none of the replaced servers.
+            list_service.disconnect_all();
+            // The manager retries their links after at most two seconds and checks all links every five.
+            let held_counts =
+                |page: &Value| page["held"]["servers"].as_u64().zip(page["held"]["links"].as_u64());
+            let disconnected_at = Instant::now();
+            while held_counts(&fetch_counts(console).await) != Some((4, 4)) {
+                assert!(
+                    disconnected_at.elapsed() < Duration::from_secs(20),
+                    "{}",
+                    fetch_counts(console).await
+                );
                 sleep(ms(200)).await;
             }
-            assert_eq!(get_at(&harness, at, 1).await, 200);
-            end.send(()).ok();
+            assert_eq!(get_status(&harness, manager_address, 1).await, 200);
+            shutdown.send(()).ok();
         },
     );
 }
 
 #[test]
-fn after_a_flood_the_counts_are_what_viewers_saw() {
-    let tight = |text: String| text.replace("limits {", "limits { connections: 4");
-    with(tight, |harness| async move {
-        let all: Vec<_> =
-            harness.all().into_iter().map(|at| row(harness.standins.address(at), "ready", 1, None)).collect();
-        let listing = Listing::open(json!({"whole": all}).to_string()).await;
-        let console = free();
-        let (at, end, _) = harness.start_with(text_with(&harness, listing.address, console)).await;
+fn after_a_flood_the_counts_match_the_answers_that_viewers_got() {
+    let few_connections = |text: String| text.replace("limits {", "limits { connections: 4");
+    with_manager(few_connections, |harness| async move {
+        let list_rows: Vec<_> = harness
+            .servers()
+            .into_iter()
+            .map(|server| list_row(harness.standins.address(server), "ready", 1, None))
+            .collect();
+        let list_service = ListService::open(json!({"whole": list_rows}).to_string()).await;
+        let console = free_address();
+        let (manager_address, shutdown, _) =
+            harness.start_manager_with(settings_with(&harness, list_service.address, console)).await;
         sleep(ms(800)).await;
-        // Some servers stand still; lines that can't be read come by the thousand.
+        // Two servers are frozen; the list service sends thousands of unreadable updates.
         [0, 1].into_iter().for_each(|i| harness.standins.freeze(ServerNo(i)));
-        (0..3000).for_each(|i| listing.tell(format!("{{\"changes\": [{i}, \"{}\"]}}", "x".repeat(300))));
-        let asked: Vec<_> = (0..600_u128)
+        (0..3000).for_each(|i| {
+            list_service.send_update(format!("{{\"changes\": [{i}, \"{}\"]}}", "x".repeat(300)))
+        });
+        let requests: Vec<_> = (0..600_u128)
             .map(|session| {
-                // Some come with a token that is none, some ask for what there is not.
-                let good = url(&harness, at, session);
+                // Some requests have an invalid token, some name an unknown title.
+                let valid_url = manifest_url(&harness, manager_address, session);
                 let url = match session % 8 {
-                    6 => good.replace("token=", "token=x"),
-                    7 => good.replace("/mpd/how", "/mpd/now"),
-                    _ => good,
+                    6 => valid_url.replace("token=", "token=x"),
+                    7 => valid_url.replace("/mpd/how", "/mpd/now"),
+                    _ => valid_url,
                 };
                 spawn_local(async move {
                     sleep(ms(session as u64 * 2)).await;
@@ -137,8 +168,8 @@
                 })
             })
             .collect();
-        let mut seen = BTreeMap::<&str, u64>::new();
-        for task in asked {
+        let mut answers_received = BTreeMap::<&str, u64>::new();
+        for task in requests {
             let answer = match task.await.expect("an answer") {
                 200 => "plays",
                 503 => "blocked",
@@ -146,156 +177,171 @@
                 401 | 404 => "turned away",
                 other => panic!("{other}"),
             };
-            *seen.entry(answer).or_default() += 1;
+            *answers_received.entry(answer).or_default() += 1;
         }
-        let page = counts(console).await;
+        let page = fetch_counts(console).await;
         let rows = page["answers"].as_array().expect("rows");
-        let mut told = BTreeMap::<&str, u64>::new();
+        let mut answers_counted = BTreeMap::<&str, u64>::new();
         for row in rows {
-            *told.entry(row["answer"].as_str().expect("an answer")).or_default() +=
+            *answers_counted.entry(row["answer"].as_str().expect("an answer")).or_default() +=
                 row["count"].as_u64().expect("a count");
             assert!(
                 row["first_s"].as_u64() <= row["last_s"].as_u64() && row["why"].as_str() != Some(""),
                 "{row}"
             );
         }
-        assert_eq!(told, seen, "{page}");
-        assert!(seen["plays"] > 20 && seen["blocked"] > 20 && rows.len() >= 5, "{page}");
-        // What was not written of the list's lines is told; what the answers' rows are keyed by stays small.
+        assert_eq!(answers_counted, answers_received, "{page}");
+        assert!(
+            answers_received["plays"] > 20 && answers_received["blocked"] > 20 && rows.len() >= 5,
+            "{page}"
+        );
+        // The page counts the list updates that the log left out; the answers have few distinct rows.
         let left_out = page["left_out"]["lines_of_floods"].as_u64().expect("a count");
         assert!((2900..3000).contains(&left_out), "{page}");
         assert!(rows.len() < 20, "{page}");
-        end.send(()).ok();
+        shutdown.send(()).ok();
     });
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_no_viewing_up() {
-    with(
+fn an_unread_log_delays_no_viewing() {
+    with_manager(
         |text| text,
         |harness| async move {
-            let console = free();
-            let text = text_with(&harness, harness.standins.list_address(), console);
+            let console = free_address();
+            let text = settings_with(&harness, harness.standins.list_address(), console);
             let file = std::env::temp_dir().join(format!("ivyward-unread-{}.txtpb", std::process::id()));
             std::fs::write(&file, text.replace("manager-1", "manager-2")).expect("written");
             let mut program = Command::new(env!("CARGO_BIN_EXE_ivyward"));
-            let listen = free();
+            let listen = free_address();
             program.args(["--log", "debug", "run", &file.to_string_lossy(), "--listen", &listen.to_string()]);
             let mut process =
                 program.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the program runs");
-            let up = async {
+            let listening = async {
                 while tokio::net::TcpStream::connect(listen).await.is_err() {
                     sleep(ms(20)).await;
                 }
             };
-            timeout(ms(9000), up).await.expect("it listens");
+            timeout(ms(9000), listening).await.expect("it listens");
             sleep(ms(800)).await;
-            let good = url(&harness, listen, 1);
+            let valid_url = manifest_url(&harness, listen, 1);
             for i in 0..6000 {
-                let page = timeout(ms(3000), get(&good)).await;
-                assert!(page.is_ok(), "request {i} waits for a log that nobody reads");
+                let page = timeout(ms(3000), get(&valid_url)).await;
+                assert!(page.is_ok(), "request {i} is blocked by the unread log");
             }
-            let page = counts(console).await;
+            let page = fetch_counts(console).await;
             let id = process.id().to_string();
             assert!(Command::new("kill").args(["-TERM", &id]).status().expect("kill runs").success());
             let mut stderr = process.stderr.take().expect("its log");
-            let read = std::thread::spawn(move || {
+            let log_reader = std::thread::spawn(move || {
                 let mut log = String::new();
                 stderr.read_to_string(&mut log).map(|_| log)
             });
             while process.try_wait().expect("a process").is_none() {
                 sleep(ms(10)).await;
             }
-            let log = read.join().expect("a reader").expect("text");
+            let log = log_reader.join().expect("a reader").expect("text");
             std::fs::remove_file(&file).ok();
             assert!(page["left_out"]["lines_of_the_log"].as_u64() > Some(1000), "{page}");
             assert!(log.len() < 4 << 20 && log.lines().all(|line| line.len() < 1000), "{} bytes", log.len());
-            let token = good.split("token=").nth(1).expect("a token");
-            assert!(!log.contains(token), "no token stands in the log");
+            let token = valid_url.split("token=").nth(1).expect("a token");
+            assert!(!log.contains(token), "the log contains no token");
         },
     );
 }
 
 #[test]
-fn while_the_list_changes_under_a_crowd_each_viewer_has_one_answer_and_ends_are_kept() {
-    with(
+fn while_the_list_changes_under_load_each_viewer_gets_one_answer_and_no_removed_server_gets_a_set_up() {
+    with_manager(
         |text| text,
         |harness| async move {
             let addresses: Vec<_> =
-                harness.all().into_iter().map(|at| harness.standins.address(at)).collect();
-            let ready: Vec<_> = addresses.iter().map(|at| row(*at, "ready", 1, None)).collect();
-            let listing = Listing::open(json!({"whole": ready}).to_string()).await;
-            let console = free();
-            let (at, end, ended) = harness.start_with(text_with(&harness, listing.address, console)).await;
+                harness.servers().into_iter().map(|server| harness.standins.address(server)).collect();
+            let ready: Vec<_> =
+                addresses.iter().map(|address| list_row(*address, "ready", 1, None)).collect();
+            let list_service = ListService::open(json!({"whole": ready}).to_string()).await;
+            let console = free_address();
+            let (manager_address, shutdown, outcome_receiver) =
+                harness.start_manager_with(settings_with(&harness, list_service.address, console)).await;
             sleep(ms(800)).await;
-            harness.records();
-            // Set-ups take a while, so that many are out whenever the list changes.
+            harness.take_records();
+            // Set-ups are slow, so that many are in progress whenever the list changes.
             harness
-                .all()
+                .servers()
                 .into_iter()
-                .for_each(|at| harness.standins.fault(at, "slow", true, |f| f.slow = 10.0));
-            let asked: Vec<_> = (0..240_u128)
+                .for_each(|server| harness.standins.fault(server, "slow", true, |faults| faults.slow = 10.0));
+            let requests: Vec<_> = (0..240_u128)
                 .map(|session| {
                     let package = if session % 3 == 0 { "ticket" } else { "clip" };
                     let url = harness
                         .url(&harness.token(session, package))
-                        .replace(&harness.address.to_string(), &at.to_string());
+                        .replace(&harness.address.to_string(), &manager_address.to_string());
                     spawn_local(async move {
                         sleep(ms(session as u64 * 12)).await;
                         timeout(ms(9000), get(&url)).await.expect("an answer in time").status.as_u16()
                     })
                 })
                 .collect();
-            // Each server in turn drains, is gone, is back from another start, is left out by a whole list, and so on.
-            let (mut births, mut news) = ([1_u64; 4], vec![]);
+            // Each server in turn drains, is gone or left out of a complete list, and is back with a new
+            // incarnation.
+            let (mut incarnations, mut updates) = ([1_u64; 4], vec![]);
             for step in 0..24_usize {
-                let (i, now) = (step % 4, harness.standins.now());
-                let line =
-                    |j: usize, standing, births: &[u64; 4], age| row(addresses[j], standing, births[j], age);
-                let told = match (step / 4 % 3, step % 2) {
-                    (0, _) => json!({"changes": [line(i, "draining", &births, None)]}),
+                let (i, sent_at) = (step % 4, harness.standins.now());
+                let server_row = |j: usize, status, incarnations: &[u64; 4], age| {
+                    list_row(addresses[j], status, incarnations[j], age)
+                };
+                let update = match (step / 4 % 3, step % 2) {
+                    (0, _) => json!({"changes": [server_row(i, "draining", &incarnations, None)]}),
                     (1, 0) => {
                         let named = (0..4).filter(|j| *j != i);
-                        news.extend(named.clone().map(|j| (ServerNo(j), now, false)));
-                        json!({"whole": named.map(|j| line(j, "ready", &births, None)).collect::<Vec<_>>()})
+                        updates.extend(named.clone().map(|j| (ServerNo(j), sent_at, false)));
+                        json!({"whole": named.map(|j| server_row(j, "ready", &incarnations, None)).collect::<Vec<_>>()})
                     }
-                    (1, _) => json!({"changes": [line(i, "gone", &births, None)]}),
+                    (1, _) => json!({"changes": [server_row(i, "gone", &incarnations, None)]}),
                     _ => {
-                        births[i] += 1;
-                        json!({"changes": [line(i, "ready", &births, Some(0))]})
+                        incarnations[i] += 1;
+                        json!({"changes": [server_row(i, "ready", &incarnations, Some(0))]})
                     }
                 };
-                news.push((ServerNo(i), now, step / 4 % 3 != 2));
-                listing.tell(told.to_string());
+                updates.push((ServerNo(i), sent_at, step / 4 % 3 != 2));
+                list_service.send_update(update.to_string());
                 sleep(ms(120)).await;
             }
-            for task in asked {
+            for task in requests {
                 let status = task.await.expect("an answer");
                 assert!([200, 502, 503].contains(&status), "{status}");
             }
-            // Nothing new later than the grace of 250 ms after news of an end that still stood.
-            let records = harness.records();
+            // No set-up is sent later than the grace of 250 ms after an update that removed the server and still
+            // applies.
+            let records = harness.take_records();
             let late = records.iter().filter(|record| {
                 let ivyward_standin::Event::SetUp { server, .. } = record.what else { return false };
-                let last = news.iter().rfind(|(at, told, _)| *at == server && *told <= record.at);
-                last.is_some_and(|(_, told, ends)| *ends && record.at > *told + ms(270))
+                let last =
+                    updates.iter().rfind(|(updated, sent_at, _)| *updated == server && *sent_at <= record.at);
+                last.is_some_and(|(_, sent_at, removes)| *removes && record.at > *sent_at + ms(270))
             });
             assert_eq!(late.count(), 0);
-            let to = set_ups(&records);
-            let mut paid = BTreeMap::<u128, usize>::new();
-            to.iter()
+            let sent_set_ups = set_ups(&records);
+            let mut paid_counts = BTreeMap::<u128, usize>::new();
+            sent_set_ups
+                .iter()
                 .filter(|(_, session, _)| session % 3 == 0)
-                .for_each(|(_, session, _)| *paid.entry(*session).or_default() += 1);
-            assert!(to.len() > 60 && paid.len() > 10, "{} set-ups, {} paid", to.len(), paid.len());
+                .for_each(|(_, session, _)| *paid_counts.entry(*session).or_default() += 1);
+            assert!(
+                sent_set_ups.len() > 60 && paid_counts.len() > 10,
+                "{} set-ups, {} paid",
+                sent_set_ups.len(),
+                paid_counts.len()
+            );
             sleep(ms(300)).await;
-            end.send(()).ok();
-            let came = loop {
-                match ended.try_recv() {
-                    Ok(came) => break came.expect("it ends as told"),
+            shutdown.send(()).ok();
+            let outcome = loop {
+                match outcome_receiver.try_recv() {
+                    Ok(outcome) => break outcome.expect("the manager shuts down"),
                     Err(_) => sleep(ms(10)).await,
                 }
             };
-            assert_eq!((came.breaches, came.places), (0, 0), "{came:?}");
+            assert_eq!((outcome.breaches, outcome.places), (0, 0), "{outcome:?}");
         },
     );
 }
