--- a/crates/daemon/tests/flood.rs
+++ b/crates/daemon/tests/flood.rs
@@ -311,8 +311,8 @@
                 let status = task.await.expect("an answer");
                 assert!([200, 502, 503].contains(&status), "{status}");
             }
-            // No set-up is sent later than the grace of 250 ms after an update that removed the server and still
-            // applies.
+            // No set-up is sent later than the grace of 250 ms after an update that removed the server and
+            // still applies.
             let records = harness.take_records();
             let late = records.iter().filter(|record| {
                 let ivyward_standin::Event::SetUp { server, .. } = record.what else { return false };
--- a/crates/daemon/tests/fuzz.rs
+++ b/crates/daemon/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Malformed bytes from viewers and from servers cause no panic and leave no viewing unanswered. `IVYWARD_FUZZ` sets how
-//! many inputs are tried; the same number always tries the same inputs.
+//! Malformed bytes from viewers and from servers cause no panic and leave no viewing unanswered.
+//! `IVYWARD_FUZZ` sets how many inputs are tried; the same number always tries the same inputs.
 
 mod harness;
 
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -166,7 +166,8 @@
         get(&self.url(&self.token(session, package))).await
     }
 
-    /// Sends bytes with a pause after each part: what comes back until the manager closes, or within three seconds.
+    /// Sends bytes with a pause after each part: what comes back until the manager closes, or within three
+    /// seconds.
     pub async fn send_raw(&self, parts: &[(&[u8], Duration)]) -> String {
         let mut stream = TcpStream::connect(self.address).await.expect("a connection");
         for (bytes, pause) in parts {
@@ -209,8 +210,8 @@
         panic!("not reached within 20 s: {what}");
     }
 
-    /// Starts a later incarnation of the manager, with the same name and tokens, while the first still runs: to servers,
-    /// the first looks killed. Returns its address, its shutdown trigger and its outcome.
+    /// Starts a later incarnation of the manager, with the same name and tokens, while the first still runs:
+    /// to servers, the first looks killed. Returns its address, its shutdown trigger and its outcome.
     pub async fn start_successor(
         &self,
     ) -> (SocketAddr, oneshot::Sender<()>, mpsc::Receiver<Result<Ended, String>>) {
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,5 @@
-//! Viewings on real sockets, from token to last segment, while keys, clocks, the manager or the player change.
+//! Viewings on real sockets, from token to last segment, while keys, clocks, the manager or the player
+//! change.
 
 mod harness;
 
@@ -276,8 +277,8 @@
             .replace("listen:", &format!("state_dir: \"{state_dir_name}\" listen:"))
     };
     with_manager(tweak, |mut harness| async move {
-        // One session plays on, one is at a frozen server, one has ended: all three request again with new tokens
-        // of the app's.
+        // One session plays on, one is at a frozen server, one has ended: all three request again with new
+        // tokens of the app's.
         let mut servers = vec![];
         for session in 1..=3 {
             let response = harness.request_manifest(session, "ticket").await;
@@ -329,8 +330,8 @@
         for server in harness.servers() {
             harness.standins.thaw(server);
         }
-        // Either servers know the new incarnation before they process the old one's set-ups, or leases end the
-        // streams.
+        // Either servers know the new incarnation before they process the old one's set-ups, or leases end
+        // the streams.
         harness
             .wait_until("no stream is held without a viewing", |harness| harness.stream_count() <= 4)
             .await;
@@ -355,7 +356,8 @@
         let connected_at = Instant::now();
         let write_until_closed = async {
             loop {
-                // It sends requests and reads nothing: its writes block, then the manager closes the connection.
+                // It sends requests and reads nothing: its writes block, then the manager closes the
+                // connection.
                 if timeout(ms(100), stream.write_all(request.repeat(50).as_bytes()))
                     .await
                     .is_ok_and(|written| written.is_err())
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -1,5 +1,6 @@
-//! Several managers, each a process of the program, with proxies between them that stall and reset connections, and
-//! processes that are killed, stopped and restarted. The checks use what the stand-in servers recorded.
+//! Several managers, each a process of the program, with proxies between them that stall and reset
+//! connections, and processes that are killed, stopped and restarted. The checks use what the stand-in
+//! servers recorded.
 
 mod harness;
 
@@ -281,8 +282,8 @@
             );
             // The two remaining managers still set up new sessions.
             assert_eq!(group.request_paid(2, 8).await.status, PLAYS);
-            // Neither the killed manager's next incarnation nor another restarted manager that kept its state sets
-            // it up again.
+            // Neither the killed manager's next incarnation nor another restarted manager that kept its state
+            // sets it up again.
             group.run(0).await;
             group.kill(1).await;
             group.run(1).await;
@@ -499,8 +500,8 @@
             );
             group.set_fault_around(2, Fault::Forward);
             group.wait_for_status(2, 61, REVOKED).await;
-            // Revocations aren't stored on disk: a restarted manager learns them from another, also after repeated
-            // restarts.
+            // Revocations aren't stored on disk: a restarted manager learns them from another, also after
+            // repeated restarts.
             for i in [1, 2, 1] {
                 group.kill(i).await;
                 group.run(i).await;
@@ -529,8 +530,8 @@
     }
 }
 
-/// A group in which no member is a neighbour of all others, its zones, and the time within which a revocation must be
-/// in force at all its members.
+/// A group in which no member is a neighbour of all others, its zones, and the time within which a revocation
+/// must be in force at all its members.
 const LARGE_GROUP_COUNT: usize = 24;
 const ZONE_COUNT: usize = 6;
 const IN_FORCE_TIMEOUT_MS: u64 = 6000;
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -419,10 +419,11 @@
     });
 }
 
-/// All servers refuse connections for `outage`, under a steady stream of requests. `fresh`: the outage begins while the
-/// manager still treats all servers as cold after its own start.
+/// All servers refuse connections for `outage`, under a steady stream of requests. `fresh`: the outage begins
+/// while the manager still treats all servers as cold after its own start.
 fn check_recovery_after_refusals(outage: Duration, fresh: bool) {
-    // Servers warm up for two seconds, in which each takes 13.6 set-ups a second. A request is made every 40 ms.
+    // Servers warm up for two seconds, in which each takes 13.6 set-ups a second. A request is made every 40
+    // ms.
     let (warm_up, request_interval) = (ms(2000), ms(40));
     let long_warm_up = |text: String| unrationed(text).replace("warm_up_s: 0.2", "warm_up_s: 2");
     with_manager(long_warm_up, |harness| async move {
