--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,4 +1,5 @@
-//! The program as a viewing manager, on loopback, over stand-ins that speak the platform's protocol.
+//! The program as a viewing manager on the platform (`ivyward node`), on loopback, over stand-in servers that
+//! use the platform's protocol.
 
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
 use ivyward_rules::{
@@ -29,15 +30,15 @@
 mod races;
 
 const DESCRIPTION: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=video \u{e4}\"\\ 0\r\n";
-/// Servers of the small platform; each title lies on all.
-const SERVERS: usize = 3;
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+/// How many servers the stand-in platform has; each holds all titles.
+const SERVER_COUNT: usize = 3;
+static HARNESS_COUNT: AtomicU32 = AtomicU32::new(0);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Two packages, `clip` and the paid `ticket`; servers warm after a tenth of a second.
+/// Settings with two packages, `clip` and the paid `ticket`; servers are warm after a tenth of a second.
 fn settings() -> Value {
     json!({
         "azs": ["east"], "kinds": ["std"], "siblings": 1, "my-zone": 0,
@@ -54,22 +55,24 @@
         "projects": [{"name": "acme"}],
         "report": {"fields": ["rif", "x0", "x1"], "how": "inline"},
         "specifics": {"class-scale": [1, 1], "class-seats": [0, 0], "floor-by-class": [0, 0], "top-by-class": [3, 3],
-            "kind-streams": [1000], "links-kb": 3_000_000.0, "places": SERVERS, "rack-link-kb": 1_000_000.0,
+            "kind-streams": [1000], "links-kb": 3_000_000.0, "places": SERVER_COUNT, "rack-link-kb": 1_000_000.0,
             "rates-kb": [220, 453, 931, 1913], "rung-worth": [0.24, 0.52, 0.77, 1.0], "seen-after-us": 900_000,
             "shelves": 1, "switch-s": 0.6, "told-every-us": 1_000_000, "weight-kb": 500_000.0},
     })
 }
 
+/// A server's entry in an update of the list.
 fn member(server: &Server, cell: usize, phase: &str) -> Value {
     json!({"id": server.word, "host_port": server.address.to_string(), "locality": "east", "flavor": "std",
         "cell": cell, "phase": phase, "size": 4, "up_since_ms": 0})
 }
 
+/// An update of the server list, as the bus sends it.
 fn event(offset: u64, complete: bool, members: &[Value]) -> Value {
     json!({"offset": offset, "topology": {"revision": offset, "complete": complete, "members": members}})
 }
 
-/// A manager in a process of its own, and the platform round it.
+/// A manager in a process of its own, and the stand-ins for the platform.
 struct Harness {
     servers: Vec<Rc<Server>>,
     bus: Rc<Bus>,
@@ -80,16 +83,17 @@
 }
 
 impl Harness {
-    /// `count`: servers; `tweak`: what is changed in the configuration. The program really has no more descriptors than that allows.
-    async fn new(does: Behavior, count: usize, tweak: impl FnOnce(&mut Value)) -> Harness {
+    /// `count`: how many servers; `tweak` changes the configuration. The program runs with the descriptor
+    /// limit of its configuration.
+    async fn new(behavior: Behavior, count: usize, tweak: impl FnOnce(&mut Value)) -> Harness {
         let mut servers = vec![];
         for i in 0..count {
-            servers.push(Server::start(&format!("s-{i:08x}"), does).await.expect("a server"));
+            servers.push(Server::start(&format!("s-{i:08x}"), behavior).await.expect("a server"));
         }
         let bus = Bus::start().await.expect("a bus");
-        let free = TcpListener::bind(own_address()).await.expect("a socket");
-        let address = free.local_addr().expect("its address");
-        drop(free);
+        let listener = TcpListener::bind(own_address()).await.expect("a socket");
+        let address = listener.local_addr().expect("its address");
+        drop(listener);
         let members: Vec<_> =
             servers.iter().enumerate().map(|(i, server)| member(server, i, "ready")).collect();
         let mut config = json!({
@@ -98,46 +102,52 @@
             "known": {"offset": 1, "batch": [event(1, true, &members)]}, "settings": settings(),
         });
         tweak(&mut config);
-        let number = WORLDS.fetch_add(1, Ordering::Relaxed);
-        let file = env::temp_dir().join(format!("ivyward-node-{}-{number}.json", process::id()));
+        let harness_number = HARNESS_COUNT.fetch_add(1, Ordering::Relaxed);
+        let file = env::temp_dir().join(format!("ivyward-node-{}-{harness_number}.json", process::id()));
         fs::write(&file, config.to_string()).expect("written");
-        let program = starts(&file, &config);
+        let program = start_program(&file, &config);
         let harness = Harness { servers, bus, config, file, address, program };
-        // Ready, and its servers warm.
-        let mut test = harness.viewer().await;
-        assert!(test.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await);
-        let tested = test.receive(ms(2000)).await.expect("an answer to the test");
-        assert_eq!((tested.kind, tested.session, tested.cause), (Kind::HeartbeatAck, SessionRef(1), Some(1)));
+        // Waits until the program is ready and its servers are warm.
+        let mut viewer = harness.viewer().await;
+        assert!(viewer.send_signal(Kind::Heartbeat, SessionRef(1), Some(0)).await);
+        let reply = viewer.receive(ms(2000)).await.expect("an answer to the heartbeat");
+        assert_eq!((reply.kind, reply.session, reply.cause), (Kind::HeartbeatAck, SessionRef(1), Some(1)));
         sleep(ms(200)).await;
         harness
     }
 
+    /// Connects a viewer, once the program listens.
     async fn viewer(&self) -> Viewer {
-        let until = Instant::now() + ms(5000);
+        let deadline = Instant::now() + ms(5000);
         loop {
             match Viewer::connect(self.address).await {
                 Ok(viewer) => return viewer,
-                Err(_) if Instant::now() < until => sleep(ms(10)).await,
+                Err(_) if Instant::now() < deadline => sleep(ms(10)).await,
                 Err(error) => panic!("no connection: {error}"),
             }
         }
     }
 
-    fn of(&self, kind: Kind) -> usize {
+    /// How many signals of a kind servers received.
+    fn signal_count(&self, kind: Kind) -> usize {
         self.servers.iter().map(|server| server.received(kind).len()).sum()
     }
 
-    /// The server that something stands at or is out to, as the only one that got a set-up.
-    fn holder(&self) -> Rc<Server> {
-        let holder = self.servers.iter().find(|server| !server.received(Kind::SetUp).is_empty());
-        holder.expect("a set-up somewhere").clone()
+    /// The server that got a set-up.
+    fn set_up_server(&self) -> Rc<Server> {
+        let server = self.servers.iter().find(|server| !server.received(Kind::SetUp).is_empty());
+        server.expect("a set-up somewhere").clone()
     }
 
-    fn signal(&self, name: &str) {
-        let id = self.program.id().expect("it runs").to_string();
-        assert!(process::Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+    /// Sends a Unix signal to the program.
+    fn send_unix_signal(&self, name: &str) {
+        let process_id = self.program.id().expect("it runs").to_string();
+        assert!(
+            process::Command::new("kill").args([name, &process_id]).status().expect("kill runs").success()
+        );
     }
 
+    /// Writes a changed configuration file.
     fn configure(&self, change: impl FnOnce(&mut Value)) {
         let mut config = self.config.clone();
         change(&mut config);
@@ -145,8 +155,8 @@
     }
 }
 
-/// The program on a configuration, with the limit on descriptors that this tells.
-fn starts(file: &Path, config: &Value) -> Child {
+/// Starts the program on a configuration, with the descriptor limit that this sets.
+fn start_program(file: &Path, config: &Value) -> Child {
     Command::new("sh")
         .args(["-c", "ulimit -n $1; exec $0 node", env!("CARGO_BIN_EXE_ivyward")])
         .arg(config["limits"]["sockets"].to_string())
@@ -163,53 +173,61 @@
     }
 }
 
-fn with<F: Future<Output = ()>>(does: Behavior, test: impl FnOnce(Harness) -> F) {
-    with_connect(does, ms(250), test);
+/// Runs a test against a program whose servers behave like this.
+fn with_harness<F: Future<Output = ()>>(behavior: Behavior, test: impl FnOnce(Harness) -> F) {
+    with_connect_timeout(behavior, ms(250), test);
 }
 
-/// `connect`: how long a connection to a server may take to stand.
-fn with_connect<F: Future<Output = ()>>(does: Behavior, connect: Duration, test: impl FnOnce(Harness) -> F) {
-    let micros = connect.as_micros() as u64;
-    with_config(does, |config| config["settings"]["limits"]["connect-timeout-us"] = micros.into(), test);
+/// `connect_timeout`: how long a connection to a server may take to be established.
+fn with_connect_timeout<F: Future<Output = ()>>(
+    behavior: Behavior, connect_timeout: Duration, test: impl FnOnce(Harness) -> F,
+) {
+    let micros = connect_timeout.as_micros() as u64;
+    with_config(behavior, |config| config["settings"]["limits"]["connect-timeout-us"] = micros.into(), test);
 }
 
+/// As `with_harness`, with a changed configuration.
 fn with_config<F: Future<Output = ()>>(
-    does: Behavior, tweak: impl FnOnce(&mut Value), test: impl FnOnce(Harness) -> F,
+    behavior: Behavior, tweak: impl FnOnce(&mut Value), test: impl FnOnce(Harness) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { test(Harness::new(does, SERVERS, tweak).await).await });
+    LocalSet::new()
+        .block_on(&runtime, async { test(Harness::new(behavior, SERVER_COUNT, tweak).await).await });
 }
 
-/// A set-up as a viewer sends it; `tweak` may spoil the text.
-fn asks(of: SessionRef, package: &str, left: u64, more: &str) -> Vec<u8> {
-    let (left, extras) = (left.to_string(), format!("home:0;copies:3;top:3;viewer:00000000b4d65521{more}"));
+/// A viewer's set-up. `left_ms`: the viewer's patience; `more_extras` is appended to the extras.
+fn set_up_bytes(session_ref: SessionRef, package: &str, left_ms: u64, more_extras: &str) -> Vec<u8> {
+    let (left_ms, extras) =
+        (left_ms.to_string(), format!("home:0;copies:3;top:3;viewer:00000000b4d65521{more_extras}"));
     let fields = [
         (Field::Package, package),
-        (Field::TimeLeft, &left),
+        (Field::TimeLeft, &left_ms),
         (Field::Tenant, "acme"),
         (Field::Title, "7f3a9c21e0b4d655"),
         (Field::Extras, &extras),
     ];
-    line::write(Kind::SetUp, of, &fields, None, Some(DESCRIPTION)).expect("short")
+    line::write(Kind::SetUp, session_ref, &fields, None, Some(DESCRIPTION)).expect("short")
 }
 
-async fn waits(what: &str, until: impl Fn() -> bool) {
-    let end = Instant::now() + ms(5000);
-    while !until() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until the condition holds, for five seconds at most.
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + ms(5000);
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}");
         sleep(ms(5)).await;
     }
 }
 
 #[test]
-fn what_servers_do_with_set_ups() {
-    // What all servers do; the answer to a clip and to a paid ticket, as a kind and a cause; how many set-ups of the
-    // ticket there may be.
-    let (up, refused, failed) = ((Kind::Answer, None), (Kind::Release, Some(34)), (Kind::Release, Some(41)));
+fn each_server_behavior_gives_one_answer_and_repeats_no_paid_set_up_that_may_have_run() {
+    // What all servers do; the answer to a clip and to a paid ticket, as kind and cause; how many set-ups of
+    // the ticket are allowed.
+    let (answered, refused, failed) =
+        ((Kind::Answer, None), (Kind::Release, Some(34)), (Kind::Release, Some(41)));
     let cases = [
-        (Behavior::Plays, up, up, 1),
-        (Behavior::PlaysTwice, up, up, 1),
-        (Behavior::AnswersOtherFirst, up, up, 1),
+        (Behavior::Plays, answered, answered, 1),
+        (Behavior::PlaysTwice, answered, answered, 1),
+        (Behavior::AnswersOtherFirst, answered, answered, 1),
         (Behavior::Releases(34), refused, refused, 3),
         (Behavior::Releases(102), refused, refused, 3),
         (Behavior::Releases(47), refused, failed, 1),
@@ -221,239 +239,260 @@
         (Behavior::SendsOversizedLength, refused, failed, 1),
         (Behavior::OmitsDescription, refused, failed, 1),
     ];
-    for (does, clip, ticket, most) in cases {
-        with(does, |harness| async move {
-            for (of, package, wanted) in
+    for (behavior, clip, ticket, max_ticket_set_ups) in cases {
+        with_harness(behavior, |harness| async move {
+            for (session_ref, package, expected) in
                 [(SessionRef(0xa1), "clip", clip), (SessionRef(0xa2), "ticket", ticket)]
             {
                 let mut viewer = harness.viewer().await;
-                assert!(viewer.write(&asks(of, package, 1500, "")).await);
-                let came = viewer.receive(ms(2500)).await.expect("an answer");
-                assert_eq!((came.session, (came.kind, came.cause)), (of, wanted), "{does:?} {package}");
-                if came.kind == Kind::Answer {
+                assert!(viewer.write(&set_up_bytes(session_ref, package, 1500, "")).await);
+                let reply = viewer.receive(ms(2500)).await.expect("an answer");
+                assert_eq!(
+                    (reply.session, (reply.kind, reply.cause)),
+                    (session_ref, expected),
+                    "{behavior:?} {package}"
+                );
+                if reply.kind == Kind::Answer {
                     assert_eq!(
-                        came.description.as_deref(),
+                        reply.description.as_deref(),
                         Some(&answer(DESCRIPTION.as_bytes())[..]),
-                        "{does:?}"
+                        "{behavior:?}"
                     );
                 }
-                assert_eq!(viewer.receive(ms(100)).await, None, "{does:?} {package}: one answer only");
+                assert_eq!(viewer.receive(ms(100)).await, None, "{behavior:?} {package}: one answer only");
             }
             let set_ups: Vec<_> =
                 harness.servers.iter().flat_map(|server| server.received(Kind::SetUp)).collect();
-            let paid = set_ups.iter().filter(|seen| seen.of == SessionRef(0xa2)).count();
-            assert!((1..=most).contains(&paid), "{does:?}: {paid} set-ups of a ticket");
-            let same = |description: &Option<Vec<u8>>| description.as_deref() == Some(DESCRIPTION.as_bytes());
-            assert!(set_ups.iter().all(|seen| same(&seen.description)), "{does:?}: descriptions unchanged");
+            let ticket_set_up_count =
+                set_ups.iter().filter(|incoming| incoming.of == SessionRef(0xa2)).count();
+            assert!(
+                (1..=max_ticket_set_ups).contains(&ticket_set_up_count),
+                "{behavior:?}: {ticket_set_up_count} set-ups of a ticket"
+            );
+            let is_unchanged =
+                |description: &Option<Vec<u8>>| description.as_deref() == Some(DESCRIPTION.as_bytes());
+            assert!(
+                set_ups.iter().all(|incoming| is_unchanged(&incoming.description)),
+                "{behavior:?}: descriptions unchanged"
+            );
         });
     }
 }
 
 #[test]
-fn a_give_up_that_crosses_an_answer_is_released() {
-    with(Behavior::Ignores, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xb1));
-        assert!(viewer.write(&asks(of, "ticket", 3000, "")).await);
-        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
-        let server = harness.holder();
-        let seen = server.received(Kind::SetUp)[0].clone();
-        assert!(viewer.send_signal(Kind::Release, of, Some(16)).await);
-        let up = ivyward_signal::binary::write(Kind::Answer, of, &[], None, Some(b"late")).expect("short");
-        server.send_bytes(seen.connection, up);
-        waits("the give-up", || server.received(Kind::Release).len() == 1).await;
+fn a_give_up_that_crosses_an_answer_releases_the_session() {
+    with_harness(Behavior::Ignores, |harness| async move {
+        let (mut viewer, session_ref) = (harness.viewer().await, SessionRef(0xb1));
+        assert!(viewer.write(&set_up_bytes(session_ref, "ticket", 3000, "")).await);
+        wait_until("a set-up", || harness.signal_count(Kind::SetUp) == 1).await;
+        let server = harness.set_up_server();
+        let set_up = server.received(Kind::SetUp)[0].clone();
+        assert!(viewer.send_signal(Kind::Release, session_ref, Some(16)).await);
+        let answer_bytes = ivyward_signal::binary::write(Kind::Answer, session_ref, &[], None, Some(b"late"))
+            .expect("short");
+        server.send_bytes(set_up.connection, answer_bytes);
+        wait_until("the release", || server.received(Kind::Release).len() == 1).await;
         assert_eq!(server.received(Kind::Release)[0].cause, Some(16));
-        assert_eq!(viewer.receive(ms(200)).await, None, "nothing is owed any more");
+        assert_eq!(viewer.receive(ms(200)).await, None, "no answer after the give-up");
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-        assert!(viewer.write(&asks(SessionRef(0xb2), "clip", 3000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert!(viewer.write(&set_up_bytes(SessionRef(0xb2), "clip", 3000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
     });
 }
 
 #[test]
-fn what_stands_ends_on_whatever_connection() {
-    // Who ends it, on which connection: the server on the one of the set-up or a later one; the viewer on its own or
-    // another.
-    for (by_server, same) in [(true, true), (true, false), (false, true), (false, false)] {
-        with(Behavior::Plays, |harness| async move {
-            let (mut first, mut second, of) =
+fn a_playing_session_can_be_ended_on_any_connection() {
+    // Who ends the session, and whether on the same connection: the server on that of the set-up or a later
+    // one; the viewer on its own or another.
+    for (by_server, same_connection) in [(true, true), (true, false), (false, true), (false, false)] {
+        with_harness(Behavior::Plays, |harness| async move {
+            let (mut first, mut second, session_ref) =
                 (harness.viewer().await, harness.viewer().await, SessionRef(0xc1));
-            assert!(first.write(&asks(of, "clip", 3000, "")).await);
-            assert_eq!(first.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-            let server = harness.holder();
+            assert!(first.write(&set_up_bytes(session_ref, "clip", 3000, "")).await);
+            assert_eq!(first.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
+            let server = harness.set_up_server();
             assert!(
-                second.write(&asks(SessionRef(0xc2), "clip", 3000, "")).await
+                second.write(&set_up_bytes(SessionRef(0xc2), "clip", 3000, "")).await
                     && second.receive(ms(1000)).await.is_some()
             );
-            // A stranger, who is told nothing.
-            let mut stranger = harness.viewer().await;
+            // A viewer without sessions gets no release.
+            let mut uninvolved = harness.viewer().await;
             assert!(
-                stranger.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
-                    && stranger.receive(ms(1000)).await.is_some()
+                uninvolved.send_signal(Kind::Heartbeat, SessionRef(2), Some(0)).await
+                    && uninvolved.receive(ms(1000)).await.is_some()
             );
             if by_server {
-                if !same {
+                if !same_connection {
                     drop(first);
                     server.reset(0);
-                    waits("another connection", || server.connections() == 2).await;
+                    wait_until("another connection", || server.connections() == 2).await;
                     sleep(ms(50)).await;
-                    server.release(1, of, 16);
-                    let came = second.receive(ms(1000)).await.expect("the release");
-                    assert_eq!((came.kind, came.session), (Kind::Release, of));
-                    assert_eq!(stranger.receive(ms(100)).await, None);
+                    server.release(1, session_ref, 16);
+                    let reply = second.receive(ms(1000)).await.expect("the release");
+                    assert_eq!((reply.kind, reply.session), (Kind::Release, session_ref));
+                    assert_eq!(uninvolved.receive(ms(100)).await, None);
                     return;
                 }
-                server.release(0, of, 16);
-                let came = first.receive(ms(1000)).await.expect("the release");
-                assert_eq!((came.kind, came.session), (Kind::Release, of));
+                server.release(0, session_ref, 16);
+                let reply = first.receive(ms(1000)).await.expect("the release");
+                assert_eq!((reply.kind, reply.session), (Kind::Release, session_ref));
                 assert_eq!(second.receive(ms(100)).await, None);
             } else {
-                let by = if same { &mut first } else { &mut second };
-                assert!(by.send_signal(Kind::Release, of, Some(16)).await);
-                waits("the release", || server.received(Kind::Release).iter().any(|seen| seen.of == of))
-                    .await;
-                assert_eq!(first.receive(ms(100)).await.filter(|came| came.kind == Kind::Release), None);
+                let ending_viewer = if same_connection { &mut first } else { &mut second };
+                assert!(ending_viewer.send_signal(Kind::Release, session_ref, Some(16)).await);
+                wait_until("the release", || {
+                    server.received(Kind::Release).iter().any(|incoming| incoming.of == session_ref)
+                })
+                .await;
+                assert_eq!(first.receive(ms(100)).await.filter(|reply| reply.kind == Kind::Release), None);
             }
         });
     }
 }
 
 #[test]
-fn an_end_is_told_to_its_viewer_unless_the_viewer_made_it() {
-    // What the server gives as the cause, together with its answer or later; whether the viewer is told.
-    for (cause, told) in [(16, true), (41, true), (31, false)] {
-        for together in [true, false] {
-            with(Behavior::Ignores, |harness| async move {
-                let (mut viewer, of) = (harness.viewer().await, SessionRef(0xc8));
-                assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-                waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
-                let server = harness.holder();
+fn a_viewer_is_notified_of_a_sessions_end_unless_the_viewer_caused_it() {
+    // The server's cause, sent together with its answer or later; whether the viewer is notified.
+    for (cause, is_notified) in [(16, true), (41, true), (31, false)] {
+        for sent_together in [true, false] {
+            with_harness(Behavior::Ignores, |harness| async move {
+                let (mut viewer, session_ref) = (harness.viewer().await, SessionRef(0xc8));
+                assert!(viewer.write(&set_up_bytes(session_ref, "clip", 3000, "")).await);
+                wait_until("a set-up", || harness.signal_count(Kind::SetUp) == 1).await;
+                let server = harness.set_up_server();
                 let connection = server.received(Kind::SetUp)[0].connection;
-                let write = |kind, cause, description| {
-                    ivyward_signal::binary::write(kind, of, &[], cause, description).expect("short")
+                let message_bytes = |kind, cause, description| {
+                    ivyward_signal::binary::write(kind, session_ref, &[], cause, description).expect("short")
                 };
-                let up = write(Kind::Answer, None, Some(&b"here"[..]));
-                let end = write(Kind::Release, Some(cause), None);
-                let case = format!("cause {cause}, together {together}");
-                if together {
-                    server.send_bytes(connection, [up, end].concat());
+                let answer_bytes = message_bytes(Kind::Answer, None, Some(&b"here"[..]));
+                let release_bytes = message_bytes(Kind::Release, Some(cause), None);
+                let case = format!("cause {cause}, together {sent_together}");
+                if sent_together {
+                    server.send_bytes(connection, [answer_bytes, release_bytes].concat());
                     assert_eq!(
-                        viewer.receive(ms(1000)).await.map(|came| came.kind),
+                        viewer.receive(ms(1000)).await.map(|reply| reply.kind),
                         Some(Kind::Answer),
                         "{case}"
                     );
                 } else {
-                    server.send_bytes(connection, up);
+                    server.send_bytes(connection, answer_bytes);
                     assert_eq!(
-                        viewer.receive(ms(1000)).await.map(|came| came.kind),
+                        viewer.receive(ms(1000)).await.map(|reply| reply.kind),
                         Some(Kind::Answer),
                         "{case}"
                     );
-                    server.send_bytes(connection, end);
+                    server.send_bytes(connection, release_bytes);
                 }
-                let came = viewer.receive(ms(150)).await.map(|came| (came.kind, came.session));
-                assert_eq!(came, told.then_some((Kind::Release, of)), "{case}");
-                // It stands no more: its number is free.
+                let reply = viewer.receive(ms(150)).await.map(|reply| (reply.kind, reply.session));
+                assert_eq!(reply, is_notified.then_some((Kind::Release, session_ref)), "{case}");
+                // The session has ended: its number is free.
                 harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-                assert!(viewer.write(&asks(of, "clip", 3000, "")).await);
-                let came = viewer.receive(ms(1000)).await.map(|came| (came.kind, came.session));
-                assert_eq!(came, Some((Kind::Answer, of)), "{case}");
+                assert!(viewer.write(&set_up_bytes(session_ref, "clip", 3000, "")).await);
+                let reply = viewer.receive(ms(1000)).await.map(|reply| (reply.kind, reply.session));
+                assert_eq!(reply, Some((Kind::Answer, session_ref)), "{case}");
             });
         }
     }
 }
 
 #[test]
-fn a_spoilt_connection_takes_what_is_open_on_it_and_no_more() {
-    with(Behavior::Ignores, |harness| async move {
+fn garbage_on_a_connection_fails_only_the_set_ups_on_that_connection() {
+    with_harness(Behavior::Ignores, |harness| async move {
         let mut viewer = harness.viewer().await;
-        let all: Vec<_> = (0..12).map(|i| SessionRef(0xd0 + i)).collect();
-        for of in &all {
-            assert!(viewer.write(&asks(*of, "ticket", 3000, "")).await);
+        let sessions: Vec<_> = (0..12).map(|i| SessionRef(0xd0 + i)).collect();
+        for session_ref in &sessions {
+            assert!(viewer.write(&set_up_bytes(*session_ref, "ticket", 3000, "")).await);
         }
-        waits("all set-ups", || harness.of(Kind::SetUp) == all.len()).await;
-        let server = harness.holder();
-        let lost: Vec<_> = server.received(Kind::SetUp).iter().map(|seen| seen.of).collect();
+        wait_until("all set-ups", || harness.signal_count(Kind::SetUp) == sessions.len()).await;
+        let server = harness.set_up_server();
+        let lost_sessions: Vec<_> = server.received(Kind::SetUp).iter().map(|set_up| set_up.of).collect();
         server.send_bytes(0, vec![0xff; 64]);
-        for _ in &lost {
-            let came = viewer.receive(ms(1000)).await.expect("an answer");
-            assert_eq!((came.kind, came.cause), (Kind::Release, Some(41)));
-            assert!(lost.contains(&came.session), "{:?} was elsewhere", came.session);
+        for _ in &lost_sessions {
+            let reply = viewer.receive(ms(1000)).await.expect("an answer");
+            assert_eq!((reply.kind, reply.cause), (Kind::Release, Some(41)));
+            assert!(lost_sessions.contains(&reply.session), "{:?} was on another connection", reply.session);
         }
         assert_eq!(viewer.receive(ms(100)).await, None);
-        let others: Vec<_> = harness.servers.iter().filter(|other| !Rc::ptr_eq(other, &server)).collect();
-        for seen in
-            others.iter().flat_map(|other| other.received(Kind::SetUp).into_iter().map(move |s| (other, s)))
+        let other_servers: Vec<_> =
+            harness.servers.iter().filter(|other| !Rc::ptr_eq(other, &server)).collect();
+        for set_up in other_servers
+            .iter()
+            .flat_map(|other| other.received(Kind::SetUp).into_iter().map(move |set_up| (other, set_up)))
         {
-            let up = ivyward_signal::binary::write(Kind::Answer, seen.1.of, &[], None, Some(b"late"));
-            seen.0.send_bytes(seen.1.connection, up.expect("short"));
-            let came = viewer.receive(ms(1000)).await.expect("an answer");
-            assert_eq!((came.kind, came.session), (Kind::Answer, seen.1.of));
+            let answer_bytes =
+                ivyward_signal::binary::write(Kind::Answer, set_up.1.of, &[], None, Some(b"late"));
+            set_up.0.send_bytes(set_up.1.connection, answer_bytes.expect("short"));
+            let reply = viewer.receive(ms(1000)).await.expect("an answer");
+            assert_eq!((reply.kind, reply.session), (Kind::Answer, set_up.1.of));
         }
-        // What may have run there is ended on another connection.
-        waits("releases of all", || server.received(Kind::Release).len() == lost.len()).await;
+        // Set-ups that may have run there are released on another connection.
+        wait_until("releases of all", || server.received(Kind::Release).len() == lost_sessions.len()).await;
     });
 }
 
 #[test]
-fn what_plays_before_the_start_is_taken_over() {
-    with(Behavior::Plays, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xe1));
-        for word in ["s-00000001", "s-00000001", "s-none"] {
-            assert!(viewer.write(&asks(of, "ticket", 3000, &format!(";at:{word}"))).await);
+fn a_session_that_plays_before_the_start_is_taken_over() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let (mut viewer, session_ref) = (harness.viewer().await, SessionRef(0xe1));
+        for server_id in ["s-00000001", "s-00000001", "s-none"] {
+            assert!(
+                viewer.write(&set_up_bytes(session_ref, "ticket", 3000, &format!(";at:{server_id}"))).await
+            );
         }
-        assert_eq!(viewer.receive(ms(200)).await, None, "no answer is wanted");
+        assert_eq!(viewer.receive(ms(200)).await, None, "a session that already plays gets no answer");
         let server = &harness.servers[1];
-        waits("a connection to what plays", || server.connections() == 1).await;
+        wait_until("a connection to the server that plays the session", || server.connections() == 1).await;
         sleep(ms(50)).await;
-        server.release(0, of, 16);
-        let came = viewer.receive(ms(1000)).await.expect("the release");
-        assert_eq!((came.kind, came.session), (Kind::Release, of));
-        assert_eq!(harness.of(Kind::SetUp), 0);
+        server.release(0, session_ref, 16);
+        let reply = viewer.receive(ms(1000)).await.expect("the release");
+        assert_eq!((reply.kind, reply.session), (Kind::Release, session_ref));
+        assert_eq!(harness.signal_count(Kind::SetUp), 0);
     });
 }
 
 #[test]
-fn sessions_of_a_dead_server_are_told_to_their_viewers() {
-    with(Behavior::Plays, |harness| async move {
-        let (mut viewer, of) = (harness.viewer().await, SessionRef(0xf1));
-        // Where nobody listens any more.
-        let dead =
+fn viewers_are_notified_of_sessions_at_a_dead_server() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let (mut viewer, session_ref) = (harness.viewer().await, SessionRef(0xf1));
+        // An address where nothing listens any more.
+        let dead_address =
             TcpListener::bind("127.0.0.1:0").await.expect("a socket").local_addr().expect("its address");
-        let gone = json!({"id": "s-dead", "host_port": dead.to_string(), "locality": "east", "flavor": "std",
+        let dead_server = json!({"id": "s-dead", "host_port": dead_address.to_string(), "locality": "east", "flavor": "std",
             "cell": 0, "phase": "ready", "size": 4, "up_since_ms": 0});
-        harness.bus.publish(2, &event(2, false, &[gone]), 1);
+        harness.bus.publish(2, &event(2, false, &[dead_server]), 1);
         sleep(ms(100)).await;
-        assert!(viewer.write(&asks(of, "clip", 3000, ";at:s-dead")).await);
-        let came = viewer.receive(ms(1000)).await.expect("the release");
-        assert_eq!((came.kind, came.session), (Kind::Release, of));
+        assert!(viewer.write(&set_up_bytes(session_ref, "clip", 3000, ";at:s-dead")).await);
+        let reply = viewer.receive(ms(1000)).await.expect("the release");
+        assert_eq!((reply.kind, reply.session), (Kind::Release, session_ref));
     });
 }
 
 #[test]
-fn nothing_new_goes_where_a_drain_was_told() {
+fn no_set_up_goes_to_a_draining_or_removed_server() {
     for phase in ["draining", "gone"] {
-        with(Behavior::Plays, |harness| async move {
-            let left: Vec<_> = (0..SERVERS - 1).map(|i| member(&harness.servers[i], i, phase)).collect();
-            harness.bus.publish(2, &event(2, false, &left), 2);
+        with_harness(Behavior::Plays, |harness| async move {
+            let removed: Vec<_> =
+                (0..SERVER_COUNT - 1).map(|i| member(&harness.servers[i], i, phase)).collect();
+            harness.bus.publish(2, &event(2, false, &removed), 2);
             sleep(ms(100)).await;
             let mut viewer = harness.viewer().await;
             for i in 0..20 {
-                assert!(viewer.write(&asks(SessionRef(0x100 + i), "clip", 3000, "")).await);
-                assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+                assert!(viewer.write(&set_up_bytes(SessionRef(0x100 + i), "clip", 3000, "")).await);
+                assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
             }
-            assert_eq!(harness.servers[SERVERS - 1].received(Kind::SetUp).len(), 20, "{phase}");
+            assert_eq!(harness.servers[SERVER_COUNT - 1].received(Kind::SetUp).len(), 20, "{phase}");
         });
     }
 }
 
 #[test]
-fn a_drain_told_between_decision_and_send_keeps_the_set_up_back() {
-    with_connect(Behavior::Plays, ms(3000), |harness| async move {
-        // Its queue of connections is full: the next one doesn't stand before some of them are taken.
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
-        let slow = socket.listen(1).expect("it listens");
-        let address = slow.local_addr().expect("its address");
+fn a_drain_between_decision_and_send_diverts_the_set_up() {
+    with_connect_timeout(Behavior::Plays, ms(3000), |harness| async move {
+        // The accept queue is full: the next connection waits until some are accepted.
+        let listen_socket = TcpSocket::new_v4().expect("a socket");
+        listen_socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
+        let slow_listener = listen_socket.listen(1).expect("it listens");
+        let address = slow_listener.local_addr().expect("its address");
         let mut queued = vec![];
         while let Ok(Ok(stream)) = timeout(ms(100), TcpStream::connect(address)).await {
             queued.push(stream);
@@ -462,246 +501,260 @@
             json!({"id": "s-slow", "host_port": address.to_string(), "locality": "east", "flavor": "std", "cell": 0,
                 "phase": phase, "size": 4, "up_since_ms": 0})
         };
-        let drained = (0..SERVERS).map(|i| member(&harness.servers[i], i, "draining"));
-        let mut list: Vec<_> = drained.collect();
-        list.push(member_of("ready"));
-        harness.bus.publish(2, &event(2, false, &list), 1);
+        let drained_members = (0..SERVER_COUNT).map(|i| member(&harness.servers[i], i, "draining"));
+        let mut members: Vec<_> = drained_members.collect();
+        members.push(member_of("ready"));
+        harness.bus.publish(2, &event(2, false, &members), 1);
         sleep(ms(200)).await;
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(SessionRef(0x150), "ticket", 3500, "")).await);
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x150), "ticket", 3500, "")).await);
         sleep(ms(100)).await;
-        let told = [member_of("draining"), member(&harness.servers[0], 0, "ready")];
-        harness.bus.publish(3, &event(3, false, &told), 1);
+        let changes = [member_of("draining"), member(&harness.servers[0], 0, "ready")];
+        harness.bus.publish(3, &event(3, false, &changes), 1);
         sleep(ms(100)).await;
-        // Now its connection may stand: whatever comes on it is kept.
-        let written = Rc::new(Cell::new(0));
-        let count = written.clone();
+        // Now the connection can be established; all bytes that arrive on it are counted.
+        let received_byte_count = Rc::new(Cell::new(0));
+        let byte_count = received_byte_count.clone();
         spawn_local(async move {
-            while let Ok((mut stream, _)) = slow.accept().await {
-                let count = count.clone();
+            while let Ok((mut stream, _)) = slow_listener.accept().await {
+                let byte_count = byte_count.clone();
                 spawn_local(async move {
-                    let mut piece = [0; 1024];
-                    while let Ok(read @ 1..) = stream.read(&mut piece).await {
-                        count.set(count.get() + read);
+                    let mut buffer = [0; 1024];
+                    while let Ok(read @ 1..) = stream.read(&mut buffer).await {
+                        byte_count.set(byte_count.get() + read);
                     }
                 });
             }
         });
-        let came = viewer.receive(ms(3600)).await.expect("an answer");
-        assert_eq!((came.kind, came.session), (Kind::Answer, SessionRef(0x150)));
+        let reply = viewer.receive(ms(3600)).await.expect("an answer");
+        assert_eq!((reply.kind, reply.session), (Kind::Answer, SessionRef(0x150)));
         assert_eq!(
-            (written.get(), harness.servers[0].received(Kind::SetUp).len()),
+            (received_byte_count.get(), harness.servers[0].received(Kind::SetUp).len()),
             (0, 1),
-            "it went elsewhere"
+            "the set-up went to the other server"
         );
     });
 }
 
 #[test]
-fn a_new_server_at_an_old_address_is_another() {
-    with(Behavior::Plays, |harness| async move {
-        let old = &harness.servers[0];
-        let anew = json!({"id": "s-new", "host_port": old.address.to_string(), "locality": "east", "flavor": "std",
+fn a_new_server_id_at_an_old_address_counts_as_a_new_server() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let old_server = &harness.servers[0];
+        let new_server = json!({"id": "s-new", "host_port": old_server.address.to_string(), "locality": "east", "flavor": "std",
             "cell": 0, "phase": "ready", "size": 4, "up_since_ms": 0});
-        let all = [
-            member(old, 0, "gone"),
+        let removed = [
+            member(old_server, 0, "gone"),
             member(&harness.servers[1], 1, "gone"),
             member(&harness.servers[2], 2, "gone"),
         ];
-        harness.bus.publish(2, &event(2, false, &[&all[..], &[anew]].concat()), 1);
+        harness.bus.publish(2, &event(2, false, &[&removed[..], &[new_server]].concat()), 1);
         sleep(ms(100)).await;
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(SessionRef(0x200), "clip", 3000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        assert_eq!(old.received(Kind::SetUp).len(), 1);
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x200), "clip", 3000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
+        assert_eq!(old_server.received(Kind::SetUp).len(), 1);
     });
 }
 
 #[test]
-fn the_bus_breaks_stops_and_moves() {
-    with(Behavior::Plays, |harness| async move {
-        let drain = |i: usize| vec![member(&harness.servers[i], i, "draining")];
-        waits("the first question", || *harness.bus.requested_after.borrow() == [1]).await;
-        // In the middle of an event, which doesn't count; then it is there for whoever asks.
+fn updates_survive_a_bus_that_disconnects_falls_silent_and_moves() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let drain_of = |i: usize| vec![member(&harness.servers[i], i, "draining")];
+        wait_until("the first request to the bus", || *harness.bus.requested_after.borrow() == [1]).await;
+        // The bus disconnects in the middle of an event, which is discarded; the next request gets the whole
+        // event.
         harness.bus.write("id: 2\ndata: {\"offset\":2,");
         harness.bus.disconnect_all();
-        waits("asked again from the last whole event", || *harness.bus.requested_after.borrow() == [1, 1])
-            .await;
-        harness.bus.publish(2, &event(2, false, &drain(0)), 2);
+        wait_until("a new request from the last whole event", || {
+            *harness.bus.requested_after.borrow() == [1, 1]
+        })
+        .await;
+        harness.bus.publish(2, &event(2, false, &drain_of(0)), 2);
         sleep(ms(50)).await;
-        // Silent but open.
+        // The connection stays open without data.
         harness.bus.sends_comments.set(false);
-        waits("asked again after silence", || *harness.bus.requested_after.borrow() == [1, 1, 2]).await;
+        wait_until("a new request after the silence", || *harness.bus.requested_after.borrow() == [1, 1, 2])
+            .await;
         harness.bus.sends_comments.set(true);
-        // At another address; a file that can't be read changes nothing.
-        let (other, before) =
+        // The bus moves to another address; an unreadable configuration file changes nothing.
+        let (new_bus, requests_before) =
             (Bus::start().await.expect("a bus"), harness.bus.requested_after.borrow().len());
         fs::write(&harness.file, "{").expect("written");
-        harness.signal("-HUP");
+        harness.send_unix_signal("-HUP");
         sleep(ms(200)).await;
-        assert_eq!(harness.bus.requested_after.borrow().len(), before, "the old address stays");
-        harness.configure(|config| config["bus"] = other.address.to_string().into());
-        harness.signal("-HUP");
-        waits("asked at the new address", || *other.requested_after.borrow() == [2]).await;
-        other.publish(3, &event(3, false, &drain(1)), 1);
+        assert_eq!(
+            harness.bus.requested_after.borrow().len(),
+            requests_before,
+            "the old address stays in use"
+        );
+        harness.configure(|config| config["bus"] = new_bus.address.to_string().into());
+        harness.send_unix_signal("-HUP");
+        wait_until("a request to the new address", || *new_bus.requested_after.borrow() == [2]).await;
+        new_bus.publish(3, &event(3, false, &drain_of(1)), 1);
         sleep(ms(100)).await;
         let mut viewer = harness.viewer().await;
         for i in 0..10 {
-            assert!(viewer.write(&asks(SessionRef(0x300 + i), "clip", 3000, "")).await);
-            assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+            assert!(viewer.write(&set_up_bytes(SessionRef(0x300 + i), "clip", 3000, "")).await);
+            assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
         }
-        assert_eq!(harness.servers[2].received(Kind::SetUp).len(), 10, "both drains were told");
+        assert_eq!(harness.servers[2].received(Kind::SetUp).len(), 10, "both drains arrived");
     });
 }
 
 #[test]
-fn told_to_end_it_answers_what_still_comes_and_then_ends() {
-    with(Behavior::Ignores, |mut harness| async move {
+fn after_a_shutdown_signal_late_requests_are_answered_before_the_program_ends() {
+    with_harness(Behavior::Ignores, |mut harness| async move {
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(SessionRef(0x400), "ticket", 2000, "")).await);
-        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
-        harness.signal("-TERM");
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x400), "ticket", 2000, "")).await);
+        wait_until("a set-up", || harness.signal_count(Kind::SetUp) == 1).await;
+        harness.send_unix_signal("-TERM");
         sleep(ms(300)).await;
-        let mut late = harness.viewer().await;
-        assert!(late.write(&asks(SessionRef(0x401), "ticket", 1500, "")).await);
+        let mut late_viewer = harness.viewer().await;
+        assert!(late_viewer.write(&set_up_bytes(SessionRef(0x401), "ticket", 1500, "")).await);
         sleep(ms(300)).await;
-        assert!(late.write(&asks(SessionRef(0x402), "ticket", 1500, "")).await);
-        let mut answered = vec![];
-        for viewer in [&mut viewer, &mut late] {
-            while let Some(came) = viewer.receive(ms(2500)).await {
-                answered.push(came.session.0);
-                if answered.len() == 1 || answered.len() == 3 {
+        assert!(late_viewer.write(&set_up_bytes(SessionRef(0x402), "ticket", 1500, "")).await);
+        let mut answered_sessions = vec![];
+        for viewer in [&mut viewer, &mut late_viewer] {
+            while let Some(reply) = viewer.receive(ms(2500)).await {
+                answered_sessions.push(reply.session.0);
+                if answered_sessions.len() == 1 || answered_sessions.len() == 3 {
                     break;
                 }
             }
         }
-        answered.sort_unstable();
-        assert_eq!(answered, [0x400, 0x401, 0x402]);
-        let ended = tokio::time::timeout(ms(2000), harness.program.wait())
+        answered_sessions.sort_unstable();
+        assert_eq!(answered_sessions, [0x400, 0x401, 0x402]);
+        let exit_status = tokio::time::timeout(ms(2000), harness.program.wait())
             .await
             .expect("it ends")
             .expect("its status");
-        assert!(ended.success());
+        assert!(exit_status.success());
     });
 }
 
 #[test]
-fn bad_clients_are_turned_away_and_others_served_beside_them() {
-    let good = String::from_utf8(asks(SessionRef(0x500), "clip", 2000, "")).expect("text");
-    let ids = "0000000000000500";
-    // What is written, and whether the connection is closed rather than the set-up turned away.
+fn malformed_set_ups_are_rejected_and_other_viewers_served() {
+    let valid_set_up = String::from_utf8(set_up_bytes(SessionRef(0x500), "clip", 2000, "")).expect("text");
+    let session_id = "0000000000000500";
+    // What is written, and whether the connection is closed rather than the set-up refused.
     let cases: [(&str, Vec<u8>, bool); 14] = [
         ("noise", vec![0xfe; 3000], true),
-        ("no end", vec![b'x'; 40_000], true),
+        ("no line end", vec![b'x'; 40_000], true),
         ("nothing", vec![], true),
-        ("half a request", good.as_bytes()[..40].to_vec(), true),
-        ("no id", good.replace(ids, "").into_bytes(), true),
-        ("a short id", good.replace(ids, "500").into_bytes(), true),
-        ("no object", b"[1,2]\n".to_vec(), true),
-        ("a package that is none", good.replace("clip", "clap").into_bytes(), false),
-        ("a tenant that is none", good.replace("acme", "acne").into_bytes(), false),
-        ("a negative patience", good.replace("\"2000\"", "-2000").into_bytes(), false),
-        ("a huge patience", good.replace("\"2000\"", "99999999999999999999").into_bytes(), false),
-        ("no number", good.replace("copies:3", "copies:x").into_bytes(), false),
-        ("no copies", good.replace("copies:3", "copies:0").into_bytes(), false),
-        ("a title that is none", good.replace("7f3a9c21e0b4d655", "7f3a").into_bytes(), false),
+        ("half a request", valid_set_up.as_bytes()[..40].to_vec(), true),
+        ("no id", valid_set_up.replace(session_id, "").into_bytes(), true),
+        ("a short id", valid_set_up.replace(session_id, "500").into_bytes(), true),
+        ("no JSON object", b"[1,2]\n".to_vec(), true),
+        ("an unknown package", valid_set_up.replace("clip", "clap").into_bytes(), false),
+        ("an unknown tenant", valid_set_up.replace("acme", "acne").into_bytes(), false),
+        ("a negative patience", valid_set_up.replace("\"2000\"", "-2000").into_bytes(), false),
+        ("a huge patience", valid_set_up.replace("\"2000\"", "99999999999999999999").into_bytes(), false),
+        ("a number of copies that is none", valid_set_up.replace("copies:3", "copies:x").into_bytes(), false),
+        ("no copies", valid_set_up.replace("copies:3", "copies:0").into_bytes(), false),
+        ("an invalid title", valid_set_up.replace("7f3a9c21e0b4d655", "7f3a").into_bytes(), false),
     ];
-    with(Behavior::Plays, |harness| async move {
+    with_harness(Behavior::Plays, |harness| async move {
         for (name, bytes, closes) in cases {
-            let (mut bad, begun) = (harness.viewer().await, Instant::now());
-            bad.write(&bytes).await;
+            let (mut bad_viewer, started_at) = (harness.viewer().await, Instant::now());
+            bad_viewer.write(&bytes).await;
             if closes {
-                assert!(bad.wait_closed(ms(3000)).await, "{name}");
+                assert!(bad_viewer.wait_closed(ms(3000)).await, "{name}");
             } else {
-                let came = bad.receive(ms(1000)).await.expect(name);
-                assert_eq!((came.kind, came.session), (Kind::Release, SessionRef(0x500)), "{name}");
+                let reply = bad_viewer.receive(ms(1000)).await.expect(name);
+                assert_eq!((reply.kind, reply.session), (Kind::Release, SessionRef(0x500)), "{name}");
             }
-            assert!(begun.elapsed() < ms(3000), "{name}");
+            assert!(started_at.elapsed() < ms(3000), "{name}");
         }
-        assert_eq!(harness.of(Kind::SetUp), 0, "nothing of it reached a server");
+        assert_eq!(harness.signal_count(Kind::SetUp), 0, "no malformed set-up reached a server");
         let mut viewer = harness.viewer().await;
-        assert!(viewer.write(&asks(SessionRef(0x501), "clip", 2000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x501), "clip", 2000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
     });
 }
 
 #[test]
-fn set_ups_taken_back_at_once_or_sent_again_and_again_end_with_a_close_or_a_refusal_each() {
-    with(Behavior::Ignores, |harness| async move {
-        let (mut bad, begun) = (harness.viewer().await, Instant::now());
+fn a_flood_of_withdrawn_set_ups_is_disconnected_and_each_repeated_set_up_is_refused() {
+    with_harness(Behavior::Ignores, |harness| async move {
+        let (mut flooding_viewer, started_at) = (harness.viewer().await, Instant::now());
         for i in 0..300 {
-            let of = SessionRef(0xb000 + i);
+            let session_ref = SessionRef(0xb000 + i);
             assert!(
-                bad.write(&asks(of, "clip", 3000, "")).await
-                    && bad.send_signal(Kind::Release, of, Some(16)).await
+                flooding_viewer.write(&set_up_bytes(session_ref, "clip", 3000, "")).await
+                    && flooding_viewer.send_signal(Kind::Release, session_ref, Some(16)).await
             );
         }
-        assert!(bad.wait_closed(ms(3000)).await && begun.elapsed() < ms(3000));
-        let mut again = harness.viewer().await;
+        assert!(flooding_viewer.wait_closed(ms(3000)).await && started_at.elapsed() < ms(3000));
+        let mut repeating_viewer = harness.viewer().await;
         for i in 0..300 {
-            assert!(again.write(&asks(SessionRef(0xc000), "clap", 3000, "")).await);
-            let came = again.receive(ms(1000)).await.map(|came| (came.kind, came.session));
-            assert_eq!(came, Some((Kind::Release, SessionRef(0xc000))), "the {i}th");
+            assert!(repeating_viewer.write(&set_up_bytes(SessionRef(0xc000), "clap", 3000, "")).await);
+            let reply = repeating_viewer.receive(ms(1000)).await.map(|reply| (reply.kind, reply.session));
+            assert_eq!(reply, Some((Kind::Release, SessionRef(0xc000))), "repetition {i}");
         }
-        // Each that reached a server was given up there.
-        waits("give-ups", || harness.of(Kind::Release) == harness.of(Kind::SetUp)).await;
+        // Each set-up that reached a server was released there.
+        wait_until("a release for each set-up", || {
+            harness.signal_count(Kind::Release) == harness.signal_count(Kind::SetUp)
+        })
+        .await;
         let mut viewer = harness.viewer().await;
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-        assert!(viewer.write(&asks(SessionRef(0xd000), "clip", 3000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
+        assert!(viewer.write(&set_up_bytes(SessionRef(0xd000), "clip", 3000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
     });
 }
 
 #[test]
-fn a_number_in_use_is_turned_away_without_touching_the_first() {
-    with(Behavior::Ignores, |harness| async move {
-        let (mut first, mut second, of) = (harness.viewer().await, harness.viewer().await, SessionRef(0x600));
-        assert!(first.write(&asks(of, "ticket", 3000, "")).await);
-        waits("a set-up", || harness.of(Kind::SetUp) == 1).await;
-        assert!(second.write(&asks(of, "ticket", 3000, "")).await);
-        assert_eq!(second.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Release));
+fn a_session_number_in_use_is_refused_without_effect_on_the_first_session() {
+    with_harness(Behavior::Ignores, |harness| async move {
+        let (mut first, mut second, session_ref) =
+            (harness.viewer().await, harness.viewer().await, SessionRef(0x600));
+        assert!(first.write(&set_up_bytes(session_ref, "ticket", 3000, "")).await);
+        wait_until("a set-up", || harness.signal_count(Kind::SetUp) == 1).await;
+        assert!(second.write(&set_up_bytes(session_ref, "ticket", 3000, "")).await);
+        assert_eq!(second.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Release));
         drop(second);
-        let server = harness.holder();
-        let up = ivyward_signal::binary::write(Kind::Answer, of, &[], None, Some(b"here")).expect("short");
-        server.send_bytes(0, up);
-        let came = first.receive(ms(1000)).await.expect("an answer");
-        assert_eq!((came.kind, came.session), (Kind::Answer, of));
+        let server = harness.set_up_server();
+        let answer_bytes = ivyward_signal::binary::write(Kind::Answer, session_ref, &[], None, Some(b"here"))
+            .expect("short");
+        server.send_bytes(0, answer_bytes);
+        let reply = first.receive(ms(1000)).await.expect("an answer");
+        assert_eq!((reply.kind, reply.session), (Kind::Answer, session_ref));
     });
 }
 
 #[test]
-fn silent_connections_hold_no_descriptors_that_viewers_need() {
-    with(Behavior::Plays, |harness| async move {
-        let mut silent = vec![];
+fn silent_connections_are_closed_when_viewers_need_descriptors() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let mut silent_connections = vec![];
         for _ in 0..400 {
-            silent.push(harness.viewer().await);
+            silent_connections.push(harness.viewer().await);
         }
-        let (mut viewer, begun) = (harness.viewer().await, Instant::now());
-        assert!(viewer.write(&asks(SessionRef(0x700), "clip", 2000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        for one in &mut silent {
-            assert!(one.wait_closed(ms(3000)).await);
+        let (mut viewer, started_at) = (harness.viewer().await, Instant::now());
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x700), "clip", 2000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
+        for connection in &mut silent_connections {
+            assert!(connection.wait_closed(ms(3000)).await);
         }
-        assert!(begun.elapsed() < ms(3000));
-        assert_eq!(viewer.receive(ms(100)).await, None, "the viewer's stays");
+        assert!(started_at.elapsed() < ms(3000));
+        assert_eq!(viewer.receive(ms(100)).await, None, "the viewer's connection stays open");
     });
 }
 
-/// Guards against a viewer's connection that gives way, among strangers' silent ones, with its set-up unread.
+/// Fails if the program closes a viewer's connection with an unread set-up to make room among silent
+/// connections.
 #[test]
-fn viewers_come_through_a_flood_of_silent_connections() {
-    with(Behavior::Plays, |harness| async move {
+fn viewers_are_served_during_a_flood_of_silent_connections() {
+    with_harness(Behavior::Plays, |harness| async move {
         let address = harness.address;
         let flood = spawn_local(async move {
-            let mut silent = VecDeque::new();
+            let mut silent_connections = VecDeque::new();
             for i in 0..20_000 {
-                silent.extend(Viewer::connect(address).await.ok());
+                silent_connections.extend(Viewer::connect(address).await.ok());
                 if i % 50 == 0 {
                     sleep(ms(1)).await;
                 }
-                // Fewer than this process may hold.
-                if silent.len() > 500 {
-                    silent.pop_front();
+                // Stays below this process's own descriptor limit.
+                if silent_connections.len() > 500 {
+                    silent_connections.pop_front();
                 }
             }
         });
@@ -709,40 +762,44 @@
         for i in 0..20 {
             let mut viewer = harness.viewer().await;
             sleep(ms(20)).await;
-            assert!(viewer.write(&asks(SessionRef(0xa000 + i), "clip", 3000, "")).await);
-            let came = viewer.receive(ms(3000)).await.map(|came| came.kind);
-            assert_eq!(came, Some(Kind::Answer), "viewer {i}");
+            assert!(viewer.write(&set_up_bytes(SessionRef(0xa000 + i), "clip", 3000, "")).await);
+            let reply = viewer.receive(ms(3000)).await.map(|reply| reply.kind);
+            assert_eq!(reply, Some(Kind::Answer), "viewer {i}");
         }
-        assert!(!flood.is_finished(), "the flood went on all the while");
+        assert!(!flood.is_finished(), "the flood lasted until the end");
     });
 }
 
 #[test]
-fn a_flood_on_one_connection_is_bounded_and_others_are_served() {
-    with(Behavior::Ignores, |harness| async move {
-        let mut flood = harness.viewer().await;
-        let all: Vec<_> = (0..400).flat_map(|i| asks(SessionRef(0x8000 + i), "clip", 3000, "")).collect();
-        assert!(flood.write(&all).await);
+fn a_flood_on_one_connection_is_limited_and_other_viewers_are_served() {
+    with_harness(Behavior::Ignores, |harness| async move {
+        let mut flooding_viewer = harness.viewer().await;
+        let flood_bytes: Vec<_> =
+            (0..400).flat_map(|i| set_up_bytes(SessionRef(0x8000 + i), "clip", 3000, "")).collect();
+        assert!(flooding_viewer.write(&flood_bytes).await);
         sleep(ms(100)).await;
         harness.servers.iter().for_each(|server| server.behavior.set(Behavior::Plays));
-        let (mut viewer, begun) = (harness.viewer().await, Instant::now());
-        assert!(viewer.write(&asks(SessionRef(0x800), "clip", 2000, "")).await);
-        assert_eq!(viewer.receive(ms(1000)).await.map(|came| came.kind), Some(Kind::Answer));
-        assert!(begun.elapsed() < ms(500));
-        let first: Vec<_> = harness.servers.iter().flat_map(|s| s.received(Kind::SetUp)).collect();
-        let open: std::collections::BTreeSet<_> = first.iter().map(|seen| seen.of).collect();
-        assert!(open.len() < 100, "{} of 400 reached servers", open.len());
+        let (mut viewer, started_at) = (harness.viewer().await, Instant::now());
+        assert!(viewer.write(&set_up_bytes(SessionRef(0x800), "clip", 2000, "")).await);
+        assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.kind), Some(Kind::Answer));
+        assert!(started_at.elapsed() < ms(500));
+        let set_ups: Vec<_> =
+            harness.servers.iter().flat_map(|server| server.received(Kind::SetUp)).collect();
+        let distinct_sessions: std::collections::BTreeSet<_> =
+            set_ups.iter().map(|incoming| incoming.of).collect();
+        assert!(distinct_sessions.len() < 100, "{} of 400 reached servers", distinct_sessions.len());
     });
 }
 
-/// The checker of the six rules over what the stand-ins saw of one run with servers that fail in all their ways.
+/// Checks the six rules against what the stand-ins recorded in one run, in which servers fail in different
+/// ways.
 #[test]
-fn the_rules_are_kept_over_a_run_with_failures() {
-    with(Behavior::Plays, |harness| async move {
-        let begun = Instant::now();
-        let asked: Rc<std::cell::RefCell<Vec<ManifestRequest>>> = Rc::default();
-        let left = Rc::new(Cell::new(0));
-        let ways = [
+fn a_run_with_server_failures_violates_no_rule() {
+    with_harness(Behavior::Plays, |harness| async move {
+        let started_at = Instant::now();
+        let viewer_requests: Rc<std::cell::RefCell<Vec<ManifestRequest>>> = Rc::default();
+        let pending_count = Rc::new(Cell::new(0));
+        let behaviors = [
             Behavior::Plays,
             Behavior::Releases(34),
             Behavior::Releases(47),
@@ -751,77 +808,92 @@
             Behavior::SendsGarbage,
         ];
         for i in 0..135u64 {
-            // The last ones don't wait for their answer, which none gives them.
+            // The last viewers leave before their answer, which no server sends.
             let leaves = i >= 120;
-            let turn = (i / 10) as usize;
-            for (n, server) in harness.servers.iter().enumerate() {
-                let way = if n == turn % SERVERS { ways[turn % ways.len()] } else { Behavior::Plays };
-                server.behavior.set(if leaves { Behavior::Ignores } else { way });
+            let round = (i / 10) as usize;
+            for (server_index, server) in harness.servers.iter().enumerate() {
+                let behavior = if server_index == round % SERVER_COUNT {
+                    behaviors[round % behaviors.len()]
+                } else {
+                    Behavior::Plays
+                };
+                server.behavior.set(if leaves { Behavior::Ignores } else { behavior });
             }
-            let (package, name) = if i % 3 == 0 { (1, "ticket") } else { (0, "clip") };
-            let (mut viewer, told, waiting) = (harness.viewer().await, asked.clone(), left.clone());
-            waiting.set(waiting.get() + 1);
+            let (package, package_name) = if i % 3 == 0 { (1, "ticket") } else { (0, "clip") };
+            let (mut viewer, collected, pending) =
+                (harness.viewer().await, viewer_requests.clone(), pending_count.clone());
+            pending.set(pending.get() + 1);
             spawn_local(async move {
-                let at = begun.elapsed();
-                viewer.write(&asks(SessionRef(0x9000 + i), name, 1500, "")).await;
-                let came = viewer.receive(if leaves { ms(i) } else { ms(2500) }).await;
-                let leaves = leaves && came.is_none();
-                let came_at = begun.elapsed();
-                let more = if leaves {
+                let requested_at = started_at.elapsed();
+                viewer.write(&set_up_bytes(SessionRef(0x9000 + i), package_name, 1500, "")).await;
+                let reply = viewer.receive(if leaves { ms(i) } else { ms(2500) }).await;
+                let leaves = leaves && reply.is_none();
+                let ended_at = started_at.elapsed();
+                let extra_answers = if leaves {
                     drop(viewer);
                     0
                 } else {
                     usize::from(viewer.receive(ms(200)).await.is_some())
                 };
-                // Answers as the checker knows them: playing, refused, failed.
-                let none = if leaves { RequestOutcome::Closed } else { RequestOutcome::NoAnswer };
-                let came = came.map_or(none, |came| match (came.kind, came.cause) {
+                // Statuses that the checker expects: playing, refused, failed.
+                let default_outcome = if leaves { RequestOutcome::Closed } else { RequestOutcome::NoAnswer };
+                let outcome = reply.map_or(default_outcome, |reply| match (reply.kind, reply.cause) {
                     (Kind::Answer, _) => RequestOutcome::Answer(200),
                     (_, Some(34 | 42 | 102)) => RequestOutcome::Answer(503),
                     _ => RequestOutcome::Answer(502),
                 });
                 let session = u128::from(0x9000 + i);
-                told.borrow_mut().push(ManifestRequest {
+                collected.borrow_mut().push(ManifestRequest {
                     manager: 0,
                     session,
                     package,
-                    requested_at: at,
-                    ended_at: came_at,
-                    outcome: came,
+                    requested_at,
+                    ended_at,
+                    outcome,
                     starts_viewing: true,
                     is_refresh: false,
                     was_connected: true,
-                    extra_answers: more,
+                    extra_answers,
                 });
-                waiting.set(waiting.get() - 1);
+                pending.set(pending.get() - 1);
             });
             sleep(ms(15)).await;
         }
-        let end = Instant::now() + ms(6000);
-        while left.get() > 0 && Instant::now() < end {
+        let deadline = Instant::now() + ms(6000);
+        while pending_count.get() > 0 && Instant::now() < deadline {
             sleep(ms(20)).await;
         }
-        let (mut records, mut numbers) = (vec![], BTreeMap::new());
-        let mut seen: Vec<_> = (0..SERVERS)
-            .flat_map(|n| harness.servers[n].received(Kind::SetUp).into_iter().map(move |seen| (n, seen)))
+        let (mut records, mut tune_in_numbers) = (vec![], BTreeMap::new());
+        let mut set_ups: Vec<_> = (0..SERVER_COUNT)
+            .flat_map(|server_index| {
+                harness.servers[server_index]
+                    .received(Kind::SetUp)
+                    .into_iter()
+                    .map(move |set_up| (server_index, set_up))
+            })
             .collect();
-        seen.sort_by_key(|(_, seen)| seen.at);
-        for (n, seen) in &seen {
-            let number = numbers.entry(seen.of).and_modify(|n| *n += 1).or_insert(0u16);
-            let key =
-                TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id: seen.of.0 as u32, n: *number };
-            let server = ServerNo(*n);
-            let (session, rung) = (seen.of.0.into(), seen.rung.unwrap_or_default() as usize);
-            let package = usize::from(seen.package.as_deref() == Some("ticket"));
+        set_ups.sort_by_key(|(_, set_up)| set_up.at);
+        for (server_index, set_up) in &set_ups {
+            let number = tune_in_numbers.entry(set_up.of).and_modify(|number| *number += 1).or_insert(0u16);
+            let key = TuneInKey {
+                manager: ManagerNo(0),
+                incarnation: 1,
+                viewing_id: set_up.of.0 as u32,
+                n: *number,
+            };
+            let server = ServerNo(*server_index);
+            let (session, rung) = (set_up.of.0.into(), set_up.rung.unwrap_or_default() as usize);
+            let package = usize::from(set_up.package.as_deref() == Some("ticket"));
             let what = Event::SetUp { server, key, session, package, title: "t".into(), rung };
-            records.push(Record { at: seen.at.duration_since(begun), what });
-            let ends = harness.servers[*n].set_up_ends.borrow();
-            let end = ends
-                .iter()
-                .find(|end| (end.connection, end.of) == (seen.connection, seen.of) && end.at >= seen.at);
-            records.extend(end.map(|end| {
-                let what = Event::SetUpEnded { server, key, how: end.how };
-                Record { at: end.at.duration_since(begun), what }
+            records.push(Record { at: set_up.at.duration_since(started_at), what });
+            let set_up_ends = harness.servers[*server_index].set_up_ends.borrow();
+            let set_up_end = set_up_ends.iter().find(|set_up_end| {
+                (set_up_end.connection, set_up_end.of) == (set_up.connection, set_up.of)
+                    && set_up_end.at >= set_up.at
+            });
+            records.extend(set_up_end.map(|set_up_end| {
+                let what = Event::SetUpEnded { server, key, how: set_up_end.how };
+                Record { at: set_up_end.at.duration_since(started_at), what }
             }));
         }
         records.sort_by_key(|record| record.at);
@@ -842,30 +914,38 @@
             time_tolerance: ms(50),
             slow_start: (Cold { warm_up: ms(100), from: 0.5, multiple: 2.0, fall: ms(1000) }, 1000),
         };
-        let asked = asked.take();
-        assert_eq!(asked.len(), 135);
+        let viewer_requests = viewer_requests.take();
+        assert_eq!(viewer_requests.len(), 135);
         let history = History {
             records,
-            viewer_requests: asked,
+            viewer_requests,
             managers: vec![ManagerLifetime { manager_number: Some(ManagerNo(0)), downtimes: vec![] }],
         };
-        let gone = judge_closed_requests(ms(100), &history);
-        println!("{} set-ups of viewers that left, {:?}", gone.check_count, gone.violations);
-        assert!(gone.check_count > 5 && gone.violations.is_empty(), "{:?}", gone.violations);
-        let judged = judge(&terms, &history);
-        assert!(judged.iter().all(|rule| rule.violations.is_empty()), "{}", table(&judged));
-        let [lost, twice, _, _, _, ration] = judged.each_ref().map(|rule| rule.check_count);
-        assert!(lost == 135 && twice > 10 && ration > 5, "{}", table(&judged));
+        let closed_requests = judge_closed_requests(ms(100), &history);
+        println!(
+            "{} set-ups of viewers that left, {:?}",
+            closed_requests.check_count, closed_requests.violations
+        );
+        assert!(
+            closed_requests.check_count > 5 && closed_requests.violations.is_empty(),
+            "{:?}",
+            closed_requests.violations
+        );
+        let rule_results = judge(&terms, &history);
+        assert!(rule_results.iter().all(|rule| rule.violations.is_empty()), "{}", table(&rule_results));
+        let [lost_count, repeated_count, _, _, _, retry_budget] =
+            rule_results.each_ref().map(|rule| rule.check_count);
+        assert!(lost_count == 135 && repeated_count > 10 && retry_budget > 5, "{}", table(&rule_results));
     });
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_the_start_with_one_line() {
-    let good = json!({
+fn an_invalid_configuration_stops_the_start_with_a_one_line_error() {
+    let valid_config = json!({
         "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "limits": {"sockets": 256}, "bus": "127.0.0.1:1",
         "known": {"offset": 0, "batch": []}, "settings": settings(),
     });
-    // What is taken out or put in, and the field that the line names.
+    // The field that is changed, its value, and the field that the error must name.
     let cases: [(&str, Value, &str); 9] = [
         ("/listen", json!("here"), "listen"),
         ("/seed", json!(7), "seed"),
@@ -877,28 +957,31 @@
         ("/settings/guarantees/drain-grace-us", Value::Null, "drain-grace-us"),
         ("/settings/profiles", json!([{"worth": 1}]), "slo-us"),
     ];
-    let file = env::temp_dir().join(format!("ivyward-node-{}-bad.json", process::id()));
-    let name = file.to_string_lossy().into_owned();
+    let config_file = env::temp_dir().join(format!("ivyward-node-{}-bad.json", process::id()));
+    let config_file_name = config_file.to_string_lossy().into_owned();
     let run = || {
-        process::Command::new(env!("CARGO_BIN_EXE_ivyward")).args(["node", &name]).output().expect("it runs")
+        process::Command::new(env!("CARGO_BIN_EXE_ivyward"))
+            .args(["node", &config_file_name])
+            .output()
+            .expect("it runs")
     };
-    let mut texts: Vec<(String, &str)> = vec![("{".into(), "line 1")];
-    for (field, value, told) in cases {
-        let mut config = good.clone();
+    let mut config_texts: Vec<(String, &str)> = vec![("{".into(), "line 1")];
+    for (field, value, expected) in cases {
+        let mut config = valid_config.clone();
         *config.pointer_mut(field).expect(field) = value;
-        texts.push((config.to_string(), told));
+        config_texts.push((config.to_string(), expected));
     }
-    for (text, told) in texts {
-        fs::write(&file, text).expect("written");
+    for (config_text, expected) in config_texts {
+        fs::write(&config_file, config_text).expect("written");
         let output = run();
         let line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success(), "{told}");
+        assert!(!output.status.success(), "{expected}");
         assert!(
-            line.contains(&name) && line.contains(told) && line.trim().lines().count() == 1,
-            "{told}: {line}"
+            line.contains(&config_file_name) && line.contains(expected) && line.trim().lines().count() == 1,
+            "{expected}: {line}"
         );
     }
-    fs::remove_file(&file).expect("removed");
+    fs::remove_file(&config_file).expect("removed");
     let output = run();
-    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains(&name));
+    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains(&config_file_name));
 }
--- a/crates/daemon/tests/node/outage.rs
+++ b/crates/daemon/tests/node/outage.rs
@@ -1,148 +1,180 @@
-//! All servers fail for a while and then serve again, under a steady stream of requests and an unchanged list: how soon
-//! attempts reach them again, and how soon nine in ten requests play.
+//! All servers fail for a while and then recover, under a steady stream of requests and an unchanged server
+//! list: how soon set-ups reach them again, and how soon nine in ten requests play.
 
 use super::*;
 use ivyward_standin::platform::{AcceptMode, ReceivedSignal};
 use std::thread;
 
-/// A request comes so often.
-const EVERY: Duration = Duration::from_millis(25);
-/// How long a start counts as cold, and the window in which the pace to cold servers is counted.
-const COLD: Duration = Duration::from_secs(2);
-const WINDOW: Duration = Duration::from_secs(1);
-/// How late a busy machine may make anything.
-const SLACK: Duration = Duration::from_millis(1500);
+/// The interval between requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// How long a server counts as cold after its start, and the window in which set-ups to a cold server are
+/// limited.
+const WARM_UP: Duration = Duration::from_secs(2);
+const COUNT_WINDOW: Duration = Duration::from_secs(1);
+/// How much delay a busy machine may add.
+const DELAY_TOLERANCE: Duration = Duration::from_millis(1500);
 
-struct Case {
-    how: AcceptMode,
-    lasts: Duration,
-    /// The servers serve again one after another, so far apart.
-    apart: Duration,
-    /// It begins while all are still held for cold after the program's own start.
-    fresh: bool,
+/// One outage of all servers.
+struct OutageCase {
+    accept_mode: AcceptMode,
+    duration: Duration,
+    /// The interval at which the servers recover one after another.
+    recovery_interval: Duration,
+    /// The outage begins while all servers still count as cold after the program's own start.
+    during_warm_up: bool,
 }
 
-/// A cold server bears 30 set-ups in a window, of which one of three managers sends at most 8.
+/// A cold server takes 30 set-ups in a window; one of three managers sends it at most 8 of them.
 fn tweak(config: &mut Value) {
     let settings = &mut config["settings"];
     settings["siblings"] = 3.into();
-    settings["guarantees"]["cold-us"] = (COLD.as_micros() as u64).into();
-    settings["guarantees"]["fall-us"] = (WINDOW.as_micros() as u64).into();
+    settings["guarantees"]["cold-us"] = (WARM_UP.as_micros() as u64).into();
+    settings["guarantees"]["fall-us"] = (COUNT_WINDOW.as_micros() as u64).into();
     settings["specifics"]["kind-streams"] = json!([60]);
 }
 
-/// A viewer who asks all the time, and leaves each session that plays after half a second.
-struct Stream {
+/// A viewer that requests at a steady rate, and releases each session half a second after it begins to play.
+struct RequestStream {
     viewer: Viewer,
     /// When each request was made, and whether it played.
-    asked: Vec<(Instant, bool)>,
-    stand: VecDeque<(Instant, SessionRef)>,
-    due: Instant,
-    /// How late any request was made: what is measured here is as uncertain.
-    late: Duration,
+    requests: Vec<(Instant, bool)>,
+    playing_sessions: VecDeque<(Instant, SessionRef)>,
+    next_request_at: Instant,
+    /// How late the latest request was made: the measured times are uncertain by this much.
+    max_lateness: Duration,
 }
 
-impl Stream {
-    async fn new(harness: &Harness) -> Stream {
+impl RequestStream {
+    async fn new(harness: &Harness) -> RequestStream {
         let viewer = harness.viewer().await;
-        Stream { viewer, asked: vec![], stand: VecDeque::new(), due: Instant::now(), late: ms(0) }
+        RequestStream {
+            viewer,
+            requests: vec![],
+            playing_sessions: VecDeque::new(),
+            next_request_at: Instant::now(),
+            max_lateness: ms(0),
+        }
     }
 
-    async fn goes_on(&mut self, until: Instant) {
-        while self.due < until {
-            let left = self.due.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+    /// Makes and releases requests until this time.
+    async fn run_until(&mut self, until: Instant) {
+        while self.next_request_at < until {
+            let time_left = self.next_request_at.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
                 let now = Instant::now();
-                let of = SessionRef(0x1000 + self.asked.len() as u64);
-                self.asked.push((now, false));
-                self.late = self.late.max(now - self.due);
+                let session_ref = SessionRef(0x1000 + self.requests.len() as u64);
+                self.requests.push((now, false));
+                self.max_lateness = self.max_lateness.max(now - self.next_request_at);
                 assert!(
-                    self.viewer.write(&asks(of, "clip", 2000, "")).await,
-                    "the viewer's connection stands"
+                    self.viewer.write(&set_up_bytes(session_ref, "clip", 2000, "")).await,
+                    "the viewer's connection is open"
                 );
-                self.due += EVERY;
-                while let Some((_, of)) = self.stand.pop_front_if(|(at, _)| *at + ms(500) <= now) {
-                    assert!(self.viewer.send_signal(Kind::Release, of, Some(16)).await);
+                self.next_request_at += REQUEST_INTERVAL;
+                while let Some((_, session_ref)) =
+                    self.playing_sessions.pop_front_if(|(at, _)| *at + ms(500) <= now)
+                {
+                    assert!(self.viewer.send_signal(Kind::Release, session_ref, Some(16)).await);
                 }
                 continue;
             }
-            let Some(came) = self.viewer.receive(left).await else { continue };
-            if came.kind == Kind::Answer {
-                self.stand.push_back((Instant::now(), came.session));
-                self.asked[(came.session.0 - 0x1000) as usize].1 = true;
+            let Some(reply) = self.viewer.receive(time_left).await else { continue };
+            if reply.kind == Kind::Answer {
+                self.playing_sessions.push_back((Instant::now(), reply.session));
+                self.requests[(reply.session.0 - 0x1000) as usize].1 = true;
             }
         }
     }
 
-    /// The part of the requests of a second that played.
-    fn part(&self, from: Instant) -> f64 {
-        let of: Vec<_> = self.asked.iter().filter(|(at, _)| *at >= from && *at < from + ms(1000)).collect();
-        of.iter().filter(|(_, played)| *played).count() as f64 / of.len().max(1) as f64
+    /// The fraction of the requests within a second that played.
+    fn playing_fraction(&self, from: Instant) -> f64 {
+        let in_second: Vec<_> =
+            self.requests.iter().filter(|(at, _)| *at >= from && *at < from + ms(1000)).collect();
+        in_second.iter().filter(|(_, played)| *played).count() as f64 / in_second.len().max(1) as f64
     }
 }
 
-async fn plays(harness: Harness, case: &Case) -> String {
-    let mut stream = Stream::new(&harness).await;
-    if !case.fresh {
-        // All are warm.
-        stream.goes_on(Instant::now() + COLD + ms(1500)).await;
-        let before = stream.part(Instant::now() - ms(1500));
-        assert!(before >= 0.99, "before: {before:.2} play");
+/// Runs one outage and checks the recovery: a summary of the measured times.
+async fn run_case(harness: Harness, case: &OutageCase) -> String {
+    let mut stream = RequestStream::new(&harness).await;
+    if !case.during_warm_up {
+        // By then all servers are warm.
+        stream.run_until(Instant::now() + WARM_UP + ms(1500)).await;
+        let playing_before = stream.playing_fraction(Instant::now() - ms(1500));
+        assert!(playing_before >= 0.99, "only {playing_before:.2} of the requests play before the outage");
     }
-    let down = Instant::now();
-    harness.servers.iter().for_each(|server| server.set_accept_mode(case.how));
-    stream.goes_on(down + case.lasts).await;
-    // Answers on the way as it began aside, nothing plays.
-    let meanwhile = stream.asked.iter().filter(|(at, played)| *at > down + ms(100) && *played).count();
-    assert_eq!(meanwhile, 0, "played meanwhile");
-    let up = Instant::now();
+    let outage_begin = Instant::now();
+    harness.servers.iter().for_each(|server| server.set_accept_mode(case.accept_mode));
+    stream.run_until(outage_begin + case.duration).await;
+    // Except for answers in flight when the outage began, nothing plays.
+    let played_meanwhile =
+        stream.requests.iter().filter(|(at, played)| *at > outage_begin + ms(100) && *played).count();
+    assert_eq!(played_meanwhile, 0, "requests played during the outage");
+    let outage_end = Instant::now();
     for (i, server) in harness.servers.iter().enumerate() {
         if i > 0 {
-            stream.goes_on(Instant::now() + case.apart).await;
+            stream.run_until(Instant::now() + case.recovery_interval).await;
         }
         server.set_accept_mode(AcceptMode::All);
     }
-    let all_up = Instant::now();
-    stream.goes_on(all_up + COLD * 2 + SLACK + ms(1500)).await;
-    // What was written to a silent server, given up, and read once it spoke again was sent before.
-    let sent_before = |seen: &ReceivedSignal| {
-        let asked = stream.asked.get((seen.of.0 - 0x1000) as usize).expect("what was asked");
-        seen.at < up || case.how == AcceptMode::Silent && asked.0 < up
+    let all_outages_end = Instant::now();
+    stream.run_until(all_outages_end + WARM_UP * 2 + DELAY_TOLERANCE + ms(1500)).await;
+    // A set-up that was written to a silent server and read only after the outage was sent before its end.
+    let sent_before = |incoming: &ReceivedSignal| {
+        let request =
+            stream.requests.get((incoming.of.0 - 0x1000) as usize).expect("a request of this stream");
+        incoming.at < outage_end || case.accept_mode == AcceptMode::Silent && request.0 < outage_end
     };
     let sent = |server: &Server| -> Vec<Instant> {
-        server.received(Kind::SetUp).iter().filter(|seen| !sent_before(seen)).map(|seen| seen.at).collect()
+        server
+            .received(Kind::SetUp)
+            .iter()
+            .filter(|incoming| !sent_before(incoming))
+            .map(|incoming| incoming.at)
+            .collect()
     };
-    let firsts: Vec<_> =
-        harness.servers.iter().map(|server| sent(server).first().map(|at| *at - up)).collect();
-    let first = firsts.iter().flatten().min().copied().expect("nobody is ever tried again");
-    let steps = (0..).map(|i| ms(100) * i).take_while(|late| *late <= COLD * 2 + SLACK);
-    let nine = steps.into_iter().find(|late| stream.part(all_up + *late) >= 0.9);
-    let seconds: Vec<_> = (0..4).map(|i| format!("{:.2}", stream.part(all_up + ms(1000) * i))).collect();
-    let what = format!(
-        "{:?}, {:?}, {:?} apart, fresh {}: first after {firsts:?}, nine in ten after {nine:?}, by seconds {seconds:?}, late {:?}",
-        case.how, case.lasts, case.apart, case.fresh, stream.late
+    let first_delays: Vec<_> =
+        harness.servers.iter().map(|server| sent(server).first().map(|at| *at - outage_end)).collect();
+    let first_delay =
+        first_delays.iter().flatten().min().copied().expect("no server gets a set-up after the outage");
+    let offsets = (0..).map(|i| ms(100) * i).take_while(|offset| *offset <= WARM_UP * 2 + DELAY_TOLERANCE);
+    let nine_in_ten_after =
+        offsets.into_iter().find(|offset| stream.playing_fraction(all_outages_end + *offset) >= 0.9);
+    let fractions_by_second: Vec<_> =
+        (0..4).map(|i| format!("{:.2}", stream.playing_fraction(all_outages_end + ms(1000) * i))).collect();
+    let summary = format!(
+        "{:?}, {:?}, {:?} apart, fresh {}: first set-ups after {first_delays:?}, nine in ten play after {nine_in_ten_after:?}, playing by second {fractions_by_second:?}, requests late by {:?}",
+        case.accept_mode, case.duration, case.recovery_interval, case.during_warm_up, stream.max_lateness
     );
-    assert!(first <= WINDOW + SLACK, "{what}");
-    assert!(nine.is_some_and(|nine| nine <= COLD + SLACK), "{what}");
-    // Each cold server gets no more in a window than one manager's part, until what played there first is warm.
+    assert!(first_delay <= COUNT_WINDOW + DELAY_TOLERANCE, "{summary}");
+    assert!(nine_in_ten_after.is_some_and(|after| after <= WARM_UP + DELAY_TOLERANCE), "{summary}");
+    // A cold server gets at most one manager's share of set-ups in a window, until it is warm.
     for server in &harness.servers {
-        let Some(begun) = server.received(Kind::SetUp).iter().map(|seen| seen.at).find(|at| *at >= up) else {
+        let Some(first_set_up_at) =
+            server.received(Kind::SetUp).iter().map(|incoming| incoming.at).find(|at| *at >= outage_end)
+        else {
             continue;
         };
-        let cold: Vec<_> = sent(server).into_iter().filter(|at| *at < begun + COLD - ms(100)).collect();
-        // The time of the decision lies before that of the arrival by a part that differs.
-        let window = WINDOW.saturating_sub(ms(50) + stream.late);
-        let within =
-            |at: &Instant| cold.iter().filter(|other| **other <= *at && **other + window > *at).count();
-        let most = cold.iter().map(within).max().unwrap_or_default();
-        assert!(most <= 8, "{most} in a window: {what}");
+        let cold_set_ups: Vec<_> =
+            sent(server).into_iter().filter(|at| *at < first_set_up_at + WARM_UP - ms(100)).collect();
+        // The delay between decision and arrival differs, so the window is shortened.
+        let shortened_window = COUNT_WINDOW.saturating_sub(ms(50) + stream.max_lateness);
+        let set_ups_in_window = |at: &Instant| {
+            cold_set_ups.iter().filter(|other| **other <= *at && **other + shortened_window > *at).count()
+        };
+        let most_in_window = cold_set_ups.iter().map(set_ups_in_window).max().unwrap_or_default();
+        assert!(most_in_window <= 8, "{most_in_window} set-ups in a window: {summary}");
     }
-    what
+    summary
 }
 
 #[test]
-fn servers_that_all_failed_are_tried_again_and_nine_in_ten_play_within_a_warm_up() {
-    let case = |how, lasts, apart, fresh| Case { how, lasts: ms(lasts), apart: ms(apart), fresh };
+fn after_an_outage_of_all_servers_nine_in_ten_requests_play_within_a_warm_up() {
+    let case = |accept_mode, duration, recovery_interval, during_warm_up| OutageCase {
+        accept_mode,
+        duration: ms(duration),
+        recovery_interval: ms(recovery_interval),
+        during_warm_up,
+    };
     let cases = [
         case(AcceptMode::Refuse, 1000, 0, false),
         case(AcceptMode::Refuse, 5000, 0, false),
@@ -152,11 +184,11 @@
         case(AcceptMode::Silent, 5000, 0, false),
         case(AcceptMode::Reset, 5000, 0, false),
     ];
-    // At once: each is a process of its own that mostly waits.
+    // The cases run in parallel: each has its own process and mostly waits.
     let runs = cases.map(|case| {
         thread::spawn(move || {
             with_config(Behavior::Plays, tweak, |harness| async move {
-                println!("{}", plays(harness, &case).await)
+                println!("{}", run_case(harness, &case).await)
             });
         })
     });
