--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -480,7 +480,7 @@
                 // The answer may have taken a while, so its dates are of now.
                 let now = self.shell.trusted_date();
                 let reported_start =
-                    token_claims.granted.as_ref().map(|granted_tune_in| granted_tune_in.began);
+                    token_claims.granted.as_ref().map(|granted_tune_in| granted_tune_in.began_at);
                 let playback_start = self.shell.playback_start(session, reported_start);
                 let (manager, incarnation, viewing_id, tune_in_no) =
                     (self.shell.0.name.clone(), incarnation.0, viewing_id.0, tune_in.0);
@@ -491,7 +491,7 @@
                     n: tune_in_no,
                     server,
                     sequence,
-                    began: playback_start,
+                    began_at: playback_start,
                 };
                 let token_claims = TokenClaims { granted: Some(granted_tune_in), ..token_claims };
                 let rates = &rates[..=rung.min(rates.len() - 1)];
--- a/crates/dash/src/manifest.rs
+++ b/crates/dash/src/manifest.rs
@@ -104,7 +104,7 @@
 }
 
 /// Returns how far a player's clock is behind a manifest's date, in milliseconds; none without such a date.
-pub fn behind(text: &str, player_clock: Duration) -> Option<i64> {
+pub fn clock_lag_ms(text: &str, player_clock: Duration) -> Option<i64> {
     let mpd = dash_mpd_core::parse(text).ok()?;
     let value = mpd.UTCTiming.first()?.value.clone()?;
     let date_ms = DateTime::parse_from_rfc3339(&value).ok()?.timestamp_millis();
@@ -112,7 +112,7 @@
 }
 
 /// Returns the date from which a manifest's segments are available: the begin of the presentation.
-pub fn available(text: &str) -> Option<Duration> {
+pub fn available_from(text: &str) -> Option<Duration> {
     let begin = dash_mpd_core::parse(text).ok()?.availabilityStartTime?.timestamp();
     u64::try_from(begin).ok().map(Duration::from_secs)
 }
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -45,7 +45,7 @@
             n: 3,
             server,
             sequence: 9,
-            began: s(99),
+            began_at: s(99),
         };
         for granted in [None, Some(granted)] {
             let token_claims = token_claims(granted);
@@ -244,8 +244,8 @@
 fn availability_and_clock_offset_are_read_from_a_manifest() {
     let text =
         manifest::manifest("a", "http://s/", "http://m/", &[100.0], (s(31), s(2), s(3)), (s(1000), s(1009)));
-    assert_eq!(manifest::available(&text), Some(s(1000)));
+    assert_eq!(manifest::available_from(&text), Some(s(1000)));
     for (player_clock, behind) in [(1009, 0), (4609, -3_600_000), (9, 1_000_000)] {
-        assert_eq!(manifest::behind(&text, s(player_clock)), Some(behind));
+        assert_eq!(manifest::clock_lag_ms(&text, s(player_clock)), Some(behind));
     }
 }
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -85,7 +85,7 @@
     /// Number of the token among the viewing's tokens.
     pub sequence: u32,
     /// Start of the presentation in the viewing's manifests: a date in whole seconds.
-    pub began: Duration,
+    pub began_at: Duration,
 }
 
 impl GrantedTuneIn {
@@ -191,11 +191,18 @@
             "vw": format!("{:032x}", token_claims.session), "title": token_claims.title, "pkg": token_claims.package, "top": token_claims.top,
             "tenant": token_claims.tenant, "nbf": now.as_secs(), "exp": expires_at,
         });
-        if let Some(GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began }) =
+        if let Some(GrantedTuneIn { manager, incarnation, viewing_id, n, server, sequence, began_at }) =
             &token_claims.granted
         {
-            claims["tin"] =
-                json!([manager, incarnation, viewing_id, n, server.to_string(), sequence, began.as_secs()]);
+            claims["tin"] = json!([
+                manager,
+                incarnation,
+                viewing_id,
+                n,
+                server.to_string(),
+                sequence,
+                began_at.as_secs()
+            ]);
         }
         encode(&header, &claims, encoding_key).map_err(|e| e.to_string())
     }
@@ -251,7 +258,7 @@
             n: u16::try_from(tune_in[3].as_u64()?).ok()?,
             server: tune_in[4].as_str()?.parse().ok()?,
             sequence: u32::try_from(tune_in[5].as_u64()?).ok()?,
-            began: Duration::from_secs(tune_in[6].as_u64()?),
+            began_at: Duration::from_secs(tune_in[6].as_u64()?),
         }),
     };
     Some(TokenClaims {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 mod slow_start;
 
 pub use load_notes::{LoadNote, LoadNotes};
-pub use slow_start::Cold;
+pub use slow_start::SlowStartModel;
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -83,15 +83,15 @@
     /// The server accepts requests and answers none.
     pub frozen: bool,
     /// Set-ups run, but their answers are lost.
-    pub answer_lost: bool,
+    pub loses_answers: bool,
     /// Set-ups run, but the connection breaks before the answer.
-    pub breaks: bool,
+    pub breaks_connections: bool,
     /// Fraction of set-ups that fail immediately.
-    pub errors: f64,
+    pub error_fraction: f64,
     /// Factor by which set-ups take longer; values below 1 count as 1.
-    pub slow: f64,
+    pub set_up_slowdown: f64,
     /// Factor by which the link's bandwidth is reduced; values below 1 count as 1.
-    pub link: f64,
+    pub link_slowdown: f64,
 }
 
 /// A stream that plays at a server.
@@ -132,7 +132,7 @@
     /// Bandwidth of each rack's uplink in kB/s, and the factor by which a fault reduces it.
     uplinks: Vec<(f64, f64)>,
     rng: Pcg64Mcg,
-    slow_start: Cold,
+    slow_start: SlowStartModel,
     max_streams: usize,
     max_link_utilization: f64,
     set_up_duration_mean: Duration,
@@ -152,8 +152,8 @@
     pub fn new(
         seed: u64, servers: usize, (cell_count, rack_count): (usize, usize),
         (link, uplink, rate_variation): (f64, f64, f64),
-        (max_streams, max_link_utilization, set_up_duration_mean): (usize, f64, Duration), slow_start: Cold,
-        load_notes: LoadNotes,
+        (max_streams, max_link_utilization, set_up_duration_mean): (usize, f64, Duration),
+        slow_start: SlowStartModel, load_notes: LoadNotes,
     ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut varied = |kb: f64| kb * (1.0 + rate_variation * (2.0 * rng.random::<f64>() - 1.0));
@@ -196,7 +196,7 @@
     }
 
     /// Returns the indices of all servers.
-    pub fn boxes(&self) -> impl Iterator<Item = ServerNo> + use<> {
+    pub fn server_numbers(&self) -> impl Iterator<Item = ServerNo> + use<> {
         (0..self.servers.len()).map(ServerNo)
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Divides the bandwidth of a rack's uplink by `slowdown`; values below 1 count as 1.
-    pub fn sag(&mut self, rack: usize, slowdown: f64) {
+    pub fn set_uplink_slowdown(&mut self, rack: usize, slowdown: f64) {
         if let Some(uplink) = self.uplinks.get_mut(rack) {
             uplink.1 = slowdown.max(1.0);
         }
@@ -245,7 +245,8 @@
     /// Returns the current bandwidth of a server's link, in kB/s.
     fn link_capacity_kb(&self, now: Duration, server_no: ServerNo) -> f64 {
         let server = &self.servers[server_no.0];
-        server.link_kb * self.slow_start.warmth(now, server.started_at) / server.faults.link.max(1.0)
+        server.link_kb * self.slow_start.capacity_fraction(now, server.started_at)
+            / server.faults.link_slowdown.max(1.0)
     }
 
     /// Returns the sum of the rates of a server's streams, in kB/s.
@@ -254,24 +255,25 @@
     }
 
     /// Returns the utilization of a server's link: requested rate over bandwidth.
-    pub fn full(&self, now: Duration, server_no: ServerNo) -> f64 {
+    pub fn link_utilization(&self, now: Duration, server_no: ServerNo) -> f64 {
         self.requested_kb(server_no) / self.link_capacity_kb(now, server_no).max(1.0)
     }
 
     /// Returns the utilization of the uplink of a server's rack.
-    pub fn full_up(&self, server_no: ServerNo) -> f64 {
+    pub fn uplink_utilization(&self, server_no: ServerNo) -> f64 {
         let rack = self.servers[server_no.0].rack;
-        let rack_servers = self.boxes().filter(|other| self.servers[other.0].rack == rack);
+        let rack_servers = self.server_numbers().filter(|other| self.servers[other.0].rack == rack);
         let (bandwidth_kb, slowdown) = self.uplinks[rack];
         rack_servers.map(|other| self.requested_kb(other)).sum::<f64>() * slowdown / bandwidth_kb.max(1.0)
     }
 
     /// Returns the fraction of their rates that the streams of a server receive.
-    pub fn share(&self, now: Duration, server_no: ServerNo) -> f64 {
+    pub fn delivered_share(&self, now: Duration, server_no: ServerNo) -> f64 {
         if self.servers[server_no.0].faults.frozen {
             return 0.0;
         }
-        (1.0 / self.full(now, server_no).max(self.full_up(server_no)).max(1e-9)).min(1.0)
+        (1.0 / self.link_utilization(now, server_no).max(self.uplink_utilization(server_no)).max(1e-9))
+            .min(1.0)
     }
 
     /// Runs a set-up at a server.
@@ -285,8 +287,8 @@
         if !self.servers[server_no.0].up {
             return SetUpOutcome::Breaks;
         }
-        let is_link_full =
-            self.max_link_utilization > 0.0 && self.full(now, server_no) >= self.max_link_utilization;
+        let is_link_full = self.max_link_utilization > 0.0
+            && self.link_utilization(now, server_no) >= self.max_link_utilization;
         let (max_streams, mean_duration) = (self.max_streams, self.set_up_duration_mean);
         let server = &mut self.servers[server_no.0];
         // Guards against a set-up that arrives after its manager restarted, or after its viewing moved to
@@ -304,18 +306,18 @@
             return SetUpOutcome::Draining;
         }
         server.recent_set_ups.push_back((now, key.manager));
-        if self.slow_start.falls(now, server.started_at, max_streams, &mut server.recent_set_ups) {
+        if self.slow_start.is_overloaded(now, server.started_at, max_streams, &mut server.recent_set_ups) {
             self.overloaded_servers.push(server_no);
-            self.die(server_no);
+            self.crash_server(server_no);
             return SetUpOutcome::Breaks;
         }
         if is_link_full || server.streams.len() >= max_streams {
             return SetUpOutcome::Full;
         }
-        if server.faults.errors > 0.0 && self.rng.random::<f64>() < server.faults.errors {
+        if server.faults.error_fraction > 0.0 && self.rng.random::<f64>() < server.faults.error_fraction {
             return SetUpOutcome::Error;
         }
-        let mut set_up_duration = mean_duration.mul_f64(server.faults.slow.max(1.0));
+        let mut set_up_duration = mean_duration.mul_f64(server.faults.set_up_slowdown.max(1.0));
         set_up_duration = set_up_duration.mul_f64(0.7 + 0.6 * self.rng.random::<f64>());
         let stream = Stream {
             rates: rates.to_vec(),
@@ -326,8 +328,8 @@
         };
         server.streams.insert(key, stream);
         match &server.faults {
-            faults if faults.answer_lost => SetUpOutcome::AnswerLost,
-            faults if faults.breaks => SetUpOutcome::Breaks,
+            faults if faults.loses_answers => SetUpOutcome::AnswerLost,
+            faults if faults.breaks_connections => SetUpOutcome::Breaks,
             _ => SetUpOutcome::Plays(set_up_duration),
         }
     }
@@ -360,7 +362,7 @@
         &mut self, now: Duration, server_no: ServerNo, key: TuneInKey, rung: usize, last: bool,
         span: Duration,
     ) -> FetchOutcome {
-        let share = self.share(now, server_no);
+        let share = self.delivered_share(now, server_no);
         let Some(stream) = self.servers[server_no.0].streams.get_mut(&key) else {
             return FetchOutcome::Unknown;
         };
@@ -376,7 +378,7 @@
     }
 
     /// Returns the time since the last fetch from a stream.
-    pub fn quiet(&self, now: Duration, server_no: ServerNo, key: TuneInKey) -> Option<Duration> {
+    pub fn idle_time(&self, now: Duration, server_no: ServerNo, key: TuneInKey) -> Option<Duration> {
         let stream = self.servers[server_no.0].streams.get(&key)?;
         Some((now + stream.lease).saturating_sub(stream.lease_expires_at))
     }
@@ -389,7 +391,9 @@
     /// Registers an incarnation of a manager, so that set-ups from earlier ones are refused from now on.
     ///
     /// Returns false if a later incarnation is known.
-    pub fn begins(&mut self, server_no: ServerNo, manager: ManagerNo, incarnation: u64) -> bool {
+    pub fn register_incarnation(
+        &mut self, server_no: ServerNo, manager: ManagerNo, incarnation: u64,
+    ) -> bool {
         let known_incarnation =
             self.servers[server_no.0].latest_incarnations.entry(manager).or_insert(incarnation);
         *known_incarnation = incarnation.max(*known_incarnation);
@@ -397,7 +401,9 @@
     }
 
     /// Returns the streams at a server that an incarnation of a manager and earlier ones have set up.
-    pub fn playing(&self, server_no: ServerNo, manager: ManagerNo, incarnation: u64) -> Vec<TuneInKey> {
+    pub fn tune_ins_of_manager(
+        &self, server_no: ServerNo, manager: ManagerNo, incarnation: u64,
+    ) -> Vec<TuneInKey> {
         let is_of_manager = |key: &&TuneInKey| key.manager == manager && key.incarnation <= incarnation;
         self.servers[server_no.0].streams.keys().filter(is_of_manager).copied().collect()
     }
@@ -410,7 +416,7 @@
     }
 
     /// Returns the number of streams at a server.
-    pub fn streams(&self, server_no: ServerNo) -> usize {
+    pub fn stream_count(&self, server_no: ServerNo) -> usize {
         self.servers[server_no.0].streams.len()
     }
 
@@ -432,7 +438,7 @@
     }
 
     /// Crashes a server's process and returns the tune-ins of its lost streams.
-    pub fn die(&mut self, server_no: ServerNo) -> Vec<TuneInKey> {
+    pub fn crash_server(&mut self, server_no: ServerNo) -> Vec<TuneInKey> {
         let server = &mut self.servers[server_no.0];
         server.up = false;
         (server.draining, server.faults) = (false, Faults::default());
@@ -454,19 +460,22 @@
     }
 
     /// Returns the servers that crashed from overload since the last call.
-    pub fn fallen(&mut self) -> Vec<ServerNo> {
+    pub fn take_overloaded_servers(&mut self) -> Vec<ServerNo> {
         std::mem::take(&mut self.overloaded_servers)
     }
 
     /// Returns the load notes that are due, each addressed to one tune-in of a manager.
-    pub fn notes(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, LoadNote)> {
+    pub fn take_due_notes(&mut self, now: Duration) -> Vec<(ServerNo, TuneInKey, LoadNote)> {
         let mut due_notes = vec![];
         for server_no in self
-            .boxes()
+            .server_numbers()
             .filter(|server_no| self.servers[server_no.0].up && !self.servers[server_no.0].faults.frozen)
         {
-            let utilization =
-                (self.share(now, server_no), self.full(now, server_no), self.full_up(server_no));
+            let utilization = (
+                self.delivered_share(now, server_no),
+                self.link_utilization(now, server_no),
+                self.uplink_utilization(server_no),
+            );
             let mut key_of_manager = BTreeMap::new();
             for key in self.servers[server_no.0].streams.keys() {
                 key_of_manager.entry(key.manager).or_insert(*key);
@@ -482,7 +491,7 @@
     }
 
     /// Delays load notes by this additional time.
-    pub fn notes_late(&mut self, delay: Duration) {
+    pub fn set_additional_note_delay(&mut self, delay: Duration) {
         self.load_notes.additional_delay = delay;
     }
 }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -11,7 +11,12 @@
 }
 
 fn fleet(max_streams: usize, max_link_utilization: f64) -> Fleet {
-    let slow_start = Cold { from: 0.5, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) };
+    let slow_start = SlowStartModel {
+        initial_capacity_fraction: 0.5,
+        warm_up: ms(10_000),
+        overload_factor: 2.0,
+        overload_window: ms(1000),
+    };
     let load_notes = LoadNotes::new(ms(1000), ms(3000), true);
     Fleet::new(
         7,
@@ -36,13 +41,17 @@
         ),
         (
             "slow",
-            |f| f.faults(ServerNo(0)).slow = 10.0,
+            |f| f.faults(ServerNo(0)).set_up_slowdown = 10.0,
             |s| matches!(s, SetUpOutcome::Plays(duration) if *duration >= ms(140)),
         ),
         ("draining", |f| f.drain(ServerNo(0)), |s| *s == SetUpOutcome::Draining),
-        ("errors", |f| f.faults(ServerNo(0)).errors = 1.0, |s| *s == SetUpOutcome::Error),
-        ("answers lost", |f| f.faults(ServerNo(0)).answer_lost = true, |s| *s == SetUpOutcome::AnswerLost),
-        ("connection breaks", |f| f.faults(ServerNo(0)).breaks = true, |s| *s == SetUpOutcome::Breaks),
+        ("errors", |f| f.faults(ServerNo(0)).error_fraction = 1.0, |s| *s == SetUpOutcome::Error),
+        ("answers lost", |f| f.faults(ServerNo(0)).loses_answers = true, |s| *s == SetUpOutcome::AnswerLost),
+        (
+            "connection breaks",
+            |f| f.faults(ServerNo(0)).breaks_connections = true,
+            |s| *s == SetUpOutcome::Breaks,
+        ),
         (
             "released before it arrived",
             |f| {
@@ -76,17 +85,17 @@
         matches!(outcomes[..], [SetUpOutcome::Plays(_), SetUpOutcome::Plays(_), SetUpOutcome::Full]),
         "{outcomes:?}"
     );
-    assert!((full_fleet.full(ms(0), ServerNo(0)) - 0.8).abs() < 1e-9);
-    full_fleet.faults(ServerNo(0)).link = 4.0;
-    assert!((full_fleet.share(ms(0), ServerNo(0)) - 1.0 / 3.2).abs() < 1e-9);
+    assert!((full_fleet.link_utilization(ms(0), ServerNo(0)) - 0.8).abs() < 1e-9);
+    full_fleet.faults(ServerNo(0)).link_slowdown = 4.0;
+    assert!((full_fleet.delivered_share(ms(0), ServerNo(0)) - 1.0 / 3.2).abs() < 1e-9);
     let mut limited = fleet(9, 0.4);
     limited.set_up(ms(0), ServerNo(0), key(1, 1, 0), &RATES, 2, ms(500));
     assert_eq!(limited.set_up(ms(0), ServerNo(0), key(1, 2, 0), &RATES, 2, ms(500)), SetUpOutcome::Full);
     // Servers 0 and 2 share a rack.
     limited.set_up(ms(0), ServerNo(2), key(1, 3, 0), &RATES, 2, ms(500));
-    assert!((limited.full_up(ServerNo(0)) - 800.0 / 1500.0).abs() < 1e-9);
-    limited.sag(0, 3.0);
-    assert!((limited.share(ms(0), ServerNo(0)) - 1500.0 / 2400.0).abs() < 1e-9);
+    assert!((limited.uplink_utilization(ServerNo(0)) - 800.0 / 1500.0).abs() < 1e-9);
+    limited.set_uplink_slowdown(0, 3.0);
+    assert!((limited.delivered_share(ms(0), ServerNo(0)) - 1500.0 / 2400.0).abs() < 1e-9);
 }
 
 #[test]
@@ -111,7 +120,7 @@
     assert!(!fleet.release(ms(500), ServerNo(0), key(1, 2, 0), ms(500)));
     assert_eq!(fleet.expire(ms(600)), [(ServerNo(0), key(1, 3, 0), StreamEnd::Lease)]);
     assert_eq!(fleet.expire(ms(700)), [(ServerNo(0), key(1, 0, 0), StreamEnd::Ended)]);
-    assert_eq!(fleet.die(ServerNo(0)), [key(1, 1, 0)]);
+    assert_eq!(fleet.crash_server(ServerNo(0)), [key(1, 1, 0)]);
     assert_eq!(fleet.fetch(ms(800), ServerNo(0), key(1, 1, 0), 0, false, ms(200)), FetchOutcome::Unknown);
 }
 
@@ -121,7 +130,7 @@
     // tolerance.
     for (interval_ms, crashes) in [(500, false), (100, true)] {
         let mut fleet = fleet(20, 0.0);
-        fleet.die(ServerNo(0));
+        fleet.crash_server(ServerNo(0));
         fleet.start(ms(0), ServerNo(0));
         let outcomes = (0..12).map(|i| {
             fleet.set_up(ms(i * interval_ms), ServerNo(0), key(1, i as u32, 0), &RATES, 0, ms(9000))
@@ -132,7 +141,7 @@
             (crashes, !crashes),
             "one set-up every {interval_ms} ms"
         );
-        assert_eq!(fleet.fallen().len(), usize::from(crashes));
+        assert_eq!(fleet.take_overloaded_servers().len(), usize::from(crashes));
     }
 }
 
@@ -149,7 +158,7 @@
                 fleet.release(ms(step * 100), ServerNo(0), key(1, viewing_id, 0), ms(1));
             }
         }
-        received.extend(fleet.notes(ms(step * 100)).into_iter().map(|(_, _, note)| (step, note)));
+        received.extend(fleet.take_due_notes(ms(step * 100)).into_iter().map(|(_, _, note)| (step, note)));
     }
     let shares: Vec<_> = received.iter().filter(|(_, note)| matches!(note, LoadNote::Share(_))).collect();
     assert_eq!(shares.first(), Some(&&(10, LoadNote::Share(0.5))));
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -6,7 +6,7 @@
 use crate::viewers::Seen;
 use crate::{trouble, viewers};
 use ivyward_daemon::setup;
-use ivyward_fleet::Cold;
+use ivyward_fleet::SlowStartModel;
 use ivyward_rules::{History, ManagerLifetime, Package, Terms};
 use ivyward_settings::{Fault, Section};
 use ivyward_standin::Standins;
@@ -86,11 +86,11 @@
         seats: package.count("seats"),
     };
     let (ration, fleet) = (settings.section("ration"), script.section("fleet"));
-    let cold = Cold {
-        from: fleet.number("cold_from"),
+    let cold = SlowStartModel {
+        initial_capacity_fraction: fleet.number("cold_from"),
         warm_up: fleet.duration("warm_up_s"),
-        multiple: fleet.number("multiple"),
-        fall: fleet.duration("fall_s"),
+        overload_factor: fleet.number("multiple"),
+        overload_window: fleet.duration("fall_s"),
     };
     Terms {
         packages: settings.sections("package").iter().map(package).collect(),
@@ -233,7 +233,7 @@
             all_ended.push(ended);
         }
         let records = standins.records().take();
-        let streams = standins.model(|fleet| fleet.boxes().map(|at| fleet.streams(at)).sum());
+        let streams = standins.model(|fleet| fleet.server_numbers().map(|at| fleet.stream_count(at)).sum());
         let (terms, history) =
             (terms_of(script), History { records, viewer_requests: seen.asked, managers: lives });
         if let Some(file) = record {
@@ -262,7 +262,7 @@
 async fn watch(standins: Standins, managers: Rc<Vec<Manager>>, begun: Instant, held: Rc<RefCell<Vec<Held>>>) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let streams = standins.model(|fleet| fleet.boxes().map(|at| fleet.streams(at)).sum());
+        let streams = standins.model(|fleet| fleet.server_numbers().map(|at| fleet.stream_count(at)).sum());
         let all: Option<Vec<_>> = managers.iter().map(|manager| manager.holds()).collect();
         if let Some(all) = all {
             let (kb, files) = all.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -236,7 +236,7 @@
         once: false,
     };
     harness.run();
-    let streams: usize = harness.fleet.boxes().map(|at| harness.fleet.streams(at)).sum();
+    let streams: usize = harness.fleet.server_numbers().map(|at| harness.fleet.stream_count(at)).sum();
     let held = harness.managers.iter().filter_map(|m| m.core.as_ref());
     let left = streams + held.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
     let lives = harness.managers.iter().enumerate().map(|(i, m)| {
@@ -251,7 +251,7 @@
 impl Harness {
     fn run(&mut self) {
         let cells = self.settings.section("network").count("places");
-        for at in self.fleet.boxes().collect::<Vec<_>>() {
+        for at in self.fleet.server_numbers().collect::<Vec<_>>() {
             let row = Row {
                 standing: ServerState::Ready,
                 incarnation: 1,
@@ -261,7 +261,7 @@
             };
             self.rows.push((at.0 < RUN).then_some(row));
             if at.0 >= RUN {
-                self.fleet.die(at);
+                self.fleet.crash_server(at);
             }
         }
         let begin = self.now;
@@ -392,7 +392,7 @@
             Did::Fetched(server, of, viewing_id, n) => {
                 let key = key(of, viewing_id, n);
                 self.after(way, move |w| {
-                    let quiet = w.fleet.quiet(w.now, server, key).filter(|_| !w.fleet.frozen(server));
+                    let quiet = w.fleet.idle_time(w.now, server, key).filter(|_| !w.fleet.frozen(server));
                     w.turn(manager, incarnation, |f, h, now| {
                         f.on_last_fetch(h, now, id(server), (of, viewing_id, n), quiet)
                     });
@@ -407,7 +407,7 @@
     }
 
     fn load(&self, at: ServerNo) -> ivyward::interface::LoadReport {
-        let (link, uplink) = (self.fleet.full(self.now, at), self.fleet.full_up(at));
+        let (link, uplink) = (self.fleet.link_utilization(self.now, at), self.fleet.uplink_utilization(at));
         ivyward::interface::LoadReport { link: Some(link), uplink: Some(uplink) }
     }
 
@@ -482,7 +482,7 @@
         if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost | SetUpOutcome::Breaks) {
             self.abouts.insert((server, key), (sent.session, sent.package, sent.title, sent.top));
         }
-        if !self.fleet.fallen().is_empty() {
+        if !self.fleet.take_overloaded_servers().is_empty() {
             self.record(Event::ServerOverloaded { server });
             self.gone(server, &[]);
         }
@@ -822,11 +822,11 @@
             }
             w.at_server(at, move |w| {
                 if w.managers[manager].incarnation != incarnation
-                    || !w.fleet.begins(at, ManagerNo(manager as u32), incarnation)
+                    || !w.fleet.register_incarnation(at, ManagerNo(manager as u32), incarnation)
                 {
                     return;
                 }
-                let keys = w.fleet.playing(at, ManagerNo(manager as u32), incarnation);
+                let keys = w.fleet.tune_ins_of_manager(at, ManagerNo(manager as u32), incarnation);
                 let rungs = |key: &TuneInKey| w.fleet.rung_of(at, *key).unwrap_or_default();
                 let rows: Vec<_> = keys
                     .iter()
@@ -864,7 +864,7 @@
                 );
             });
         }
-        for (at, key, note) in self.fleet.notes(self.now) {
+        for (at, key, note) in self.fleet.take_due_notes(self.now) {
             let news = match note {
                 LoadNote::Share(x) => ServerUpdate::Share(x),
                 LoadNote::Link(x) => ServerUpdate::Link(x),
@@ -924,7 +924,7 @@
         }
         let managers = self.fleet.managers(at);
         self.record(Event::ServerDied { server: at, managers });
-        let keys = self.fleet.die(at);
+        let keys = self.fleet.crash_server(at);
         self.gone(at, &keys);
     }
 
@@ -1043,11 +1043,15 @@
                         w.dies(at);
                         w.after(len, move |w| w.starts(ServerNo(RUN + i % 4)));
                     }
-                    3 => turned(w, |f, _| f.answer_lost = true, |f| f.answer_lost = false),
-                    4 => turned(w, |f, _| f.breaks = true, |f| f.breaks = false),
-                    5 => turned(w, |f, part| f.errors = part, |f| f.errors = 0.0),
-                    6 => turned(w, |f, part| f.slow = 1.0 + 40.0 * part, |f| f.slow = 1.0),
-                    7 => turned(w, |f, part| f.link = 1.0 + 6.0 * part, |f| f.link = 1.0),
+                    3 => turned(w, |f, _| f.loses_answers = true, |f| f.loses_answers = false),
+                    4 => turned(w, |f, _| f.breaks_connections = true, |f| f.breaks_connections = false),
+                    5 => turned(w, |f, part| f.error_fraction = part, |f| f.error_fraction = 0.0),
+                    6 => turned(
+                        w,
+                        |f, part| f.set_up_slowdown = 1.0 + 40.0 * part,
+                        |f| f.set_up_slowdown = 1.0,
+                    ),
+                    7 => turned(w, |f, part| f.link_slowdown = 1.0 + 6.0 * part, |f| f.link_slowdown = 1.0),
                     8 => w.kills(manager, len),
                     9 => {
                         w.list_lost = true;
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -238,7 +238,7 @@
             n: 0,
             server: ([127, 0, 0, 1], 80).into(),
             sequence: 1,
-            began: Duration::ZERO,
+            began_at: Duration::ZERO,
         }),
     };
     let token = keys.mint(&token_claims, unix_date(), Duration::from_secs(600)).unwrap_or_default();
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -3,7 +3,7 @@
 use crate::trouble::Played;
 use crate::verdict::judge;
 use ivyward_daemon::Ended;
-use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
+use ivyward_fleet::{ManagerNo, ServerNo, SlowStartModel, TuneInKey};
 use ivyward_rules::{Event, History, Package, Record, SetUpEnd, Terms};
 use std::time::Duration;
 
@@ -13,7 +13,12 @@
 
 #[test]
 fn a_manager_that_ends_badly_breaks_the_day_and_troubles_are_counted() {
-    let cold = Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) };
+    let cold = SlowStartModel {
+        initial_capacity_fraction: 0.4,
+        warm_up: ms(10_000),
+        overload_factor: 2.0,
+        overload_window: ms(1000),
+    };
     let terms = Terms {
         packages: vec![],
         grace: ms(250),
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -46,7 +46,7 @@
         let kind = trouble.enum_name("kind");
         let (from, len) = (begin + trouble.duration("at_s"), trouble.duration("len_s"));
         let (part, size, extra) = (trouble.number("part"), trouble.number("size"), trouble.duration("extra"));
-        let mut servers: Vec<_> = standins.model(|fleet| fleet.boxes().collect());
+        let mut servers: Vec<_> = standins.model(|fleet| fleet.server_numbers().collect());
         let (mut taken, mut racks) = (vec![], vec![]);
         match kind.as_str() {
             "LIST_LATE" | "BURST" | "NOTES_LATE" | "KEY_CHANGE" => servers.clear(),
@@ -135,38 +135,48 @@
                 sleep_until(next).await;
             }
         }
-        "ANSWER_LOST" => turned(standins, &servers, "answer_lost", len, |f, on| f.answer_lost = on).await,
-        "BREAK" => turned(standins, &servers, "break", len, |f, on| f.breaks = on).await,
+        "ANSWER_LOST" => turned(standins, &servers, "answer_lost", len, |f, on| f.loses_answers = on).await,
+        "BREAK" => turned(standins, &servers, "break", len, |f, on| f.breaks_connections = on).await,
         "FAST_ERRORS" => {
             let part = size.min(1.0);
-            turned(standins, &servers, "fast_errors", len, |f, on| f.errors = if on { part } else { 0.0 })
-                .await;
+            turned(standins, &servers, "fast_errors", len, |f, on| {
+                f.error_fraction = if on { part } else { 0.0 }
+            })
+            .await;
+        }
+        "SLOW" => {
+            turned(standins, &servers, "slow", len, |f, on| f.set_up_slowdown = if on { size } else { 1.0 })
+                .await
+        }
+        "LINK" => {
+            turned(standins, &servers, "link", len, |f, on| f.link_slowdown = if on { size } else { 1.0 })
+                .await
         }
-        "SLOW" => turned(standins, &servers, "slow", len, |f, on| f.slow = if on { size } else { 1.0 }).await,
-        "LINK" => turned(standins, &servers, "link", len, |f, on| f.link = if on { size } else { 1.0 }).await,
         "NEIGHBOUR" => {
             let until = Instant::now() + len;
             while Instant::now() < until {
                 let on = Duration::from_secs_f64(0.5 + chance.random::<f64>() * extra.as_secs_f64());
-                turned(standins, &servers, "neighbour", on, |f, on| f.link = if on { size } else { 1.0 })
-                    .await;
+                turned(standins, &servers, "neighbour", on, |f, on| {
+                    f.link_slowdown = if on { size } else { 1.0 }
+                })
+                .await;
                 sleep(on.min(until.saturating_duration_since(Instant::now()))).await;
             }
         }
         "UPLINK" => {
-            standins.model(|fleet| racks.iter().for_each(|rack| fleet.sag(*rack, size)));
+            standins.model(|fleet| racks.iter().for_each(|rack| fleet.set_uplink_slowdown(*rack, size)));
             sleep(len).await;
-            standins.model(|fleet| racks.iter().for_each(|rack| fleet.sag(*rack, 1.0)));
+            standins.model(|fleet| racks.iter().for_each(|rack| fleet.set_uplink_slowdown(*rack, 1.0)));
         }
         "LIST_LATE" => {
-            standins.list_late(Duration::from_secs_f64(size));
+            standins.set_additional_list_delay(Duration::from_secs_f64(size));
             sleep(len).await;
-            standins.list_late(Duration::ZERO);
+            standins.set_additional_list_delay(Duration::ZERO);
         }
         "NOTES_LATE" => {
-            standins.model(|fleet| fleet.notes_late(Duration::from_secs_f64(size)));
+            standins.model(|fleet| fleet.set_additional_note_delay(Duration::from_secs_f64(size)));
             sleep(len).await;
-            standins.model(|fleet| fleet.notes_late(Duration::ZERO));
+            standins.model(|fleet| fleet.set_additional_note_delay(Duration::ZERO));
         }
         "MANAGER_KILL" => {
             for i in taken {
@@ -179,9 +189,9 @@
             }
         }
         "CLOCK" => {
-            each(&|at| standins.clock(at, size as i64));
+            each(&|at| standins.set_clock_offset(at, size as i64));
             sleep(len).await;
-            each(&|at| standins.clock(at, 0));
+            each(&|at| standins.set_clock_offset(at, 0));
         }
         "MANAGER_CLOCK" => {
             for i in &taken {
@@ -211,7 +221,7 @@
     for (taken, signs) in [(&[0, 1][..], 0), (&[0, 1], 1), (&[1], 1)] {
         let tokens = tokens_of(tokens, taken, signs);
         match ivyward_daemon::setup::keys(&tokens) {
-            Ok(keys) => standins.keys(keys),
+            Ok(keys) => standins.set_token_keys(keys),
             Err(faults) => eprintln!("keys: {faults:?}"),
         }
         for manager in managers {
@@ -228,7 +238,7 @@
     standins: &Standins, servers: &[ServerNo], name: &'static str, len: Duration,
     turn: impl Fn(&mut ivyward_fleet::Faults, bool),
 ) {
-    servers.iter().for_each(|at| standins.fault(*at, name, true, |faults| turn(faults, true)));
+    servers.iter().for_each(|at| standins.set_fault(*at, name, true, |faults| turn(faults, true)));
     sleep(len).await;
-    servers.iter().for_each(|at| standins.fault(*at, name, false, |faults| turn(faults, false)));
+    servers.iter().for_each(|at| standins.set_fault(*at, name, false, |faults| turn(faults, false)));
 }
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -509,8 +509,8 @@
         // A player asks for no segment before the date that the manifest gives, by its own clock as that corrects it.
         let own = i64::try_from(unix_date().as_millis()).unwrap_or_default() + viewer.ahead;
         let own = Duration::from_millis(u64::try_from(own).unwrap_or_default());
-        let corrected = manifest::behind(&text, own).unwrap_or_default() + own.as_millis() as i64;
-        if manifest::available(&text).is_none_or(|at| at.as_millis() as i64 > corrected + SKEW) {
+        let corrected = manifest::clock_lag_ms(&text, own).unwrap_or_default() + own.as_millis() as i64;
+        if manifest::available_from(&text).is_none_or(|at| at.as_millis() as i64 > corrected + SKEW) {
             self.seen.borrow_mut().manifests.1.push("a player finds nothing available yet".into());
             return false;
         }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -11,7 +11,7 @@
 pub use record::{Event, ManifestRequest, Record, RequestOutcome, ServerStatus, SetUpEnd};
 pub use text::{read, write};
 
-use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
+use ivyward_fleet::{ManagerNo, ServerNo, SlowStartModel, TuneInKey};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     pub time_tolerance: Duration,
     /// The slow start of servers and the load that overloads them, and the greatest number of streams on a
     /// server.
-    pub slow_start: (Cold, usize),
+    pub slow_start: (SlowStartModel, usize),
 }
 
 /// The terms of a package.
@@ -371,7 +371,7 @@
                 checked += u64::from(record.at < started_at + slow_start.warm_up);
                 let server_set_ups = recent_set_ups.entry(*server).or_default();
                 server_set_ups.push_back((record.at, key.manager));
-                if !slow_start.falls(record.at, Some(started_at), *capacity, server_set_ups) {
+                if !slow_start.is_overloaded(record.at, Some(started_at), *capacity, server_set_ups) {
                     continue;
                 }
                 let started_later = |manager: &ManagerNo| {
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -28,7 +28,15 @@
         retry_budget: Some((ms(5000), 1.0, 0.5)),
         slack: ms(100),
         time_tolerance: ms(10),
-        slow_start: (Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) }, 100),
+        slow_start: (
+            SlowStartModel {
+                initial_capacity_fraction: 0.4,
+                warm_up: ms(10_000),
+                overload_factor: 2.0,
+                overload_window: ms(1000),
+            },
+            100,
+        ),
     }
 }
 
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{Event, ManifestRequest, Record, RequestOutcome, ServerStatus, SetUpEnd};
 use crate::{History, ManagerLifetime, Package, Terms};
-use ivyward_fleet::{Cold, ManagerNo, ServerNo, StreamEnd, TuneInKey};
+use ivyward_fleet::{ManagerNo, ServerNo, SlowStartModel, StreamEnd, TuneInKey};
 use ivyward_settings::{Fault, Section};
 use std::time::Duration;
 
@@ -70,10 +70,10 @@
         to_micros(terms.slack),
         to_micros(terms.time_tolerance),
         ration.unwrap_or_default(),
-        slow_start.from,
+        slow_start.initial_capacity_fraction,
         to_micros(slow_start.warm_up),
-        slow_start.multiple,
-        to_micros(slow_start.fall),
+        slow_start.overload_factor,
+        to_micros(slow_start.overload_window),
     );
     for ManagerLifetime { manager_number: no, downtimes } in &history.managers {
         let no = no.map(|no| format!("no: {} ", no.0)).unwrap_or_default();
@@ -342,11 +342,11 @@
         floor: package_fields.count("floor"),
         seats: package_fields.count("seats"),
     };
-    let cold = Cold {
-        from: fields.number("cold_from"),
+    let cold = SlowStartModel {
+        initial_capacity_fraction: fields.number("cold_from"),
         warm_up: read_duration(fields, "warm_up_us"),
-        multiple: fields.number("multiple"),
-        fall: read_duration(fields, "fall_us"),
+        overload_factor: fields.number("multiple"),
+        overload_window: read_duration(fields, "fall_us"),
     };
     Terms {
         packages: fields.sections("package").iter().map(read_package).collect(),
--- a/crates/standin/src/fleet_settings.rs
+++ b/crates/standin/src/fleet_settings.rs
@@ -1,16 +1,16 @@
 //! Builds a fleet model from the `Fleet` section of a script.
 
-use ivyward_fleet::{Cold, Fleet, LoadNotes};
+use ivyward_fleet::{Fleet, LoadNotes, SlowStartModel};
 use ivyward_settings::Section;
 
 /// Builds the fleet described by a `Fleet` section, for managers with the given settings.
 pub fn fleet(seed: u64, fleet_section: &Section, settings: &Section) -> Fleet {
     let network = settings.section("network");
-    let slow_start = Cold {
-        from: fleet_section.number("cold_from"),
+    let slow_start = SlowStartModel {
+        initial_capacity_fraction: fleet_section.number("cold_from"),
         warm_up: fleet_section.duration("warm_up_s"),
-        multiple: fleet_section.number("multiple"),
-        fall: fleet_section.duration("fall_s"),
+        overload_factor: fleet_section.number("multiple"),
+        overload_window: fleet_section.duration("fall_s"),
     };
     let load_notes = LoadNotes::new(
         fleet_section.duration("seen_s"),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -145,7 +145,7 @@
             })
         });
         let server_sockets: Vec<_> = server_sockets.collect::<io::Result<_>>()?;
-        let list_rows = fleet.boxes().map(|server_no| {
+        let list_rows = fleet.server_numbers().map(|server_no| {
             server_list::Row::new(server_sockets[server_no.0].address, server_no.0 % cell_count.max(1))
         });
         let server_list = ServerList::new(list_rows.collect(), list_delay);
@@ -259,12 +259,12 @@
             for (server_no, key, end_reason) in self.model(|fleet| fleet.expire(now)) {
                 self.on_stream_end(server_no, key, end_reason);
             }
-            for server_no in self.model(Fleet::fallen) {
+            for server_no in self.model(Fleet::take_overloaded_servers) {
                 self.record(Event::ServerOverloaded { server: server_no });
                 self.close_sockets(server_no);
                 self.schedule_list_update(server_no, ServerStatus::Gone);
             }
-            for (server_no, key, note) in self.model(|fleet| fleet.notes(now)) {
+            for (server_no, key, note) in self.model(|fleet| fleet.take_due_notes(now)) {
                 let (note_kind, value) = match note {
                     LoadNote::Share(share) => ("share", share),
                     LoadNote::Link(utilization) => ("link", utilization),
@@ -341,7 +341,7 @@
     pub fn crash(&self, server_no: ServerNo) {
         let managers = self.model(|fleet| fleet.managers(server_no));
         self.record(Event::ServerDied { server: server_no, managers });
-        for key in self.model(|fleet| fleet.die(server_no)) {
+        for key in self.model(|fleet| fleet.crash_server(server_no)) {
             self.on_stream_end(server_no, key, StreamEnd::Died);
         }
         self.close_sockets(server_no);
@@ -397,23 +397,23 @@
     }
 
     /// Sets a server's clock ahead of the right time by this many seconds, or behind it if negative.
-    pub fn clock(&self, server_no: ServerNo, clock_offset_s: i64) {
+    pub fn set_clock_offset(&self, server_no: ServerNo, clock_offset_s: i64) {
         self.record(Event::Fault { server: server_no, name: "clock", on: clock_offset_s != 0 });
         self.0.server_sockets[server_no.0].clock_offset_s.set(clock_offset_s);
     }
 
     /// Returns the number of open connections at a server, including players'.
-    pub fn open_at(&self, server_no: ServerNo) -> usize {
+    pub fn open_connection_count(&self, server_no: ServerNo) -> usize {
         self.0.server_sockets[server_no.0].connection_count.get()
     }
 
     /// Replaces the keys that check players' tokens.
-    pub fn keys(&self, token_keys: Keys) {
+    pub fn set_token_keys(&self, token_keys: Keys) {
         *self.0.token_keys.borrow_mut() = token_keys;
     }
 
     /// Records that another fault begins or ends, and applies it to the model.
-    pub fn fault(
+    pub fn set_fault(
         &self, server_no: ServerNo, name: &'static str, on: bool,
         change: impl FnOnce(&mut ivyward_fleet::Faults),
     ) {
@@ -422,7 +422,7 @@
     }
 
     /// Delays the server list by this additional time.
-    pub fn list_late(&self, delay: Duration) {
+    pub fn set_additional_list_delay(&self, delay: Duration) {
         self.0.server_list.additional_delay.set(delay);
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -68,7 +68,7 @@
     pub at: Instant,
     pub connection: usize,
     pub kind: Kind,
-    pub of: SessionRef,
+    pub session_ref: SessionRef,
     pub cause: Option<u8>,
     pub description: Option<Vec<u8>>,
     pub package: Option<String>,
@@ -77,11 +77,11 @@
 
 /// The end of a set-up, from the server's point of view.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct EndedSetUp {
     pub at: Instant,
     pub connection: usize,
-    pub of: SessionRef,
-    pub how: SetUpEnd,
+    pub session_ref: SessionRef,
+    pub set_up_end: SetUpEnd,
 }
 
 /// Sends bytes to be written on a connection; `None` resets it.
@@ -90,7 +90,7 @@
 /// A stand-in of a video server.
 pub struct Server {
     /// Identifier in the server list.
-    pub word: String,
+    pub server_id: String,
     pub address: SocketAddr,
     pub behavior: Cell<Behavior>,
     /// Whether heartbeats are answered.
@@ -98,7 +98,7 @@
     /// Received messages, in order.
     pub signals: RefCell<Vec<ReceivedSignal>>,
     /// Ends of set-ups, in order.
-    pub set_up_ends: RefCell<Vec<End>>,
+    pub set_up_ends: RefCell<Vec<EndedSetUp>>,
     /// Number of bytes written on all connections.
     pub written_bytes: Cell<usize>,
     /// Set-ups that have not ended, with the connections on which they arrived.
@@ -149,7 +149,7 @@
     pub async fn start(word: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind(own_address()).await?;
         let server = Rc::new(Server {
-            word: word.into(),
+            server_id: word.into(),
             address: listener.local_addr()?,
             behavior: Cell::new(initial_behavior),
             answers_tests: Cell::new(true),
@@ -261,7 +261,12 @@
 
     /// Records the end of a set-up.
     fn record_end(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
-        self.set_up_ends.borrow_mut().push(End { at: Instant::now(), connection, of, how });
+        self.set_up_ends.borrow_mut().push(EndedSetUp {
+            at: Instant::now(),
+            connection,
+            session_ref: of,
+            set_up_end: how,
+        });
     }
 
     /// Ends a set-up if it is open, and records its end.
@@ -283,7 +288,7 @@
             at: Instant::now(),
             connection,
             kind: signal.kind,
-            of,
+            session_ref: of,
             cause: signal.cause,
             description: signal.description.as_deref().map(<[u8]>::to_vec),
             package: signal.text(Field::Package).map(Into::into),
@@ -370,7 +375,7 @@
 
 /// A stand-in of the event bus, which keeps all events and sends each reader those after the last one it
 /// has received.
-pub struct Bus {
+pub struct EventBus {
     pub address: SocketAddr,
     /// Event numbers after which readers have requested events, in the order of the requests.
     pub requested_after: RefCell<Vec<u64>>,
@@ -380,21 +385,21 @@
     readers: RefCell<Vec<ConnectionWriter>>,
 }
 
-impl Bus {
+impl EventBus {
     /// Starts an event bus.
     ///
     /// # Errors
     /// Returns an error if no socket can be opened.
-    pub async fn start() -> io::Result<Rc<Bus>> {
-        Bus::with_listener(TcpListener::bind("127.0.0.1:0").await?)
+    pub async fn start() -> io::Result<Rc<EventBus>> {
+        EventBus::with_listener(TcpListener::bind("127.0.0.1:0").await?)
     }
 
     /// Starts an event bus on a listener.
     ///
     /// # Errors
     /// Returns an error if the listener has no address.
-    pub fn with_listener(listener: TcpListener) -> io::Result<Rc<Bus>> {
-        let bus = Rc::new(Bus {
+    pub fn with_listener(listener: TcpListener) -> io::Result<Rc<EventBus>> {
+        let bus = Rc::new(EventBus {
             address: listener.local_addr()?,
             requested_after: RefCell::default(),
             sends_comments: Cell::new(true),
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -132,7 +132,8 @@
     /// The report is a dictionary (RFC 9651, 3.2) with the utilization of link and uplink.
     fn with_load_report(&self, server_no: ServerNo, answer: Response<Body>) -> Response<Body> {
         let now = self.now();
-        let (link, uplink) = self.model(|fleet| (fleet.full(now, server_no), fleet.full_up(server_no)));
+        let (link, uplink) =
+            self.model(|fleet| (fleet.link_utilization(now, server_no), fleet.uplink_utilization(server_no)));
         let mut report = sfv::DictSerializer::new();
         for (name, utilization) in [("link", link), ("uplink", uplink)] {
             if let Ok(decimal) = sfv::Decimal::try_from(utilization.min(999.0)) {
@@ -267,7 +268,7 @@
         if request.method() == Method::GET {
             self.wait_until_thawed(server_no).await;
             let now = self.now();
-            return Ok(match self.model(|fleet| fleet.quiet(now, server_no, key)) {
+            return Ok(match self.model(|fleet| fleet.idle_time(now, server_no, key)) {
                 Some(idle_for) => {
                     let response = with_header(
                         text_response(StatusCode::OK, ""),
@@ -314,10 +315,10 @@
             return text_response(StatusCode::BAD_REQUEST, "which manager?\n");
         };
         let manager = self.manager(name);
-        if !self.model(|fleet| fleet.begins(server_no, manager, incarnation)) {
+        if !self.model(|fleet| fleet.register_incarnation(server_no, manager, incarnation)) {
             return text_response(StatusCode::CONFLICT, "a later start of this manager is known\n");
         }
-        let playing = self.model(|fleet| fleet.playing(server_no, manager, incarnation));
+        let playing = self.model(|fleet| fleet.tune_ins_of_manager(server_no, manager, incarnation));
         let stream_infos = self.0.stream_infos.borrow();
         let row = |key: &TuneInKey| {
             let stream_info = stream_infos.get(&(server_no, *key))?;
--- a/crates/standin/src/server_list.rs
+++ b/crates/standin/src/server_list.rs
@@ -119,7 +119,7 @@
         };
         let manager = self.manager(name);
         let (mut sender, body) = Channel::new(EVENT_QUEUE_LENGTH);
-        let servers: Vec<_> = self.model(|fleet| fleet.boxes().collect());
+        let servers: Vec<_> = self.model(|fleet| fleet.server_numbers().collect());
         for server_no in &servers {
             let row = self.0.server_list.rows.borrow()[server_no.0];
             self.record(Event::ServerNotified {
