--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -1,8 +1,12 @@
-//! What a thing costs as there are more of it: figures at growing sizes over several runs, the slope through them, and the
-//! exponent by which they grow. `docs/CAPACITY.md` multiplies these slopes by the sizes of the fleet ahead.
+//! Scaling measurements: what connections, viewings, servers and members cost as their number grows.
 //!
-//! Managers are real processes on loopback, servers, list and players are stand-ins in this one. Memory is what
-//! `/proc/PID/status` calls VmRSS, so without what the kernel holds of sockets; processor time is that of the manager alone.
+//! Each measurement takes figures at growing sizes over several runs, fits a line for the slope (the
+//! cost of one more) and an exponent (how the figure grows). `docs/CAPACITY.md` multiplies these slopes
+//! by the sizes of the planned fleet.
+//!
+//! Managers are real processes on loopback; servers, the server list and players are stand-ins in this
+//! process. Memory is VmRSS of `/proc/PID/status`, so it excludes what the kernel holds for sockets.
+//! Processor time is that of the manager alone.
 
 mod answer;
 mod claim;
@@ -14,66 +18,73 @@
 mod viewing;
 
 pub use cores::{Weighed, weigh};
-pub use fit::{Fit, Kind, Series};
+pub use fit::{FigureKind, Fit, Series};
 
 use std::path::Path;
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// What can be measured, in the order of the table.
-pub const THINGS: [&str; 6] = ["connection", "viewing", "answer", "list", "claim", "cores"];
+/// Names of the measurements, in the order of the report.
+pub const MEASUREMENTS: [&str; 6] = ["connection", "viewing", "answer", "list", "claim", "cores"];
 
-/// Descriptors that a process keeps for all but what is measured.
-const KEPT_BACK: usize = 300;
+/// Descriptors that a process reserves for everything except the connections it measures.
+const RESERVED_DESCRIPTOR_COUNT: usize = 300;
 
-/// How far each thing goes.
+/// Number of runs and the largest size of each measurement.
 #[derive(Clone, Debug)]
 pub struct Sizes {
+    /// Runs of each measurement.
     pub runs: usize,
-    /// Connections, and live viewings.
+    /// Most connections, and most live viewings.
     pub most: usize,
-    /// Manifests asked for a second.
+    /// Most manifest requests a second.
     pub rate: usize,
-    /// Servers of the list.
+    /// Most servers in the server list.
     pub servers: usize,
-    /// Paid viewings that three members keep.
+    /// Most paid viewings whose claims a group of three members stores.
     pub paid: usize,
-    /// Members of the group.
+    /// Most members of the group.
     pub members: usize,
-    /// A manager has its list after this, and what was asked is settled; what takes little is watched twice as long.
+    /// Time after which a manager has its server list and requests have settled. Cheap activity is
+    /// measured over twice this time.
     pub settle: Duration,
 }
 
-/// So many sizes, each twice the last, up to one.
+/// Returns up to `sizes` sizes that double up to `most`, without zeros.
 fn doubling(most: usize, sizes: u32) -> Vec<usize> {
-    (0..sizes).rev().map(|by| most >> by).filter(|size| *size > 0).collect()
+    (0..sizes).rev().map(|shift| most >> shift).filter(|size| *size > 0).collect()
 }
 
-/// Of so many descriptors wanted, as many as this process may open.
-fn within_descriptors(wanted: usize) -> usize {
-    wanted.min(process::descriptors_allowed().saturating_sub(KEPT_BACK))
+/// Limits a wanted number of descriptors to what this process may open.
+fn within_descriptors(wanted_count: usize) -> usize {
+    wanted_count.min(process::descriptors_allowed().saturating_sub(RESERVED_DESCRIPTOR_COUNT))
 }
 
-/// Measures what is named, or all, and tells of each thing as soon as it is measured.
+/// Runs the measurements named in `only` (all if empty) and passes each result to `output` as soon as
+/// it is there.
 ///
 /// # Errors
-/// A thing that is not known, a process that didn't come up, or more failed than may.
+/// Returns an error for an unknown name, a process that did not start, or more failed requests than
+/// allowed.
 pub fn table(
-    program: &Path, only: &[String], sizes: &Sizes, mut tell: impl FnMut(&str),
+    program: &Path, only: &[String], sizes: &Sizes, mut output: impl FnMut(&str),
 ) -> Result<(), String> {
-    if let Some(unknown) = only.iter().find(|name| !THINGS.contains(&name.as_str())) {
-        return Err(format!("--only {unknown}: is none of {}", THINGS.join(", ")));
+    if let Some(unknown) = only.iter().find(|name| !MEASUREMENTS.contains(&name.as_str())) {
+        return Err(format!("--only {unknown}: unknown measurement; use one of {}", MEASUREMENTS.join(", ")));
     }
     let sizes = Sizes { runs: sizes.runs.max(1), ..sizes.clone() };
-    tell(&format!("{} runs of each; beside it: load {}\n", sizes.runs, process::load()));
-    for thing in THINGS.iter().filter(|thing| only.is_empty() || only.iter().any(|name| name == *thing)) {
-        let measured = match *thing {
+    output(&format!("{} runs of each; machine load at the start: {}\n", sizes.runs, process::load()));
+    for measurement in MEASUREMENTS
+        .iter()
+        .filter(|measurement| only.is_empty() || only.iter().any(|name| name == *measurement))
+    {
+        let measured = match *measurement {
             "cores" => cores::measure(program, &sizes),
-            thing => {
+            measurement => {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 let runtime = runtime.map_err(|e| e.to_string())?;
                 LocalSet::new().block_on(&runtime, async {
-                    match thing {
+                    match measurement {
                         "connection" => connection::measure(program, &sizes).await,
                         "viewing" => viewing::measure(program, &sizes).await,
                         "answer" => answer::measure(program, &sizes).await,
@@ -83,11 +94,11 @@
                 })
             }
         };
-        for series in measured.map_err(|error| format!("{thing}: {error}"))? {
-            tell(&series.told(thing));
+        for series in measured.map_err(|error| format!("{measurement}: {error}"))? {
+            output(&series.render(measurement));
         }
     }
-    tell(&format!("at the end: load {}\n", process::load()));
+    output(&format!("machine load at the end: {}\n", process::load()));
     Ok(())
 }
 
--- a/crates/lab/src/slopes/answer.rs
+++ b/crates/lab/src/slopes/answer.rs
@@ -1,8 +1,10 @@
-//! Manifests asked for again at a rate that doesn't wait for answers: how long those take. These are wall times, on a
-//! machine that does other things too.
+//! Measures the time to answer repeated manifest requests under open-loop load, which does not wait for
+//! answers.
+//!
+//! Latencies are wall times on a machine that also runs other work.
 
-use super::process::{self, Folder, Players};
-use super::{Kind, Series, Sizes, doubling};
+use super::process::{self, Players, TempDir};
+use super::{FigureKind, Series, Sizes, doubling};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,117 +18,132 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-const SERVERS: usize = 40;
-/// Live viewings that ask, each over a connection of its own.
-const VIEWINGS: usize = 500;
-/// Whoever gets no answer within this is counted as having waited so long.
-const LATEST: Duration = Duration::from_secs(5);
-/// A manifest's last bytes.
-const END: &[u8] = b"</MPD>";
+/// Servers in the list.
+const SERVER_COUNT: usize = 40;
+/// Live viewings that send requests, each over a connection of its own.
+const VIEWING_COUNT: usize = 500;
+/// A request without an answer within this time counts with this latency.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Last bytes of a manifest.
+const MANIFEST_END: &[u8] = b"</MPD>";
 
-/// Asks on one connection at its own times, and notes how long after each the answer was whole.
-async fn asks(
-    mut stream: TcpStream, request: Vec<u8>, (first, end, pause): (Instant, Instant, Duration),
-    times: Rc<RefCell<Histogram<u64>>>,
+/// Sends requests on one connection at fixed times and records when each answer was complete.
+async fn send_requests(
+    mut stream: TcpStream, request: Vec<u8>, (first_at, end_at, interval): (Instant, Instant, Duration),
+    latencies: Rc<RefCell<Histogram<u64>>>,
 ) {
-    let (mut due, mut bytes) = (first, [0; 4096]);
-    while due < end {
-        sleep_until(due).await;
-        let answered = async {
+    let (mut due_at, mut buffer) = (first_at, [0; 4096]);
+    while due_at < end_at {
+        sleep_until(due_at).await;
+        let answer = async {
             stream.write_all(&request).await.ok()?;
-            let mut had = vec![];
-            while !had.windows(END.len()).any(|part| part == END) {
-                let count = stream.read(&mut bytes).await.ok().filter(|count| *count > 0)?;
-                had.extend_from_slice(&bytes[..count]);
+            let mut received = vec![];
+            while !received.windows(MANIFEST_END.len()).any(|window| window == MANIFEST_END) {
+                let count = stream.read(&mut buffer).await.ok().filter(|count| *count > 0)?;
+                received.extend_from_slice(&buffer[..count]);
             }
             Some(())
         };
-        let came = timeout(LATEST, answered).await.ok().flatten();
-        // From when it was due, so that a slow answer counts for those that it held up.
-        let took = if came.is_some() { due.elapsed() } else { LATEST };
-        times.borrow_mut().record(took.as_micros() as u64).ok();
-        if came.is_none() {
+        let answered = timeout(ANSWER_TIMEOUT, answer).await.ok().flatten();
+        // Measured from the due time, so that a slow answer also counts for the requests that it
+        // delayed.
+        let latency = if answered.is_some() { due_at.elapsed() } else { ANSWER_TIMEOUT };
+        latencies.borrow_mut().record(latency.as_micros() as u64).ok();
+        if answered.is_none() {
             return;
         }
-        due += pause;
+        due_at += interval;
     }
 }
 
-/// Plays so many requests a second in a thread of its own; middle and 99th percentile in milliseconds, and how many
-/// there were.
-async fn play(
-    at: SocketAddr, urls: &[String], rate: usize, span: Duration,
+/// Sends `rate` requests a second from a thread of its own. Returns the median and the 99th percentile
+/// of the latency in milliseconds, and the number of requests.
+async fn run_load(
+    manager_address: SocketAddr, urls: &[String], rate: usize, duration: Duration,
 ) -> Result<(f64, f64, u64), String> {
     let requests = urls.iter().filter_map(|url| {
         let (host, path) = url.strip_prefix("http://")?.split_once('/')?;
         Some(format!("GET /{path} HTTP/1.1\r\nhost: {host}\r\n\r\n").into_bytes())
     });
     let requests: Vec<_> = requests.collect();
-    let (tell, told) = oneshot::channel();
+    let (latencies_sender, latencies_receiver) = oneshot::channel();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else { return };
-        let times = LocalSet::new().block_on(&runtime, async {
-            let times =
+        let latencies = LocalSet::new().block_on(&runtime, async {
+            let latencies =
                 Rc::new(RefCell::new(Histogram::<u64>::new(3).expect("three figures are few enough")));
-            let pause = Duration::from_secs_f64(requests.len() as f64 / rate as f64);
-            // One after another: what a burst of connections meets at the listener's queue isn't measured here.
+            let interval = Duration::from_secs_f64(requests.len() as f64 / rate as f64);
+            // Connects one after another, so that a burst at the listener's queue does not count here.
             let mut streams = vec![];
             for _ in &requests {
-                let stream = TcpStream::connect(at).await.ok()?;
+                let stream = TcpStream::connect(manager_address).await.ok()?;
                 stream.set_nodelay(true).ok();
                 streams.push(stream);
             }
-            let (begun, count) = (Instant::now() + Duration::from_millis(100), requests.len() as u32);
-            let each = streams.into_iter().zip(requests).zip(0..).map(|((stream, request), i)| {
-                let first = begun + pause * i / count;
-                spawn_local(asks(stream, request, (first, begun + span, pause), times.clone()))
+            let (begun_at, count) = (Instant::now() + Duration::from_millis(100), requests.len() as u32);
+            let per_item = streams.into_iter().zip(requests).zip(0..).map(|((stream, request), index)| {
+                let first_at = begun_at + interval * index / count;
+                spawn_local(send_requests(
+                    stream,
+                    request,
+                    (first_at, begun_at + duration, interval),
+                    latencies.clone(),
+                ))
             });
-            for one in each.collect::<Vec<_>>() {
-                one.await.ok();
+            for task in per_item.collect::<Vec<_>>() {
+                task.await.ok();
             }
-            Some(times.borrow().clone())
+            Some(latencies.borrow().clone())
         });
-        tell.send(times).ok();
+        latencies_sender.send(latencies).ok();
     });
-    let times = told.await.ok().flatten().ok_or("players could not connect")?;
-    let ms = |part| times.value_at_quantile(part) as f64 / 1000.0;
-    Ok((ms(0.5), ms(0.99), times.len()))
+    let latencies =
+        latencies_receiver.await.ok().flatten().ok_or("players could not connect to the manager")?;
+    let quantile_ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1000.0;
+    Ok((quantile_ms(0.5), quantile_ms(0.99), latencies.len()))
 }
 
+/// Measures latency and processor share of manifest requests at growing request rates.
 pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
-    let at = doubling(sizes.rate, 4);
-    let each = |figure, unit| Series::new(figure, unit, Kind::Each, &at);
-    let mut middle = each("time to the answer, middle, with so many asked for a second", "ms");
-    let mut high = each("time to the answer, 99th percentile", "ms");
-    let mut part = each("part of a core that the manager takes", "cores");
-    let mut asked = each("manifests that were asked for a second", "a second");
-    let script = process::script(SERVERS)?;
+    let rates = doubling(sizes.rate, 4);
+    let per_item = |figure, unit| Series::new(figure, unit, FigureKind::PerItem, &rates);
+    let mut median = per_item("time to the answer, middle, with so many asked for a second", "ms");
+    let mut p99_latency = per_item("time to the answer, 99th percentile", "ms");
+    let mut cpu_share = per_item("part of a core that the manager takes", "cores");
+    let mut request_rate = per_item("manifests that were asked for a second", "a second");
+    let script = process::script(SERVER_COUNT)?;
     let players = Players::new(&script)?;
     for run in 0..sizes.runs {
-        process::room()?;
-        let (folder, standins) = (Folder::new(&format!("a{run}"))?, process::standins(&script)?);
-        let (manager, id) = process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
-        let viewings = VIEWINGS.min(sizes.most).max(1);
-        let came = process::ask(players.come(manager.address, viewings, "clip")?).await;
-        if came.failed > 0 {
-            return Err(format!("{} of {viewings} viewings got no manifest", came.failed));
+        process::check_free_memory()?;
+        let (folder, standins) = (TempDir::new(&format!("a{run}"))?, process::standins(&script)?);
+        let (manager, process_id) =
+            process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
+        let viewing_count = VIEWING_COUNT.min(sizes.most).max(1);
+        let results =
+            process::request_manifests(players.sign_manifest_urls(manager.address, viewing_count, "clip")?)
+                .await;
+        if results.failed > 0 {
+            return Err(format!("{} of {viewing_count} viewings got no manifest", results.failed));
         }
         let mut rows = [(); 4].map(|()| vec![]);
-        let span = sizes.settle * 3;
-        for rate in &at {
-            let before = process::ran_us(id);
-            let (p50, p99, count) = play(manager.address, &came.again, *rate, span).await?;
-            let used = process::ran_us(id) - before;
-            rows[0].push(p50);
-            rows[1].push(p99);
-            rows[2].push(used / 1e6 / span.as_secs_f64());
-            rows[3].push(count as f64 / span.as_secs_f64());
+        let duration = sizes.settle * 3;
+        for rate in &rates {
+            let cpu_before_us = process::live_threads_cpu_us(process_id);
+            let (p50_ms, p99_ms, count) =
+                run_load(manager.address, &results.next_urls, *rate, duration).await?;
+            let cpu_used_us = process::live_threads_cpu_us(process_id) - cpu_before_us;
+            rows[0].push(p50_ms);
+            rows[1].push(p99_ms);
+            rows[2].push(cpu_used_us / 1e6 / duration.as_secs_f64());
+            rows[3].push(count as f64 / duration.as_secs_f64());
         }
-        for (series, row) in [&mut middle, &mut high, &mut part, &mut asked].into_iter().zip(rows) {
+        for (series, row) in
+            [&mut median, &mut p99_latency, &mut cpu_share, &mut request_rate].into_iter().zip(rows)
+        {
             series.runs.push(row);
         }
         manager.end().await;
     }
-    Ok(vec![middle, high, part, asked])
+    Ok(vec![median, p99_latency, cpu_share, request_rate])
 }
--- a/crates/lab/src/slopes/connection.rs
+++ b/crates/lab/src/slopes/connection.rs
@@ -1,7 +1,7 @@
-//! A player's connection on which one request was answered, and which then stands idle.
+//! Measures idle player connections, each after one answered request.
 
-use super::process::{self, Folder};
-use super::{Kind, Series, Sizes, doubling, within_descriptors};
+use super::process::{self, TempDir};
+use super::{FigureKind, Series, Sizes, doubling, within_descriptors};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -10,86 +10,98 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// So many are opened at once, so that the listener's queue never overflows.
-const AT_ONCE: usize = 100;
-/// The largest burst of players.
-const BURST: usize = 4000;
-const ANSWERED: Duration = Duration::from_secs(10);
-/// Connections settle before the manager's memory is read.
-const REST: Duration = Duration::from_millis(300);
+/// Connections opened at once; few enough that the listener's queue never overflows.
+const CONCURRENT_CONNECTS: usize = 100;
+/// Largest burst of players.
+const MAX_BURST: usize = 4000;
+/// A connection without an answer after this time counts as failed.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Connections settle for this long before the manager's memory is read.
+const SETTLE_FOR: Duration = Duration::from_millis(300);
 
-/// Opens a connection, asks for a page that isn't there, and reads the answer.
-async fn open(at: SocketAddr) -> Option<TcpStream> {
-    let opened = async {
-        let mut stream = TcpStream::connect(at).await.ok()?;
+/// Opens a connection, requests a page that does not exist, and reads the answer.
+async fn open_connection(manager_address: SocketAddr) -> Option<TcpStream> {
+    let answered_stream = async {
+        let mut stream = TcpStream::connect(manager_address).await.ok()?;
         stream.write_all(b"GET / HTTP/1.1\r\nhost: manager\r\n\r\n").await.ok()?;
-        let (mut had, mut bytes) = (vec![], [0; 512]);
-        while !had.windows(12).any(|part| part == b"no such page") {
-            let count = stream.read(&mut bytes).await.ok().filter(|count| *count > 0)?;
-            had.extend_from_slice(&bytes[..count]);
+        let (mut received, mut buffer) = (vec![], [0; 512]);
+        while !received.windows(12).any(|window| window == b"no such page") {
+            let count = stream.read(&mut buffer).await.ok().filter(|count| *count > 0)?;
+            received.extend_from_slice(&buffer[..count]);
         }
         Some(stream)
     };
-    timeout(ANSWERED, opened).await.ok()?
+    timeout(ANSWER_TIMEOUT, answered_stream).await.ok()?
 }
 
+/// Measures memory, descriptors and processor time at growing numbers of connections, and bursts of
+/// them.
 pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
-    let mut at: Vec<_> = vec![0];
-    at.extend(doubling(within_descriptors(sizes.most), 4));
-    let mut memory = Series::new("memory of a manager with so many idle connections", "kB", Kind::Whole, &at);
-    let mut files = Series::new("descriptors of a manager", "descriptors", Kind::Whole, &at);
-    let mut opened = Series::new(
+    let mut sizes_measured: Vec<_> = vec![0];
+    sizes_measured.extend(doubling(within_descriptors(sizes.most), 4));
+    let mut memory = Series::new(
+        "memory of a manager with so many idle connections",
+        "kB",
+        FigureKind::Total,
+        &sizes_measured,
+    );
+    let mut descriptors_held =
+        Series::new("descriptors of a manager", "descriptors", FigureKind::Total, &sizes_measured);
+    let mut connect_cpu = Series::new(
         "processor time to take a connection and answer 404, among so many",
         "us",
-        Kind::Each,
-        &at[1..],
+        FigureKind::PerItem,
+        &sizes_measured[1..],
     );
-    let bursts = doubling(sizes.most.min(BURST), 4);
-    let burst = "time until the last of so many that come in the same moment is answered";
-    let mut burst = Series::new(burst, "ms", Kind::Each, &bursts);
+    let burst_sizes = doubling(sizes.most.min(MAX_BURST), 4);
+    let burst_label = "time until the last of so many that come in the same moment is answered";
+    let mut burst_time = Series::new(burst_label, "ms", FigureKind::PerItem, &burst_sizes);
     let script = process::script(4)?;
     for run in 0..sizes.runs {
-        process::room()?;
-        let (folder, standins) = (Folder::new(&format!("c{run}"))?, process::standins(&script)?);
-        let (manager, id) = process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
-        let (mut open_now, mut rows) = (vec![], [vec![], vec![], vec![]]);
-        for size in &at {
-            let (before, already) = (process::ran_us(id), open_now.len());
-            while open_now.len() < *size {
-                let count = AT_ONCE.min(size - open_now.len());
-                let opens: Vec<_> = (0..count).map(|_| spawn_local(open(manager.address))).collect();
+        process::check_free_memory()?;
+        let (folder, standins) = (TempDir::new(&format!("c{run}"))?, process::standins(&script)?);
+        let (manager, process_id) =
+            process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
+        let (mut open_streams, mut rows) = (vec![], [vec![], vec![], vec![]]);
+        for size in &sizes_measured {
+            let (cpu_before_us, open_before) = (process::live_threads_cpu_us(process_id), open_streams.len());
+            while open_streams.len() < *size {
+                let count = CONCURRENT_CONNECTS.min(size - open_streams.len());
+                let opens: Vec<_> =
+                    (0..count).map(|_| spawn_local(open_connection(manager.address))).collect();
                 for stream in opens {
                     let stream = stream.await.ok().flatten();
-                    open_now.push(stream.ok_or_else(|| {
-                        format!("connection {} of {size} was not answered", open_now.len() + 1)
+                    open_streams.push(stream.ok_or_else(|| {
+                        format!("connection {} of {size} was not answered in time", open_streams.len() + 1)
                     })?);
                 }
             }
-            let used = process::ran_us(id) - before;
-            sleep(REST).await;
-            rows[0].push(process::memory_kb(&id.to_string()));
-            rows[1].push(process::descriptors(id));
+            let cpu_used_us = process::live_threads_cpu_us(process_id) - cpu_before_us;
+            sleep(SETTLE_FOR).await;
+            rows[0].push(process::memory_kb(&process_id.to_string()));
+            rows[1].push(process::descriptors(process_id));
             if *size > 0 {
-                rows[2].push(used / (size - already) as f64);
+                rows[2].push(cpu_used_us / (size - open_before) as f64);
             }
         }
-        let [a, b, c] = rows;
-        memory.runs.push(a);
-        files.runs.push(b);
-        opened.runs.push(c);
-        drop(open_now);
-        burst.runs.push(vec![]);
-        for size in &bursts {
-            sleep(REST).await;
-            let begun = Instant::now();
-            let all: Vec<_> = (0..*size).map(|_| spawn_local(open(manager.address))).collect();
-            for one in all {
-                one.await.ok().flatten().ok_or("one of a burst was not answered")?;
+        let [memory_row, descriptors_row, connect_row] = rows;
+        memory.runs.push(memory_row);
+        descriptors_held.runs.push(descriptors_row);
+        connect_cpu.runs.push(connect_row);
+        drop(open_streams);
+        burst_time.runs.push(vec![]);
+        for size in &burst_sizes {
+            sleep(SETTLE_FOR).await;
+            let begun_at = Instant::now();
+            let opens_started: Vec<_> =
+                (0..*size).map(|_| spawn_local(open_connection(manager.address))).collect();
+            for task in opens_started {
+                task.await.ok().flatten().ok_or("a connection of a burst was not answered in time")?;
             }
-            let took = begun.elapsed().as_secs_f64() * 1000.0;
-            burst.runs.last_mut().into_iter().for_each(|run| run.push(took));
+            let elapsed_ms = begun_at.elapsed().as_secs_f64() * 1000.0;
+            burst_time.runs.last_mut().into_iter().for_each(|run| run.push(elapsed_ms));
         }
         manager.end().await;
     }
-    Ok(vec![memory, files, opened, burst])
+    Ok(vec![memory, descriptors_held, connect_cpu, burst_time])
 }
