--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -83,7 +83,9 @@
 /// a manifest, and the total time.
 async fn run_load(urls: Vec<String>, connections: usize) -> (Histogram<u64>, usize, Duration) {
     let urls = Rc::new(RefCell::new(urls));
-    let latencies = Rc::new(RefCell::new(Histogram::<u64>::new(3).expect("three figures are few enough")));
+    let latencies = Rc::new(RefCell::new(
+        Histogram::<u64>::new(3).expect("three significant figures are within the histogram's range"),
+    ));
     let failed = Rc::new(Cell::new(0));
     let begun_at = Instant::now();
     let tasks: Vec<_> = (0..connections)
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -103,7 +103,7 @@
 /// Checks that the machine has memory for this many managers.
 ///
 /// # Errors
-/// Returns a message that says what to request instead.
+/// Returns an error that names the sizes to request instead.
 pub fn check_memory_for(managers: usize, (total_kb, available_kb): (u64, u64)) -> Result<(), String> {
     let process_limit = (total_kb / 2).min(available_kb) / PROCESS_MEMORY_KB;
     if managers > MAX_PROCESS_COUNT {
@@ -150,11 +150,11 @@
     F: Future<Output = Result<T, String>> + 'static,
 {
     let (permits, mut set) = (Rc::new(Semaphore::new(CONCURRENT_TASK_COUNT)), JoinSet::new());
-    for (i, one) in all.enumerate() {
+    for (i, task) in all.enumerate() {
         let permits = permits.clone();
         set.spawn_local(async move {
             let _permit = permits.acquire().await;
-            (i, one.await)
+            (i, task.await)
         });
     }
     let mut done = vec![];
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -113,7 +113,7 @@
 
 /// A connection from one member to another.
 struct Connection {
-    /// Tells events of this connection from those of an earlier one between the same members.
+    /// Separates events of this connection from those of an earlier one between the same members.
     connection_id: u64,
     state: ConnectionState,
     queue: VecDeque<Frame>,
@@ -435,7 +435,7 @@
                 }
                 let Some((now, core)) = self.running_core(to, generation) else { return };
                 core.on_frame(now, Member(from as u16), &frame);
-                // A member that was just heard from is tried at once.
+                // A frame from the other member ends the retry delay at once.
                 let connection = self.members[to].connections.get(&from);
                 if let Some(connection_id) = connection
                     .filter(|connection| connection.state == ConnectionState::Pausing)
@@ -688,7 +688,7 @@
         self.on_failure(from, to);
     }
 
-    /// Drops queued frames, schedules a retry and tells the core that the other is unreachable.
+    /// Drops queued frames, schedules a retry and reports to the core that the other is unreachable.
     fn on_failure(&mut self, from: usize, to: usize) {
         let now = self.now;
         let Some(connection) = self.members[from].connections.get_mut(&to) else { return };
--- a/crates/lab/src/slopes/answer.rs
+++ b/crates/lab/src/slopes/answer.rs
@@ -71,8 +71,9 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else { return };
         let latencies = LocalSet::new().block_on(&runtime, async {
-            let latencies =
-                Rc::new(RefCell::new(Histogram::<u64>::new(3).expect("three figures are few enough")));
+            let latencies = Rc::new(RefCell::new(
+                Histogram::<u64>::new(3).expect("three significant figures are within the histogram's range"),
+            ));
             let interval = Duration::from_secs_f64(requests.len() as f64 / rate as f64);
             // Connects one after another, so that a burst at the listener's queue does not count here.
             let mut streams = vec![];
--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -5,7 +5,7 @@
 pub enum FigureKind {
     /// A total over all items, including what exists without any: its slope is the cost of one more.
     Total,
-    /// A cost of one item among many: its exponent says whether it grows with their number.
+    /// The cost of one item among many: its exponent shows whether it grows with their number.
     PerItem,
 }
 
@@ -66,7 +66,7 @@
     }
 
     /// Returns the log-log points of one run, from which the exponent comes. For a total it takes what
-    /// lies above the value at the first size, which stands for none.
+    /// lies above the value at the first size, which counts as none.
     fn log_points(&self, run: &[f64]) -> Vec<(f64, f64)> {
         let points = self.sizes.iter().copied().zip(run.iter().copied());
         let (base_size, base_value) = match self.kind {
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -187,7 +187,7 @@
     Ok((manager, process_id))
 }
 
-/// Stand-in players: each signs up once and keeps its viewing.
+/// Stand-in players: each starts one viewing and keeps it.
 pub struct Players {
     keys: Keys,
     titles: Vec<String>,
