--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,5 +1,7 @@
-//! Plain random choice among the holders that the list has as ready, at a rung that never changes: what the module is
-//! compared with, behind the same core. It keeps the rules on what is paid and on the ration, and nothing else.
+//! The random baseline with which the decision module is compared, behind the same session core.
+//!
+//! It chooses at random among the holders that the list has as ready, at a rung that never changes. It
+//! follows the rules on paid viewings and on the retry budget, and no others.
 
 use ivyward::interface::*;
 use ivyward_session::Policy;
@@ -9,114 +11,130 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The timer of a viewing's patience is its id.
+/// A viewing that the policy places. Its id is also the token of the timer for its patience.
 struct Viewing {
     package: usize,
     cells: Cells,
     rung: usize,
-    ends: Duration,
+    deadline: Duration,
     tune_ins: u16,
-    /// Nothing is out.
+    /// Whether no tune-in is in progress.
     idle: bool,
     answered: bool,
 }
 
-pub struct Random {
-    chance: Pcg64Mcg,
-    places: u32,
-    /// By package: paid at set-up, floor, top.
+/// A policy that chooses servers at random.
+pub struct RandomPolicy {
+    rng: Pcg64Mcg,
+    cell_count: u32,
+    /// For each package: whether it is paid for at set-up, its floor and its top rung.
     packages: Vec<(bool, usize, usize)>,
-    tune_ins: u16,
-    limit: Duration,
-    ration: Option<(Duration, f64, f64)>,
-    taken: VecDeque<Duration>,
-    further: VecDeque<Duration>,
+    max_tune_ins: u16,
+    timeout: Duration,
+    retry_budget: Option<(Duration, f64, f64)>,
+    request_times: VecDeque<Duration>,
+    further_tune_in_times: VecDeque<Duration>,
     servers: BTreeMap<ServerId, ServerEntry>,
     viewings: BTreeMap<ViewingId, Viewing>,
     now: Duration,
 }
 
-impl Random {
-    /// `packages`: paid at set-up, floor and top of each; `limit`: of a tune-in that has another after it.
+impl RandomPolicy {
+    /// Creates the policy.
+    ///
+    /// `packages` has for each package whether it is paid for at set-up, its floor and its top rung.
+    /// `timeout` applies to every tune-in that may be followed by another one.
     pub fn new(
-        seed: u64, places: u32, packages: Vec<(bool, usize, usize)>, (tune_ins, limit): (u16, Duration),
-        ration: Option<(Duration, f64, f64)>,
-    ) -> Random {
-        Random {
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            places,
+        seed: u64, cell_count: u32, packages: Vec<(bool, usize, usize)>,
+        (max_tune_ins, timeout): (u16, Duration), retry_budget: Option<(Duration, f64, f64)>,
+    ) -> RandomPolicy {
+        RandomPolicy {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            cell_count,
             packages,
-            tune_ins,
-            limit,
-            ration,
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
+            max_tune_ins,
+            timeout,
+            retry_budget,
+            request_times: VecDeque::new(),
+            further_tune_in_times: VecDeque::new(),
             servers: BTreeMap::new(),
             viewings: BTreeMap::new(),
             now: Duration::ZERO,
         }
     }
 
-    fn rationed(&mut self) -> bool {
-        let Some((span, free, share)) = self.ration else { return false };
-        self.taken.retain(|at| *at + span > self.now);
-        self.further.retain(|at| *at + span >= self.now);
-        self.further.len() as f64 + 1.0 > free + share * self.taken.len() as f64
+    /// Whether the retry budget forbids a further tune-in now.
+    fn is_over_budget(&mut self) -> bool {
+        let Some((span, free, share)) = self.retry_budget else { return false };
+        self.request_times.retain(|requested_at| *requested_at + span > self.now);
+        self.further_tune_in_times.retain(|tune_in_at| *tune_in_at + span >= self.now);
+        self.further_tune_in_times.len() as f64 + 1.0 > free + share * self.request_times.len() as f64
     }
 
+    /// Tunes a viewing in at a random holder, or refuses it if that is not possible.
     fn tune_in(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
-        let rationed = self.viewings.get(&viewing_id).is_some_and(|v| v.tune_ins > 0) && self.rationed();
-        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
-        let holds =
-            |cell: u32| (cell + self.places - v.cells.first % self.places) % self.places < v.cells.spread;
-        let ready = |s: &&ServerEntry| s.state == ServerState::Ready && holds(s.cell % self.places);
-        let holders: Vec<_> = self.servers.values().filter(ready).map(|s| s.server).collect();
-        let left = v.ends.saturating_sub(self.now);
-        if holders.is_empty() || rationed || v.tune_ins >= self.tune_ins || left.is_zero() {
+        let is_over_budget = self.viewings.get(&viewing_id).is_some_and(|viewing| viewing.tune_ins > 0)
+            && self.is_over_budget();
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
+        let is_holder = |cell: u32| {
+            (cell + self.cell_count - viewing.cells.first % self.cell_count) % self.cell_count
+                < viewing.cells.spread
+        };
+        let is_ready_holder = |entry: &&ServerEntry| {
+            entry.state == ServerState::Ready && is_holder(entry.cell % self.cell_count)
+        };
+        let holders: Vec<_> =
+            self.servers.values().filter(is_ready_holder).map(|entry| entry.server).collect();
+        let time_left = viewing.deadline.saturating_sub(self.now);
+        if holders.is_empty()
+            || is_over_budget
+            || viewing.tune_ins >= self.max_tune_ins
+            || time_left.is_zero()
+        {
             self.viewings.remove(&viewing_id);
             return act.block(viewing_id, None, RefusalReason::TuneInsUsedUp);
         }
-        let server = holders[self.chance.random_range(0..holders.len())];
-        if v.tune_ins > 0 {
-            self.further.push_back(self.now);
+        let server = holders[self.rng.random_range(0..holders.len())];
+        if viewing.tune_ins > 0 {
+            self.further_tune_in_times.push_back(self.now);
         }
-        v.tune_ins += 1;
-        v.idle = false;
-        let last = self.packages[v.package].0 || v.tune_ins == self.tune_ins;
-        act.set_rung(viewing_id, v.rung);
-        act.tune_in(viewing_id, server, if last { left } else { self.limit.min(left) });
+        viewing.tune_ins += 1;
+        viewing.idle = false;
+        let is_last = self.packages[viewing.package].0 || viewing.tune_ins == self.max_tune_ins;
+        act.set_rung(viewing_id, viewing.rung);
+        act.tune_in(viewing_id, server, if is_last { time_left } else { self.timeout.min(time_left) });
     }
 }
 
-impl Policy for Random {
+impl Policy for RandomPolicy {
     fn start(&mut self, _: &mut dyn Actions, _: Duration) {}
 
     fn on_server_list(&mut self, _: Duration, list: &[ServerEntry], scope: ListScope) {
         if scope != ListScope::Changes {
             self.servers.clear();
         }
-        self.servers.extend(list.iter().map(|list_entry| (list_entry.server, *list_entry)));
+        self.servers.extend(list.iter().map(|entry| (entry.server, *entry)));
     }
 
     fn on_request(
         &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
-        _: TitleId, cells: Cells, top: usize, ends: Duration,
+        _: TitleId, cells: Cells, top: usize, deadline: Duration,
     ) {
         self.now = now;
-        self.taken.push_back(now);
-        let (_, floor, most) = self.packages[package.0];
-        // The middle of what it may play.
-        let rung = (floor + top.min(most).max(floor)) / 2;
+        self.request_times.push_back(now);
+        let (_, floor, package_top) = self.packages[package.0];
+        // The middle of the rungs that the viewing may play.
+        let rung = (floor + top.min(package_top).max(floor)) / 2;
         let viewing =
-            Viewing { package: package.0, cells, rung, ends, tune_ins: 0, idle: true, answered: false };
+            Viewing { package: package.0, cells, rung, deadline, tune_ins: 0, idle: true, answered: false };
         self.viewings.insert(viewing_id, viewing);
-        act.set_timer(ends.saturating_sub(now), u64::from(viewing_id.0));
+        act.set_timer(deadline.saturating_sub(now), u64::from(viewing_id.0));
         self.tune_in(act, viewing_id);
     }
 
     fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, _: ServerId) {
         self.now = now;
-        self.viewings.entry(viewing_id).and_modify(|v| v.answered = true);
+        self.viewings.entry(viewing_id).and_modify(|viewing| viewing.answered = true);
     }
 
     fn restore_viewing(
@@ -125,8 +143,9 @@
     ) {
         self.now = now;
         let (package, cells) = (package.0, Cells { first: 0, spread: 0 });
-        let (ends, tune_ins, idle, answered) = (now, 1, false, true);
-        self.viewings.insert(viewing_id, Viewing { package, cells, rung, ends, tune_ins, idle, answered });
+        let (deadline, tune_ins, idle, answered) = (now, 1, false, true);
+        self.viewings
+            .insert(viewing_id, Viewing { package, cells, rung, deadline, tune_ins, idle, answered });
     }
 
     fn on_tune_in_ended(
@@ -134,11 +153,11 @@
         outcome: TuneInOutcome, terminal: bool, _: LoadReport,
     ) {
         self.now = now;
-        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
-        v.idle = true;
-        if terminal || v.answered {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
+        viewing.idle = true;
+        if terminal || viewing.answered {
             self.viewings.remove(&viewing_id);
-        } else if self.packages[v.package].0 && !outcome.never_ran() {
+        } else if self.packages[viewing.package].0 && !outcome.never_ran() {
             self.viewings.remove(&viewing_id);
             act.abort(viewing_id, RefusalReason::MayHaveRun);
         } else {
@@ -147,12 +166,12 @@
     }
 
     fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
-        let Some(v) = self.viewings.get_mut(&viewing_id) else { return };
-        v.answered = true;
-        if v.idle {
+        let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
+        viewing.answered = true;
+        if viewing.idle {
             self.viewings.remove(&viewing_id);
         } else {
-            act.cancel_tune_in(viewing_id, v.tune_ins - 1);
+            act.cancel_tune_in(viewing_id, viewing.tune_ins - 1);
         }
     }
 
@@ -165,13 +184,14 @@
     fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.now = now;
         let viewing_id = ViewingId(token as u32);
-        let Some(v) = self.viewings.get(&viewing_id).filter(|v| !v.answered) else { return };
-        let (paid, n, idle) = (self.packages[v.package].0, v.tune_ins, v.idle);
+        let Some(viewing) = self.viewings.get(&viewing_id).filter(|v| !v.answered) else { return };
+        let (is_paid, tune_in_count, is_idle) =
+            (self.packages[viewing.package].0, viewing.tune_ins, viewing.idle);
         self.viewings.remove(&viewing_id);
-        if !idle {
-            act.cancel_tune_in(viewing_id, n - 1);
+        if !is_idle {
+            act.cancel_tune_in(viewing_id, tune_in_count - 1);
         }
-        if paid && n > 0 {
+        if is_paid && tune_in_count > 0 {
             act.abort(viewing_id, RefusalReason::PatienceOver)
         } else {
             act.block(viewing_id, None, RefusalReason::PatienceOver)
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,9 +1,11 @@
-//! One day: stand-ins and troubles in one thread, viewers in another, each manager a process of its own.
+//! Plays one day and judges it.
+//!
+//! Stand-in servers and troubles run in one thread, viewers in another, and each manager is a process.
 
-use crate::baseline::Random;
+use crate::baseline::RandomPolicy;
 use crate::managers::{Manager, Speaking};
-use crate::verdict::{Held, Verdict, judge};
-use crate::viewers::Seen;
+use crate::verdict::{ResourceSample, Verdict, judge};
+use crate::viewers::Observations;
 use crate::{trouble, viewers};
 use ivyward_daemon::setup;
 use ivyward_fleet::Cold;
@@ -21,13 +23,13 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::task::AbortOnDropHandle;
 
-/// After the last viewer, what still has to end gets this long.
-const REST: Duration = Duration::from_millis(300);
+/// How long streams and connections get to end after the last viewer.
+const SETTLE_DURATION: Duration = Duration::from_millis(300);
 
-/// Reads a script.
+/// Reads a day's script and checks it.
 ///
 /// # Errors
-/// All faults found.
+/// All faults found in the script.
 pub fn read(text: &str) -> Result<Section, Vec<Fault>> {
     let script = ivyward_settings::read("Day", text)?;
     let settings = script.section("settings");
@@ -35,10 +37,13 @@
     let mut faults: Vec<_> = setup::faults(&settings).into_iter().filter(without_list).collect();
     let packages = settings.sections("package").len();
     let viewers = script.section("viewers");
-    let shares = viewers.numbers("package_share");
-    if !shares.is_empty() && shares.len() != packages {
+    let package_shares = viewers.numbers("package_share");
+    if !package_shares.is_empty() && package_shares.len() != packages {
         faults.push(
-            viewers.fault("package_share", &format!("has {} shares for {packages} packages", shares.len())),
+            viewers.fault(
+                "package_share",
+                &format!("has {} shares for {packages} packages", package_shares.len()),
+            ),
         );
     }
     if viewers.number("watch_most_s") < viewers.number("watch_least_s") {
@@ -48,22 +53,24 @@
     for trouble in
         script.sections("trouble").iter().filter(|trouble| trouble.enum_name("kind") == "KEY_CHANGE")
     {
-        // Guards against a key that goes while its tokens still live.
-        let least = 3.0 * (tokens.number("life_s") + tokens.number("skew_s"));
-        if trouble.number("len_s") < least {
-            faults
-                .push(trouble.fault("len_s", &format!("is under {least} s: thrice a token's life and skew")));
+        // A key must not be removed while tokens signed by it are still valid.
+        let least_duration = 3.0 * (tokens.number("life_s") + tokens.number("skew_s"));
+        if trouble.number("len_s") < least_duration {
+            faults.push(trouble.fault(
+                "len_s",
+                &format!("is under {least_duration} s, three times the lifetime and clock skew of a token"),
+            ));
         }
         if tokens.sections("key").len() != 2 {
-            faults.push(trouble.fault("kind", "needs two keys in the settings"));
+            faults.push(trouble.fault("kind", "needs exactly two keys in settings.tokens"));
         }
     }
     if !script.boolean("peers") {
-        // Nothing would be cut, and the day be taken for one that was.
+        // Without peers nothing is cut, and the result would be mistaken for that of a day with cuts.
         for trouble in
             script.sections("trouble").iter().filter(|trouble| trouble.enum_name("kind") == "PEERS_CUT")
         {
-            faults.push(trouble.fault("kind", "needs peers"));
+            faults.push(trouble.fault("kind", "needs `peers: true` in the script"));
         }
     }
     let length = script.number("length_s");
@@ -73,10 +80,10 @@
     if faults.is_empty() { Ok(script) } else { Err(faults) }
 }
 
-/// What a script's rules are held to.
-pub fn terms_of(script: &Section) -> Terms {
+/// Returns the terms that the rules use to judge a script's day.
+pub fn rule_terms(script: &Section) -> Terms {
     let settings = script.section("settings");
-    let package = |package: &Section| Package {
+    let package_terms = |package: &Section| Package {
         name: package.text("name"),
         patience: package.duration("patience_s"),
         target: package.duration("join_target_s"),
@@ -85,30 +92,31 @@
         floor: package.count("floor"),
         seats: package.count("seats"),
     };
-    let (ration, fleet) = (settings.section("ration"), script.section("fleet"));
-    let cold = Cold {
+    let (retry_budget, fleet) = (settings.section("ration"), script.section("fleet"));
+    let slow_start = Cold {
         from: fleet.number("cold_from"),
         warm_up: fleet.duration("warm_up_s"),
         multiple: fleet.number("multiple"),
         fall: fleet.duration("fall_s"),
     };
     Terms {
-        packages: settings.sections("package").iter().map(package).collect(),
+        packages: settings.sections("package").iter().map(package_terms).collect(),
         grace: settings.section("network").duration("drain_grace_s"),
-        retry_budget: settings
-            .has("ration")
-            .then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share"))),
+        retry_budget: settings.has("ration").then(|| {
+            (retry_budget.duration("span_s"), retry_budget.number("free"), retry_budget.number("share"))
+        }),
         slack: script.duration("slack_s"),
         time_tolerance: script.duration("grain_s"),
-        slow_start: (cold, fleet.count("places")),
+        slow_start: (slow_start, fleet.count("places")),
     }
 }
 
+/// Builds a single-threaded runtime.
 fn runtime() -> Result<Runtime, String> {
     Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())
 }
 
-/// A folder for the managers' files, gone with the day.
+/// A directory for the managers' files; dropping it deletes the directory.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Drop for Folder {
@@ -117,176 +125,205 @@
     }
 }
 
-/// Plain random choice under a manager's settings.
-pub fn random(settings: &Section) -> Random {
-    let (limits, ration, packages) =
+/// Builds the random baseline policy from a manager's settings.
+pub fn random_policy(settings: &Section) -> RandomPolicy {
+    let (limits, retry_budget, packages) =
         (settings.section("limits"), settings.section("ration"), settings.sections("package"));
-    let top = settings.section("ladder").sections("rung").len() - 1;
-    let package = |p: &Section| (p.boolean("once"), p.count("floor"), p.count("top").min(top));
-    let target = packages.iter().map(|p| p.duration("join_target_s")).min().unwrap_or_default();
-    Random::new(
+    let highest_rung = settings.section("ladder").sections("rung").len() - 1;
+    let package_limits = |package: &Section| {
+        (package.boolean("once"), package.count("floor"), package.count("top").min(highest_rung))
+    };
+    let shortest_join_target =
+        packages.iter().map(|package| package.duration("join_target_s")).min().unwrap_or_default();
+    RandomPolicy::new(
         settings.section("manager").integer("seed"),
         settings.section("network").count("places") as u32,
-        packages.iter().map(package).collect(),
-        // The limit that the module starts from.
-        (limits.count("tune_ins") as u16, target.mul_f64(0.4)),
-        settings
-            .has("ration")
-            .then(|| (ration.duration("span_s"), ration.number("free"), ration.number("share"))),
+        packages.iter().map(package_limits).collect(),
+        // The tune-in timeout that the decision module starts with.
+        (limits.count("tune_ins") as u16, shortest_join_target.mul_f64(0.4)),
+        settings.has("ration").then(|| {
+            (retry_budget.duration("span_s"), retry_budget.number("free"), retry_budget.number("share"))
+        }),
     )
 }
 
-/// Plays a day and judges it. The managers' program, or random choice in the module's place; where logs go, and where what
-/// was seen is written.
+/// Plays a day and judges it.
+///
+/// `program` runs the managers (this program if `None`); `random` replaces the decision module by random
+/// choice. `logs` is the directory of the managers' logs, and `record` the file that receives the history.
 ///
 /// # Errors
-/// It could not be played.
+/// The day could not be played.
 pub fn play(
     script: &Section, seed: Option<u64>, (program, random): (Option<&Path>, bool),
     (logs, record): (Option<&Path>, Option<&Path>),
 ) -> Result<Verdict, String> {
     let seed = seed.unwrap_or_else(|| script.integer("seed"));
-    let own = env::current_exe().map_err(|e| e.to_string())?;
-    let program = program.unwrap_or(&own);
-    let begun = Instant::now();
-    let folder = Folder(env::temp_dir().join(format!("ivyward-day-{}-{seed}", process::id())));
-    for dir in [Some(folder.0.as_path()), logs].into_iter().flatten() {
-        fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
+    let own_program = env::current_exe().map_err(|e| e.to_string())?;
+    let program = program.unwrap_or(&own_program);
+    let started_at = Instant::now();
+    let directory_guard = Folder(env::temp_dir().join(format!("ivyward-day-{}-{seed}", process::id())));
+    for directory in [Some(directory_guard.0.as_path()), logs].into_iter().flatten() {
+        fs::create_dir_all(directory).map_err(|e| format!("{}: {e}", directory.display()))?;
     }
-    let local = LocalSet::new();
-    local.block_on(&runtime()?, async {
+    let local_tasks = LocalSet::new();
+    local_tasks.block_on(&runtime()?, async {
         let (settings, fleet) = (script.section("settings"), script.section("fleet"));
         let mut settings = settings;
         let tokens = settings.section("tokens");
         if script.sections("trouble").iter().any(|trouble| trouble.enum_name("kind") == "KEY_CHANGE") {
-            settings.put("tokens", trouble::tokens_of(&tokens, &[0], 0));
+            settings.put("tokens", trouble::tokens_with_keys(&tokens, &[0], 0));
         }
         let keys = setup::keys(&settings.section("tokens")).map_err(|faults| format!("{faults:?}"))?;
         let model = ivyward_standin::fleet(seed, &fleet, &settings);
-        let cells = settings.section("network").count("places");
-        let about = (fleet.number("vary"), fleet.duration("list_late_s"));
-        let standins = Standins::open(seed, model, cells, (keys, tokens.duration("skew_s")), about, begun)
-            .map_err(|e| format!("stand-ins: {e}"))?;
-        let siblings = script.count("managers");
-        let speaking = match script.boolean("peers") {
-            true => Some(Rc::new(Speaking::open(siblings).await?)),
+        let cell_count = settings.section("network").count("places");
+        let delays = (fleet.number("vary"), fleet.duration("list_late_s"));
+        let standins =
+            Standins::open(seed, model, cell_count, (keys, tokens.duration("skew_s")), delays, started_at)
+                .map_err(|e| format!("opening the stand-in servers: {e}"))?;
+        let manager_count = script.count("managers");
+        let peer_paths = match script.boolean("peers") {
+            true => Some(Rc::new(Speaking::open(manager_count).await?)),
             false => None,
         };
         let mut managers = vec![];
-        for i in 0..siblings {
+        for index in 0..manager_count {
             let list = standins.list_address();
             managers.push(
                 Manager::start(
                     &settings,
-                    (i, siblings),
+                    (index, manager_count),
                     seed,
-                    (list, speaking.as_deref()),
-                    &folder.0,
+                    (list, peer_paths.as_deref()),
+                    &directory_guard.0,
                     (program, random),
                     logs,
-                    begun,
+                    started_at,
                 )
                 .await?,
             );
         }
         let managers = Rc::new(managers);
-        let begin = begun.elapsed() + script.duration("settle_s");
-        let end = begin + script.duration("length_s");
-        let played = trouble::play(
+        let viewers_start = started_at.elapsed() + script.duration("settle_s");
+        let viewers_end = viewers_start + script.duration("length_s");
+        let played_troubles = trouble::play(
             &script.sections("trouble"),
             seed,
             &standins,
-            (&managers, speaking),
+            (&managers, peer_paths),
             &tokens,
-            (begun, begin),
+            (started_at, viewers_start),
         );
-        let held = Rc::new(RefCell::new(vec![]));
-        let watch = AbortOnDropHandle::new(spawn_local(watch(
+        let resource_samples = Rc::new(RefCell::new(vec![]));
+        let sampling = AbortOnDropHandle::new(spawn_local(sample_resources(
             standins.clone(),
             managers.clone(),
-            begun,
-            held.clone(),
+            started_at,
+            resource_samples.clone(),
         )));
-        let seen = crowd(script, seed, &managers, begun, (begin, end)).await?;
-        // A manager that is down must come up again to be ended; other troubles end with the day.
-        let kills = played.iter().filter(|trouble| !trouble.managers.is_empty());
-        let last = kills.map(|trouble| trouble.until).max().unwrap_or_default();
-        sleep_until(begun + last).await;
-        sleep(REST.max(script.duration("rest_s"))).await;
-        drop(watch);
-        let (mut lives, mut all_ended, mut quality) = (vec![], vec![], String::new());
-        let names = standins.manager_names();
+        let observed = run_viewers(script, seed, &managers, started_at, (viewers_start, viewers_end)).await?;
+        // A killed manager must be up again before it can be ended; other troubles end with the day.
+        let kills = played_troubles.iter().filter(|trouble| !trouble.managers.is_empty());
+        let last_restart = kills.map(|trouble| trouble.until).max().unwrap_or_default();
+        sleep_until(started_at + last_restart).await;
+        sleep(SETTLE_DURATION.max(script.duration("rest_s"))).await;
+        drop(sampling);
+        let (mut lifetimes, mut end_reports, mut quality) = (vec![], vec![], String::new());
+        let manager_names = standins.manager_names();
         for manager in managers.iter() {
-            while manager.gaps.borrow().iter().any(|gap| gap.1.is_none())
-                && begun.elapsed() < last + REST * 100
+            while manager.outages.borrow().iter().any(|outage| outage.1.is_none())
+                && started_at.elapsed() < last_restart + SETTLE_DURATION * 100
             {
-                sleep(REST).await;
+                sleep(SETTLE_DURATION).await;
             }
-            let no = names.iter().find(|(_, name)| **name == manager.name).map(|(no, _)| *no);
+            let manager_number =
+                manager_names.iter().find(|(_, name)| **name == manager.name).map(|(number, _)| *number);
             if script.section("viewers").boolean("reports")
                 && let Ok(page) = ivyward_daemon::quality::ask(manager.console, "/quality").await
             {
                 quality.push_str(&ivyward_daemon::quality::table(&page));
             }
-            let ended = manager.end().await;
-            lives.push(ManagerLifetime { manager_number: no, downtimes: manager.gaps.borrow().clone() });
-            all_ended.push(ended);
+            let end_report = manager.end().await;
+            lifetimes.push(ManagerLifetime { manager_number, downtimes: manager.outages.borrow().clone() });
+            end_reports.push(end_report);
         }
         let records = standins.records().take();
         let streams = standins.model(|fleet| fleet.boxes().map(|at| fleet.streams(at)).sum());
-        let (terms, history) =
-            (terms_of(script), History { records, viewer_requests: seen.asked, managers: lives });
+        let (terms, history) = (
+            rule_terms(script),
+            History { records, viewer_requests: observed.viewer_requests, managers: lifetimes },
+        );
         if let Some(file) = record {
             fs::write(file, ivyward_rules::write(&terms, &history))
                 .map_err(|e| format!("{}: {e}", file.display()))?;
         }
-        let mut verdict = judge(&terms, &history, &seen.watched, &all_ended, &played);
+        let mut verdict = judge(&terms, &history, &observed.viewer_records, &end_reports, &played_troubles);
         verdict.quality = quality;
-        verdict.manifests = seen.manifests;
-        verdict.held = held.take();
+        verdict.manifests = observed.manifests;
+        verdict.resource_samples = resource_samples.take();
         if !script.duration("rest_s").is_zero() {
-            let left = |ended: &ivyward_daemon::Ended| {
-                // The module's own look at the rungs is always due.
-                (ended.viewings, ended.timers.saturating_sub(1), ended.connections, ended.places)
+            let leftover_counts = |end_report: &ivyward_daemon::Ended| {
+                // The decision module's own timer for its periodic check of the rungs is always pending.
+                (
+                    end_report.viewings,
+                    end_report.timers.saturating_sub(1),
+                    end_report.connections,
+                    end_report.places,
+                )
             };
-            verdict.left = Some((streams, all_ended.iter().flatten().map(left).collect()));
+            verdict.leftover_counts =
+                Some((streams, end_reports.iter().flatten().map(leftover_counts).collect()));
         }
-        let size = format!("{} managers, {} stand-in servers", siblings, fleet.count("servers"));
-        verdict.title =
-            format!("day {} seed {seed}: {size}, {:.0} s", script.text("name"), script.number("length_s"));
+        let fleet_size = format!("{} managers, {} stand-in servers", manager_count, fleet.count("servers"));
+        verdict.title = format!(
+            "day {} seed {seed}: {fleet_size}, {:.0} s",
+            script.text("name"),
+            script.number("length_s")
+        );
         Ok(verdict)
     })
 }
 
-/// Looks each second at what the managers hold together: open viewings at the servers, memory, open files.
-async fn watch(standins: Standins, managers: Rc<Vec<Manager>>, begun: Instant, held: Rc<RefCell<Vec<Held>>>) {
+/// Samples the resource use of all managers once a second: open streams at the servers, memory, open files.
+async fn sample_resources(
+    standins: Standins, managers: Rc<Vec<Manager>>, started_at: Instant,
+    samples: Rc<RefCell<Vec<ResourceSample>>>,
+) {
     loop {
         sleep(Duration::from_secs(1)).await;
         let streams = standins.model(|fleet| fleet.boxes().map(|at| fleet.streams(at)).sum());
-        let all: Option<Vec<_>> = managers.iter().map(|manager| manager.holds()).collect();
-        if let Some(all) = all {
-            let (kb, files) = all.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-            held.borrow_mut().push(Held { at: begun.elapsed(), streams, kb, files });
+        let usages: Option<Vec<_>> = managers.iter().map(|manager| manager.resource_usage()).collect();
+        if let Some(usages) = usages {
+            let (memory_kb, open_files) =
+                usages.iter().fold((0, 0), |sum, usage| (sum.0 + usage.0, sum.1 + usage.1));
+            samples.borrow_mut().push(ResourceSample {
+                at: started_at.elapsed(),
+                streams,
+                memory_kb,
+                open_files,
+            });
         }
     }
 }
 
-/// The viewers, in a thread of their own: they must not wait for the stand-ins.
-async fn crowd(
-    script: &Section, seed: u64, managers: &[Manager], begun: Instant, span: (Duration, Duration),
-) -> Result<Seen, String> {
+/// Runs the viewers in their own thread, so that the stand-in servers don't delay them.
+async fn run_viewers(
+    script: &Section, seed: u64, managers: &[Manager], started_at: Instant,
+    arrival_span: (Duration, Duration),
+) -> Result<Observations, String> {
     let addresses: Vec<_> = managers.iter().map(|manager| manager.address).collect();
-    // A part knows its text by a pointer that stays in its thread, so the script goes over as text.
+    // A `Section` isn't `Send`, so the script is passed to the thread as text.
     let text = script.to_text();
-    let (tell, told) = oneshot::channel();
+    let (result_sender, result_receiver) = oneshot::channel();
     let thread = thread::spawn(move || {
-        let played = || {
+        let play_viewers = || {
             let script = ivyward_settings::read("Day", &text).map_err(|faults| format!("{faults:?}"))?;
-            LocalSet::new().block_on(&runtime()?, viewers::play(&script, seed, addresses, begun, span))
+            LocalSet::new()
+                .block_on(&runtime()?, viewers::play(&script, seed, addresses, started_at, arrival_span))
         };
-        tell.send(played()).ok();
+        result_sender.send(play_viewers()).ok();
     });
-    let seen = told.await.map_err(|_| "the viewers' thread broke off".to_string())?;
-    thread.join().map_err(|_| "the viewers' thread broke off".to_string())?;
-    seen
+    let observed = result_receiver.await.map_err(|_| "the viewers' thread panicked".to_string())?;
+    thread.join().map_err(|_| "the viewers' thread panicked".to_string())?;
+    observed
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,18 +1,19 @@
-//! Histories in virtual time: several real session cores with the real module over the model of servers, viewers, a late
-//! list and troubles, all drawn by a seed. No sockets, no clock: one seed always gives the same history. What is kept of
-//! it is what viewers, servers and the list service saw; one thing at its edge can be spoilt, to see it rejected.
+//! Seeded histories in virtual time.
+//!
+//! Several real session cores with the real decision module run over a model of servers, viewers, a delayed
+//! server list and troubles. Everything is drawn from a seed. There are no sockets and no real clock, so one
+//! seed always gives the same history. The history records what viewers, servers and the list service
+//! observed. One defect can be injected at the edge of the real code to check that the rules reject it.
 
-use crate::baseline::Random;
-use crate::day::{random, terms_of};
+use crate::baseline::RandomPolicy;
+use crate::day::{random_policy, rule_terms};
 use ivyward::interface::{
     KindId, ListScope, PackageId, ServerEntry, ServerId, ServerState, ServerUpdate, TitleId, ViewingId,
     ZoneId,
 };
 use ivyward_daemon::setup;
 use ivyward_edge::TokenOrigin;
-use ivyward_fleet::{
-    FetchOutcome, Fleet, LoadNote, ManagerNo, ServerNo, SetUpOutcome, StreamEnd as Ends, TuneInKey,
-};
+use ivyward_fleet::{FetchOutcome, Fleet, LoadNote, ManagerNo, ServerNo, SetUpOutcome, StreamEnd, TuneInKey};
 use ivyward_rules::{
     Event, History, ManagerLifetime, ManifestRequest, Record, RequestOutcome, SetUpEnd, Terms,
 };
@@ -27,467 +28,568 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Settings and fleet of all histories: short spans, seats, a floor, a paid package, a ration, and more servers than run at
-/// first: those are started in place of others, under ids of their own.
-const DAY: &str = include_str!("history.txtpb");
-/// Servers that run at first.
-const RUN: usize = 8;
-const MANAGERS: usize = 3;
-const SERVERS_ID: [u8; 3] = [10, 0, 0];
-const TICK: Duration = Duration::from_millis(50);
-/// Viewers come for so long, and all is over after this.
-const LENGTH: Duration = Duration::from_secs(14);
-const OVER: Duration = Duration::from_secs(26);
-/// The clock's first moment: what began before has a time above zero.
-const START: Duration = Duration::from_secs(1000);
-const SEGMENT: Duration = Duration::from_secs(1);
-/// Managers are up and all is warm.
-const BEGIN: Duration = Duration::from_secs(5);
+/// Settings and fleet of all histories.
+///
+/// They have short durations, seats, a floor, a package paid at set-up, a retry budget, and more servers than
+/// run at first. The spare servers start in place of others, under ids of their own.
+const HISTORY_SCRIPT: &str = include_str!("history.txtpb");
+/// Number of servers that run from the beginning.
+const INITIAL_SERVER_COUNT: usize = 8;
+/// Number of managers.
+const MANAGER_COUNT: usize = 3;
+/// First octets of the IPv4 address in a server's id; the fourth is the server's number.
+const SERVER_ID_PREFIX: [u8; 3] = [10, 0, 0];
+/// How often the model of servers expires leases and delivers load updates.
+const MODEL_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long viewers arrive, counted from the end of the warm-up.
+const ARRIVAL_DURATION: Duration = Duration::from_secs(14);
+/// How long the history runs, counted from the end of the warm-up.
+const HISTORY_DURATION: Duration = Duration::from_secs(26);
+/// The virtual time at which a history begins. It is above zero so that earlier times can be expressed.
+const CLOCK_ORIGIN: Duration = Duration::from_secs(1000);
+/// How much video one segment holds.
+const SEGMENT_DURATION: Duration = Duration::from_secs(1);
+/// How long managers and servers warm up before the first viewer arrives.
+const WARM_UP_DURATION: Duration = Duration::from_secs(5);
 
-/// What is spoilt at an edge of the real code.
+/// A defect injected at the edge of the real code, which one of the rules must reject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Spoilt {
-    /// An answer is lost on its way, or comes twice.
+pub enum InjectedDefect {
+    /// One answer is lost on its way to the viewer.
     AnswerLost,
+    /// One viewer gets its answer twice.
     AnswerTwice,
-    /// A paid set-up is written to two servers.
+    /// A set-up that is paid for is sent to two servers.
     PaidTwice,
-    /// The list's ends are told, but don't reach the core.
+    /// The list reports servers as draining or gone, but the core doesn't receive it.
     EndsWithheld,
-    /// Choice at random, without pace, in the module's place.
+    /// Random choice without pacing replaces the decision module.
     Unpaced,
-    /// Set-ups go out under their floor, or with a seat more than there is.
+    /// Set-ups are sent with a rung under the floor of their package.
     UnderFloor,
+    /// Managers are configured with one seat more than a package has.
     SeatTooMany,
-    /// Nobody counts further tune-ins.
+    /// Managers run without a retry budget.
     Unrationed,
 }
 
-pub const SPOILT: [Spoilt; 8] = [
-    Spoilt::AnswerLost,
-    Spoilt::AnswerTwice,
-    Spoilt::PaidTwice,
-    Spoilt::EndsWithheld,
-    Spoilt::Unpaced,
-    Spoilt::UnderFloor,
-    Spoilt::SeatTooMany,
-    Spoilt::Unrationed,
+/// All injected defects.
+pub const INJECTED_DEFECTS: [InjectedDefect; 8] = [
+    InjectedDefect::AnswerLost,
+    InjectedDefect::AnswerTwice,
+    InjectedDefect::PaidTwice,
+    InjectedDefect::EndsWithheld,
+    InjectedDefect::Unpaced,
+    InjectedDefect::UnderFloor,
+    InjectedDefect::SeatTooMany,
+    InjectedDefect::Unrationed,
 ];
 
-/// What a core had done in one turn.
-enum Did {
+/// An effect that a core requested while it handled one event.
+enum RecordedEffect {
     Answer(RequestId, Answer),
     SetUp(SessionId, usize, (ViewingId, TuneIn), ServerNo, usize, (usize, u64)),
-    Drop(ViewingId, TuneIn),
+    CancelSetUp(ViewingId, TuneIn),
     Release(ServerNo, Incarnation, ViewingId, TuneIn),
-    Rung(ServerNo, Incarnation, ViewingId, TuneIn, usize),
+    ChangeRung(ServerNo, Incarnation, ViewingId, TuneIn, usize),
     Probe(ServerNo),
-    Fetched(ServerNo, Incarnation, ViewingId, TuneIn),
-    Wake(Duration, Timer),
+    QueryLastFetch(ServerNo, Incarnation, ViewingId, TuneIn),
+    SetTimer(Duration, Timer),
 }
 
+/// Collects the effects of one event; the harness applies them afterwards.
 #[derive(Default)]
 struct EffectLog {
-    did: Vec<Did>,
-    breaches: Vec<Violation>,
+    recorded: Vec<RecordedEffect>,
+    violations: Vec<Violation>,
 }
 
-fn no(ServerId(id): ServerId) -> ServerNo {
-    ServerNo(usize::from(id[3]))
+/// Returns the number in the model of the server with this id.
+fn to_server_no(ServerId(octets): ServerId) -> ServerNo {
+    ServerNo(usize::from(octets[3]))
 }
 
-fn id(at: ServerNo) -> ServerId {
-    let [a, b, c] = SERVERS_ID;
-    ServerId([a, b, c, at.0 as u8, 0, 80])
+/// Returns the id of the server with this number in the model.
+fn to_server_id(server_no: ServerNo) -> ServerId {
+    let [a, b, c] = SERVER_ID_PREFIX;
+    ServerId([a, b, c, server_no.0 as u8, 0, 80])
 }
 
 impl Effects for EffectLog {
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        self.did.push(Did::Answer(request, answer));
+        self.recorded.push(RecordedEffect::Answer(request, answer));
     }
     fn set_up(
-        &mut self, (session, top): (SessionId, usize), viewing_id: ViewingId, n: TuneIn, server: ServerId,
-        rung: usize, (package, title): (PackageId, TitleId), _: Duration,
+        &mut self, (session, top_rung): (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
+        server: ServerId, rung: usize, (package, title): (PackageId, TitleId), _: Duration,
     ) {
-        self.did.push(Did::SetUp(session, top, (viewing_id, n), no(server), rung, (package.0, title.0)));
+        self.recorded.push(RecordedEffect::SetUp(
+            session,
+            top_rung,
+            (viewing_id, tune_in),
+            to_server_no(server),
+            rung,
+            (package.0, title.0),
+        ));
     }
-    fn cancel_set_up(&mut self, viewing_id: ViewingId, n: TuneIn) {
-        self.did.push(Did::Drop(viewing_id, n));
+    fn cancel_set_up(&mut self, viewing_id: ViewingId, tune_in: TuneIn) {
+        self.recorded.push(RecordedEffect::CancelSetUp(viewing_id, tune_in));
     }
-    fn release(&mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn) {
-        self.did.push(Did::Release(no(server), incarnation, viewing_id, n));
+    fn release(
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+    ) {
+        self.recorded.push(RecordedEffect::Release(to_server_no(server), incarnation, viewing_id, tune_in));
     }
     fn change_rung(
-        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn, rung: usize,
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
+        rung: usize,
     ) {
-        self.did.push(Did::Rung(no(server), incarnation, viewing_id, n, rung));
+        self.recorded.push(RecordedEffect::ChangeRung(
+            to_server_no(server),
+            incarnation,
+            viewing_id,
+            tune_in,
+            rung,
+        ));
     }
     fn probe(&mut self, server: ServerId) {
-        self.did.push(Did::Probe(no(server)));
+        self.recorded.push(RecordedEffect::Probe(to_server_no(server)));
     }
     fn query_last_fetch(
-        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn,
+        &mut self, server: ServerId, incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn,
     ) {
-        self.did.push(Did::Fetched(no(server), incarnation, viewing_id, n));
+        self.recorded.push(RecordedEffect::QueryLastFetch(
+            to_server_no(server),
+            incarnation,
+            viewing_id,
+            tune_in,
+        ));
     }
     fn set_timer(&mut self, after: Duration, timer: Timer) {
-        self.did.push(Did::Wake(after, timer));
+        self.recorded.push(RecordedEffect::SetTimer(after, timer));
     }
     fn report_violation(&mut self, violation: Violation, _: ViewingId) {
-        self.breaches.push(violation);
+        self.violations.push(violation);
     }
 }
 
-/// One manager: its core while it is up, its start, what it has on disk, and the servers whose notes it follows.
+/// One modelled manager.
 struct Manager {
+    /// The core, while the manager runs.
     core: Option<SessionCore>,
     incarnation: u64,
-    paid: BTreeMap<SessionId, (ServerId, Duration)>,
-    follows: BTreeSet<ServerNo>,
-    gaps: Vec<(Duration, Option<Duration>)>,
+    /// The paid sessions that the manager has on disk, with their server and expiry.
+    paid_sessions: BTreeMap<SessionId, (ServerId, Duration)>,
+    /// The servers whose updates the manager receives.
+    followed_servers: BTreeSet<ServerNo>,
+    /// When the manager was killed, and when it was up again.
+    outages: Vec<(Duration, Option<Duration>)>,
 }
 
-/// What the list says of a server.
+/// The state of a server in the server list.
 #[derive(Clone, Copy)]
-struct Row {
-    standing: ServerState,
+struct ListRow {
+    listed_state: ServerState,
     incarnation: u64,
-    born: Option<Duration>,
+    start_time: Option<Duration>,
     cell: u32,
     weight: f64,
 }
 
-/// A set-up on its way: who sent it, and what it says.
+/// A set-up on its way to a server.
 #[derive(Clone)]
-struct Sent {
+struct SentSetUp {
     key: TuneInKey,
     session: SessionId,
     package: usize,
     title: u64,
     rung: usize,
-    top: usize,
+    /// The highest rung that the viewer may play.
+    top_rung: usize,
 }
 
-/// What a stream is of.
-type About = (SessionId, usize, u64, usize);
+/// Session, package, title and top rung of a stream.
+type StreamInfo = (SessionId, usize, u64, usize);
 
-/// What a viewer wants: session, package, title, until when, and what it watches already.
-type Plan = (SessionId, usize, u64, Duration, Option<(ServerNo, TuneInKey)>);
+/// What a viewer requested: session, package, title, when it stops watching, and the stream that it watches
+/// already.
+type ViewerPlan = (SessionId, usize, u64, Duration, Option<(ServerNo, TuneInKey)>);
 
+/// An action scheduled for a moment of virtual time.
 type Job = Box<dyn FnOnce(&mut Harness)>;
 
+/// The model of viewers, servers, list and network around the real cores of all managers.
 pub struct Harness {
     now: Duration,
+    /// The scheduled jobs, by time and order of scheduling.
     jobs: BTreeMap<(Duration, u64), Job>,
-    order: u64,
-    chance: Pcg64Mcg,
-    spoilt: Option<Spoilt>,
+    next_job_sequence: u64,
+    rng: Pcg64Mcg,
+    defect: Option<InjectedDefect>,
     settings: Section,
     terms: Terms,
     managers: Vec<Manager>,
     fleet: Fleet,
-    rows: Vec<Option<Row>>,
-    /// Jobs that wait for a server which stands still.
-    still: BTreeMap<ServerNo, Vec<Job>>,
-    abouts: BTreeMap<(ServerNo, TuneInKey), About>,
-    /// Set-ups whose connection stands: at which server, and whether it was read there.
-    out: BTreeMap<TuneInKey, (ServerNo, bool)>,
-    list_lost: bool,
+    /// The server list, by server number.
+    list_rows: Vec<Option<ListRow>>,
+    /// Jobs that wait until a frozen server resumes.
+    frozen_server_jobs: BTreeMap<ServerNo, Vec<Job>>,
+    stream_infos: BTreeMap<(ServerNo, TuneInKey), StreamInfo>,
+    /// Set-ups whose connection is open or being opened: the server, and whether it has read the set-up.
+    open_set_ups: BTreeMap<TuneInKey, (ServerNo, bool)>,
+    /// Whether the list currently sends no changes.
+    list_unavailable: bool,
     history: History,
-    breaches: u64,
-    /// What viewers want, by the number of their request.
-    plans: BTreeMap<usize, Plan>,
-    /// What is spoilt only once was.
-    once: bool,
+    violation_count: u64,
+    /// What viewers requested, by the number of the request.
+    plans: BTreeMap<usize, ViewerPlan>,
+    /// Whether a defect that is injected only once has been injected.
+    defect_injected: bool,
 }
 
-/// What a history came to: what was seen, and the assertions that failed in managers, which no rule goes by.
+/// The result of playing a history.
 pub struct Played {
     pub terms: Terms,
     pub history: History,
-    pub breaches: u64,
-    /// What is held when all viewers are gone: streams, viewings, and what waits.
-    pub left: usize,
+    /// Assertions of rules that failed inside managers. The rules themselves don't use this count.
+    pub violation_count: u64,
+    /// Streams, viewings and pending requests that are left after the last viewer has gone.
+    pub leftover_count: usize,
 }
 
-/// Plays the history of a seed.
-pub fn play(seed: u64, spoilt: Option<Spoilt>) -> Played {
-    let day = crate::day::read(DAY).expect("the history's own settings");
+/// Plays the history of a seed, with at most one injected defect.
+pub fn play(seed: u64, defect: Option<InjectedDefect>) -> Played {
+    let day = crate::day::read(HISTORY_SCRIPT).expect("the history's own settings");
     let (settings, fleet) = (day.section("settings"), day.section("fleet"));
-    let terms = terms_of(&day);
+    let terms = rule_terms(&day);
     let mut harness = Harness {
-        now: START,
+        now: CLOCK_ORIGIN,
         jobs: BTreeMap::new(),
-        order: 0,
-        chance: Pcg64Mcg::seed_from_u64(seed),
-        spoilt,
+        next_job_sequence: 0,
+        rng: Pcg64Mcg::seed_from_u64(seed),
+        defect,
         fleet: ivyward_standin::fleet(seed, &fleet, &settings),
         settings,
         terms,
         managers: vec![],
-        rows: vec![],
-        still: BTreeMap::new(),
-        abouts: BTreeMap::new(),
-        out: BTreeMap::new(),
-        list_lost: false,
+        list_rows: vec![],
+        frozen_server_jobs: BTreeMap::new(),
+        stream_infos: BTreeMap::new(),
+        open_set_ups: BTreeMap::new(),
+        list_unavailable: false,
         history: History::default(),
-        breaches: 0,
+        violation_count: 0,
         plans: BTreeMap::new(),
-        once: false,
+        defect_injected: false,
     };
     harness.run();
     let streams: usize = harness.fleet.boxes().map(|at| harness.fleet.streams(at)).sum();
-    let held = harness.managers.iter().filter_map(|m| m.core.as_ref());
-    let left = streams + held.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
-    let lives = harness.managers.iter().enumerate().map(|(i, m)| {
-        let gaps = m.gaps.iter().map(|(from, until)| (*from, *until)).collect();
-        ManagerLifetime { manager_number: Some(ManagerNo(i as u32)), downtimes: gaps }
+    let cores = harness.managers.iter().filter_map(|m| m.core.as_ref());
+    let leftover_count =
+        streams + cores.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
+    let lifetimes = harness.managers.iter().enumerate().map(|(i, m)| {
+        let outages = m.outages.iter().map(|(from, until)| (*from, *until)).collect();
+        ManagerLifetime { manager_number: Some(ManagerNo(i as u32)), downtimes: outages }
     });
-    harness.history.managers = lives.collect();
-    harness.history.viewer_requests.sort_by_key(|ask| ask.requested_at);
-    Played { terms: harness.terms, history: harness.history, breaches: harness.breaches, left }
+    harness.history.managers = lifetimes.collect();
+    harness.history.viewer_requests.sort_by_key(|request| request.requested_at);
+    Played {
+        terms: harness.terms,
+        history: harness.history,
+        violation_count: harness.violation_count,
+        leftover_count,
+    }
 }
 
 impl Harness {
+    /// Runs the whole history: starts the managers, schedules viewers and troubles, and plays all jobs.
     fn run(&mut self) {
-        let cells = self.settings.section("network").count("places");
-        for at in self.fleet.boxes().collect::<Vec<_>>() {
-            let row = Row {
-                standing: ServerState::Ready,
+        let cell_count = self.settings.section("network").count("places");
+        for server_no in self.fleet.boxes().collect::<Vec<_>>() {
+            let row = ListRow {
+                listed_state: ServerState::Ready,
                 incarnation: 1,
-                born: None,
-                cell: (at.0 % cells) as u32,
+                start_time: None,
+                cell: (server_no.0 % cell_count) as u32,
                 weight: 1.0,
             };
-            self.rows.push((at.0 < RUN).then_some(row));
-            if at.0 >= RUN {
-                self.fleet.die(at);
+            self.list_rows.push((server_no.0 < INITIAL_SERVER_COUNT).then_some(row));
+            if server_no.0 >= INITIAL_SERVER_COUNT {
+                self.fleet.die(server_no);
             }
         }
-        let begin = self.now;
-        for i in 0..MANAGERS {
-            let (incarnation, gaps) = (100, vec![]);
-            let (paid, follows) = (BTreeMap::new(), BTreeSet::new());
-            self.managers.push(Manager { core: None, incarnation, paid, follows, gaps });
-            self.start(i);
+        let started_at = self.now;
+        for i in 0..MANAGER_COUNT {
+            let (incarnation, outages) = (100, vec![]);
+            let (paid_sessions, followed_servers) = (BTreeMap::new(), BTreeSet::new());
+            self.managers.push(Manager { core: None, incarnation, paid_sessions, followed_servers, outages });
+            self.start_manager(i);
         }
         self.tick();
-        let mut at = BEGIN;
-        while at < BEGIN + LENGTH {
-            at += Duration::from_millis(self.chance.random_range(1..140));
-            let session = SessionId(self.chance.random());
-            let (package, title) = match self.spoilt {
-                Some(Spoilt::Unpaced) => (0, self.chance.random_range(0..6)),
-                _ => (self.chance.random_range(0..4), self.chance.random_range(0..6)),
+        let mut arrives_at = WARM_UP_DURATION;
+        while arrives_at < WARM_UP_DURATION + ARRIVAL_DURATION {
+            arrives_at += Duration::from_millis(self.rng.random_range(1..140));
+            let session = SessionId(self.rng.random());
+            let (package, title) = match self.defect {
+                Some(InjectedDefect::Unpaced) => (0, self.rng.random_range(0..6)),
+                _ => (self.rng.random_range(0..4), self.rng.random_range(0..6)),
             };
-            let watch = Duration::from_millis(self.chance.random_range(500..6000));
-            let manager = self.chance.random_range(0..MANAGERS);
-            // Some close before their answer, some ask twice at once.
-            let (closes, twice) = (self.chance.random_bool(0.05), self.chance.random_bool(0.05));
-            self.after(at, move |w| {
-                let ends = w.now + watch;
-                let request = w.ask(manager, session, package, title, None, ends);
-                if twice {
-                    w.ask(manager, session, package, title, None, ends);
+            let watch = Duration::from_millis(self.rng.random_range(500..6000));
+            let manager = self.rng.random_range(0..MANAGER_COUNT);
+            // Some viewers close before their answer arrives, some send their request twice at once.
+            let (closes_early, asks_twice) = (self.rng.random_bool(0.05), self.rng.random_bool(0.05));
+            self.schedule_after(arrives_at, move |harness| {
+                let watch_until = harness.now + watch;
+                let request = harness.send_request(manager, session, package, title, None, watch_until);
+                if asks_twice {
+                    harness.send_request(manager, session, package, title, None, watch_until);
                 }
-                if closes {
-                    w.after(Duration::from_millis(30), move |w| w.closes(request));
+                if closes_early {
+                    harness.schedule_after(Duration::from_millis(30), move |harness| {
+                        harness.close_request(request)
+                    });
                 }
             });
         }
-        self.troubles();
-        while let Some(entry) = self.jobs.first_entry().filter(|entry| entry.key().0 <= begin + BEGIN + OVER)
+        self.schedule_troubles();
+        while let Some(entry) = self
+            .jobs
+            .first_entry()
+            .filter(|entry| entry.key().0 <= started_at + WARM_UP_DURATION + HISTORY_DURATION)
         {
-            let ((at, _), job) = entry.remove_entry();
-            self.now = at;
+            let ((due_at, _), job) = entry.remove_entry();
+            self.now = due_at;
             job(self);
         }
-        // Who got nothing until now gets nothing.
+        // Requests without an answer by now stay without one.
         let now = self.now;
-        let waiting =
-            self.history.viewer_requests.iter_mut().filter(|ask| ask.outcome == RequestOutcome::NoAnswer);
-        waiting.for_each(|ask| ask.ended_at = now);
+        let unanswered = self
+            .history
+            .viewer_requests
+            .iter_mut()
+            .filter(|request| request.outcome == RequestOutcome::NoAnswer);
+        unanswered.for_each(|request| request.ended_at = now);
     }
 
-    fn after(&mut self, span: Duration, job: impl FnOnce(&mut Harness) + 'static) {
-        self.order += 1;
-        self.jobs.insert((self.now + span, self.order), Box::new(job));
+    /// Schedules a job to run after `delay`; jobs at the same moment run in the order of scheduling.
+    fn schedule_after(&mut self, delay: Duration, job: impl FnOnce(&mut Harness) + 'static) {
+        self.next_job_sequence += 1;
+        self.jobs.insert((self.now + delay, self.next_job_sequence), Box::new(job));
     }
 
-    /// The way to a server or back.
-    fn way(&mut self) -> Duration {
-        Duration::from_micros(self.chance.random_range(100..4000))
+    /// Draws the network delay of one message between a manager and a server.
+    fn network_delay(&mut self) -> Duration {
+        Duration::from_micros(self.rng.random_range(100..4000))
     }
 
+    /// Adds an event to the history.
     fn record(&mut self, what: Event) {
         self.history.records.push(Record { at: self.now, what });
     }
 
-    /// A turn at a manager's core, if that start of it is still up.
-    fn turn(
+    /// Lets a manager's core handle an event, if that incarnation still runs, and applies the effects.
+    fn with_core(
         &mut self, manager: usize, incarnation: u64,
-        act: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration),
+        handle: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration),
     ) {
         if self.managers[manager].incarnation != incarnation {
             return;
         }
         let (now, mut effects) = (self.now, EffectLog::default());
         let Some(core) = &mut self.managers[manager].core else { return };
-        act(core, &mut effects, now);
-        self.breaches += effects.breaches.len() as u64;
-        for did in effects.did {
-            self.does(manager, incarnation, did);
+        handle(core, &mut effects, now);
+        self.violation_count += effects.violations.len() as u64;
+        for effect in effects.recorded {
+            self.apply_effect(manager, incarnation, effect);
         }
     }
 
-    fn does(&mut self, manager: usize, incarnation: u64, did: Did) {
-        let key = |incarnation: Incarnation, viewing_id: ViewingId, n: TuneIn| TuneInKey {
+    /// Applies an effect that a core requested.
+    fn apply_effect(&mut self, manager: usize, incarnation: u64, effect: RecordedEffect) {
+        let key = |incarnation: Incarnation, viewing_id: ViewingId, tune_in: TuneIn| TuneInKey {
             manager: ManagerNo(manager as u32),
             incarnation: incarnation.0,
             viewing_id: viewing_id.0,
-            n: n.0,
+            n: tune_in.0,
         };
-        let way = self.way();
-        match did {
-            Did::Answer(request, answer) => self.answered(manager, request, answer),
-            Did::SetUp(session, top, (viewing_id, n), server, rung, (package, title)) => {
-                let rung = match self.spoilt {
-                    Some(Spoilt::UnderFloor) => 0,
+        let delay = self.network_delay();
+        match effect {
+            RecordedEffect::Answer(request, answer) => self.on_answer(manager, request, answer),
+            RecordedEffect::SetUp(
+                session,
+                top_rung,
+                (viewing_id, tune_in),
+                server,
+                rung,
+                (package, title),
+            ) => {
+                let rung = match self.defect {
+                    Some(InjectedDefect::UnderFloor) => 0,
                     _ => rung,
                 };
-                let sent = Sent {
-                    key: key(Incarnation(incarnation), viewing_id, n),
+                let sent_set_up = SentSetUp {
+                    key: key(Incarnation(incarnation), viewing_id, tune_in),
                     session,
                     package,
                     title,
                     rung,
-                    top,
+                    top_rung,
                 };
-                self.out.insert(sent.key, (server, false));
-                // Some connections take long, or wait for a place at a server's door.
-                let connects = if self.chance.random_bool(0.1) { way * 150 } else { way };
-                self.after(connects, move |w| w.connected(manager, server, sent));
+                self.open_set_ups.insert(sent_set_up.key, (server, false));
+                // Some connections take long, as with a server whose accept queue is full.
+                let connect_delay = if self.rng.random_bool(0.1) { delay * 150 } else { delay };
+                self.schedule_after(connect_delay, move |harness| {
+                    harness.on_set_up_connected(manager, server, sent_set_up)
+                });
             }
-            Did::Drop(viewing_id, n) => self.closes_set_up(key(Incarnation(incarnation), viewing_id, n)),
-            Did::Release(server, of, viewing_id, n) => {
-                let key = key(of, viewing_id, n);
-                self.after(way, move |w| w.at_server(server, move |w| w.releases(server, key)));
+            RecordedEffect::CancelSetUp(viewing_id, tune_in) => {
+                self.close_set_up(key(Incarnation(incarnation), viewing_id, tune_in))
+            }
+            RecordedEffect::Release(server, owner_incarnation, viewing_id, tune_in) => {
+                let key = key(owner_incarnation, viewing_id, tune_in);
+                self.schedule_after(delay, move |harness| {
+                    harness.run_at_server(server, move |harness| harness.release_stream(server, key))
+                });
             }
-            Did::Rung(server, of, viewing_id, n, rung) => {
-                let key = key(of, viewing_id, n);
-                self.after(way, move |w| {
-                    w.at_server(server, move |w| {
-                        w.record(Event::RungChanged { server, key, rung });
-                        w.fleet.rung(server, key, rung);
+            RecordedEffect::ChangeRung(server, owner_incarnation, viewing_id, tune_in, rung) => {
+                let key = key(owner_incarnation, viewing_id, tune_in);
+                self.schedule_after(delay, move |harness| {
+                    harness.run_at_server(server, move |harness| {
+                        harness.record(Event::RungChanged { server, key, rung });
+                        harness.fleet.rung(server, key, rung);
                     });
                 });
             }
-            Did::Probe(server) => self.after(way, move |w| {
-                let load = (w.fleet.up(server) && !w.fleet.frozen(server)).then(|| w.load(server));
-                let after = if load.is_some() { way } else { Duration::from_millis(250) };
-                w.after(after, move |w| {
-                    w.turn(manager, incarnation, |f, h, now| f.on_probe_result(h, now, id(server), load))
+            RecordedEffect::Probe(server) => self.schedule_after(delay, move |harness| {
+                let load =
+                    (harness.fleet.up(server) && !harness.fleet.frozen(server)).then(|| harness.load(server));
+                let reply_delay = if load.is_some() { delay } else { Duration::from_millis(250) };
+                harness.schedule_after(reply_delay, move |harness| {
+                    harness.with_core(manager, incarnation, |core, effects, now| {
+                        core.on_probe_result(effects, now, to_server_id(server), load)
+                    })
                 });
             }),
-            Did::Fetched(server, of, viewing_id, n) => {
-                let key = key(of, viewing_id, n);
-                self.after(way, move |w| {
-                    let quiet = w.fleet.quiet(w.now, server, key).filter(|_| !w.fleet.frozen(server));
-                    w.turn(manager, incarnation, |f, h, now| {
-                        f.on_last_fetch(h, now, id(server), (of, viewing_id, n), quiet)
+            RecordedEffect::QueryLastFetch(server, owner_incarnation, viewing_id, tune_in) => {
+                let key = key(owner_incarnation, viewing_id, tune_in);
+                self.schedule_after(delay, move |harness| {
+                    let idle_for = harness
+                        .fleet
+                        .quiet(harness.now, server, key)
+                        .filter(|_| !harness.fleet.frozen(server));
+                    harness.with_core(manager, incarnation, |core, effects, now| {
+                        core.on_last_fetch(
+                            effects,
+                            now,
+                            to_server_id(server),
+                            (owner_incarnation, viewing_id, tune_in),
+                            idle_for,
+                        )
                     });
                 });
             }
-            Did::Wake(span, timer) => {
-                self.after(span, move |w| {
-                    w.turn(manager, incarnation, |f, h, now| f.on_timer(h, now, timer))
+            RecordedEffect::SetTimer(timer_delay, timer) => {
+                self.schedule_after(timer_delay, move |harness| {
+                    harness.with_core(manager, incarnation, |core, effects, now| {
+                        core.on_timer(effects, now, timer)
+                    })
                 });
             }
         }
     }
 
-    fn load(&self, at: ServerNo) -> ivyward::interface::LoadReport {
-        let (link, uplink) = (self.fleet.full(self.now, at), self.fleet.full_up(at));
+    /// The load report of a server: how full its link and its uplink are.
+    fn load(&self, server_no: ServerNo) -> ivyward::interface::LoadReport {
+        let (link, uplink) = (self.fleet.full(self.now, server_no), self.fleet.full_up(server_no));
         ivyward::interface::LoadReport { link: Some(link), uplink: Some(uplink) }
     }
 
-    /// Something that reaches a server: one that stands still comes to it when it goes on; a dead one never.
-    fn at_server(&mut self, server: ServerNo, job: impl FnOnce(&mut Harness) + 'static) {
+    /// Runs a job at a server: a frozen server runs it when it resumes, a dead one never.
+    fn run_at_server(&mut self, server: ServerNo, job: impl FnOnce(&mut Harness) + 'static) {
         if self.fleet.frozen(server) {
-            self.still.entry(server).or_default().push(Box::new(job));
+            self.frozen_server_jobs.entry(server).or_default().push(Box::new(job));
         } else if self.fleet.up(server) {
             job(self);
         }
     }
 
-    /// The connection of a set-up stands, or nobody listens.
-    fn connected(&mut self, manager: usize, server: ServerNo, sent: Sent) {
-        let (key, incarnation) = (sent.key, sent.key.incarnation);
-        if !self.out.contains_key(&key) {
+    /// Handles the end of a set-up's connection attempt: the server accepts, or nothing listens there.
+    fn on_set_up_connected(&mut self, manager: usize, server: ServerNo, sent_set_up: SentSetUp) {
+        let (key, incarnation) = (sent_set_up.key, sent_set_up.key.incarnation);
+        if !self.open_set_ups.contains_key(&key) {
             return;
         }
         if !self.fleet.up(server) {
-            return self.happened(manager, key, AttemptResult::NotConnected);
+            return self.report_attempt_result(manager, key, AttemptResult::NotConnected);
         }
         let mut allowed = false;
-        let once = self.terms.packages[sent.package].paid_once;
-        if once {
-            // On disk before it goes out.
+        let is_paid_once = self.terms.packages[sent_set_up.package].paid_once;
+        if is_paid_once {
+            // The payment is on disk before the set-up is sent.
             let until = self.now + Duration::from_secs(600);
-            self.managers[manager].paid.insert(sent.session, (id(server), until));
+            self.managers[manager].paid_sessions.insert(sent_set_up.session, (to_server_id(server), until));
         }
-        let (viewing_id, n) = (ViewingId(key.viewing_id), TuneIn(key.n));
-        self.turn(manager, incarnation, |core, effects, now| {
-            allowed = core.may_send_set_up(effects, now, viewing_id, n)
+        let (viewing_id, tune_in) = (ViewingId(key.viewing_id), TuneIn(key.n));
+        self.with_core(manager, incarnation, |core, effects, now| {
+            allowed = core.may_send_set_up(effects, now, viewing_id, tune_in)
         });
         if !allowed {
-            self.out.remove(&key);
-            if once {
-                self.managers[manager].paid.remove(&sent.session);
+            self.open_set_ups.remove(&key);
+            if is_paid_once {
+                self.managers[manager].paid_sessions.remove(&sent_set_up.session);
             }
             return;
         }
-        if once && self.spoilt == Some(Spoilt::PaidTwice) && !std::mem::replace(&mut self.once, true) {
-            let (other, copy) = (ServerNo((server.0 + 1) % RUN), sent.clone());
-            self.after(Duration::from_millis(20), move |w| w.arrives(manager, other, copy));
+        if is_paid_once
+            && self.defect == Some(InjectedDefect::PaidTwice)
+            && !std::mem::replace(&mut self.defect_injected, true)
+        {
+            let (other, copy) = (ServerNo((server.0 + 1) % INITIAL_SERVER_COUNT), sent_set_up.clone());
+            self.schedule_after(Duration::from_millis(20), move |harness| {
+                harness.deliver_set_up(manager, other, copy)
+            });
         }
-        let way = self.way();
-        self.after(way, move |w| w.arrives(manager, server, sent));
+        let delay = self.network_delay();
+        self.schedule_after(delay, move |harness| harness.deliver_set_up(manager, server, sent_set_up));
     }
 
-    /// A server reads a set-up.
-    fn arrives(&mut self, manager: usize, server: ServerNo, sent: Sent) {
-        let key = sent.key;
+    /// Delivers a set-up to a server, which reads it.
+    fn deliver_set_up(&mut self, manager: usize, server: ServerNo, sent_set_up: SentSetUp) {
+        let key = sent_set_up.key;
         if !self.fleet.up(server) {
-            return self.happened(manager, key, AttemptResult::ConnectionBroken);
+            return self.report_attempt_result(manager, key, AttemptResult::ConnectionBroken);
         }
-        let (session, package, title) = (sent.session.0, sent.package, sent.title.to_string());
-        let rung = sent.rung;
+        let (session, package, title) =
+            (sent_set_up.session.0, sent_set_up.package, sent_set_up.title.to_string());
+        let rung = sent_set_up.rung;
         self.record(Event::SetUp { server, key, session, package, title, rung });
-        match self.out.get_mut(&key) {
-            Some(out) if out.0 == server => out.1 = true,
-            // The connection was closed just before, or this one is not its own.
-            _ => self.over(server, key, SetUpEnd::ManagerClosed),
+        match self.open_set_ups.get_mut(&key) {
+            Some(open_set_up) if open_set_up.0 == server => open_set_up.1 = true,
+            // The connection was closed just before, or the set-up is an injected copy without a connection.
+            _ => self.record_set_up_end(server, key, SetUpEnd::ManagerClosed),
         }
-        self.at_server(server, move |w| w.runs(manager, server, sent));
+        self.run_at_server(server, move |harness| harness.process_set_up(manager, server, sent_set_up));
     }
 
-    /// It gets its turn at the server.
-    fn runs(&mut self, manager: usize, server: ServerNo, sent: Sent) {
-        let (key, now) = (sent.key, self.now);
+    /// Lets the server process a set-up, and schedules its answer.
+    fn process_set_up(&mut self, manager: usize, server: ServerNo, sent_set_up: SentSetUp) {
+        let (key, now) = (sent_set_up.key, self.now);
         let rates: Vec<_> =
             self.settings.section("ladder").sections("rung").iter().map(|r| r.number("rate_kb")).collect();
         let lease = self.settings.section("limits").duration("lease_s");
-        let came = self.fleet.set_up(now, server, key, &rates, sent.rung, lease);
-        if matches!(came, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost | SetUpOutcome::Breaks) {
-            self.abouts.insert((server, key), (sent.session, sent.package, sent.title, sent.top));
+        let outcome = self.fleet.set_up(now, server, key, &rates, sent_set_up.rung, lease);
+        if matches!(outcome, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost | SetUpOutcome::Breaks) {
+            self.stream_infos.insert(
+                (server, key),
+                (sent_set_up.session, sent_set_up.package, sent_set_up.title, sent_set_up.top_rung),
+            );
         }
         if !self.fleet.fallen().is_empty() {
             self.record(Event::ServerOverloaded { server });
-            self.gone(server, &[]);
+            self.on_server_down(server, &[]);
         }
-        let (how, what, span) = match came {
-            SetUpOutcome::Plays(span) => (SetUpEnd::Plays, AttemptResult::Playing, span),
+        let (set_up_end, result, answer_delay) = match outcome {
+            SetUpOutcome::Plays(answer_delay) => (SetUpEnd::Plays, AttemptResult::Playing, answer_delay),
             SetUpOutcome::Full | SetUpOutcome::Draining | SetUpOutcome::Stale => {
                 (SetUpEnd::Refused, AttemptResult::Refused, Duration::ZERO)
             }
@@ -495,98 +597,108 @@
             SetUpOutcome::Breaks => (SetUpEnd::ServerClosed, AttemptResult::ConnectionBroken, Duration::ZERO),
             SetUpOutcome::AnswerLost => return,
         };
-        self.after(span, move |w| {
-            w.at_server(server, move |w| {
-                if w.out.get(&key).is_some_and(|out| out.0 == server) {
-                    w.over(server, key, how);
-                    let way = w.way();
-                    w.after(way, move |w| w.happened(manager, key, what));
+        self.schedule_after(answer_delay, move |harness| {
+            harness.run_at_server(server, move |harness| {
+                if harness.open_set_ups.get(&key).is_some_and(|open_set_up| open_set_up.0 == server) {
+                    harness.record_set_up_end(server, key, set_up_end);
+                    let delay = harness.network_delay();
+                    harness.schedule_after(delay, move |harness| {
+                        harness.report_attempt_result(manager, key, result)
+                    });
                 }
             });
         });
     }
 
-    fn over(&mut self, server: ServerNo, key: TuneInKey, how: SetUpEnd) {
-        self.record(Event::SetUpEnded { server, key, how });
+    /// Records how a set-up ended at a server.
+    fn record_set_up_end(&mut self, server: ServerNo, key: TuneInKey, set_up_end: SetUpEnd) {
+        self.record(Event::SetUpEnded { server, key, how: set_up_end });
     }
 
-    /// The manager hears what became of a set-up.
-    fn happened(&mut self, manager: usize, key: TuneInKey, what: AttemptResult) {
-        let Some((server, _)) = self.out.remove(&key) else { return };
+    /// Reports the result of a set-up to its manager.
+    fn report_attempt_result(&mut self, manager: usize, key: TuneInKey, result: AttemptResult) {
+        let Some((server, _)) = self.open_set_ups.remove(&key) else { return };
         let load = self.load(server);
-        let never_ran = matches!(what, AttemptResult::Refused | AttemptResult::NotWritten);
-        let (viewing_id, n) = (ViewingId(key.viewing_id), TuneIn(key.n));
-        if let Some(about) = self.abouts.get(&(server, key)).filter(|_| never_ran).copied() {
-            self.managers[manager].paid.remove(&about.0);
+        let never_ran = matches!(result, AttemptResult::Refused | AttemptResult::NotWritten);
+        let (viewing_id, tune_in) = (ViewingId(key.viewing_id), TuneIn(key.n));
+        if let Some(stream_info) = self.stream_infos.get(&(server, key)).filter(|_| never_ran).copied() {
+            self.managers[manager].paid_sessions.remove(&stream_info.0);
         }
-        self.turn(manager, key.incarnation, |core, effects, now| {
-            core.on_attempt_result(effects, now, viewing_id, n, what, load)
+        self.with_core(manager, key.incarnation, |core, effects, now| {
+            core.on_attempt_result(effects, now, viewing_id, tune_in, result, load)
         });
     }
 
-    /// The manager closes the connection of a set-up.
-    fn closes_set_up(&mut self, key: TuneInKey) {
-        if let Some((server, true)) = self.out.remove(&key) {
-            self.over(server, key, SetUpEnd::ManagerClosed);
+    /// Closes the connection of a set-up on the side of its manager.
+    fn close_set_up(&mut self, key: TuneInKey) {
+        if let Some((server, true)) = self.open_set_ups.remove(&key) {
+            self.record_set_up_end(server, key, SetUpEnd::ManagerClosed);
         }
     }
 
-    fn releases(&mut self, server: ServerNo, key: TuneInKey) {
+    /// Ends a stream at the request of a manager.
+    fn release_stream(&mut self, server: ServerNo, key: TuneInKey) {
         if self.fleet.release(self.now, server, key, Duration::from_secs(60)) {
-            self.abouts.remove(&(server, key));
-            self.record(Event::StreamEnded { server, key, why: Ends::Released });
+            self.stream_infos.remove(&(server, key));
+            self.record(Event::StreamEnded { server, key, why: StreamEnd::Released });
         }
     }
 
-    /// A viewer asks a manager. `given`: its last token, and what it watched; `ends`: when it has seen enough. The request's number.
-    fn ask(
+    /// Sends a viewer's request to a manager, and returns the number of the request.
+    ///
+    /// `previous` is the viewer's last token and the stream that it watched; it stops watching at
+    /// `watch_until`.
+    fn send_request(
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
-        given: Option<(TokenOrigin, (ServerNo, TuneInKey))>, ends: Duration,
+        previous: Option<(TokenOrigin, (ServerNo, TuneInKey))>, watch_until: Duration,
     ) -> usize {
-        let (at, up) = (self.now, self.managers[manager].core.is_some());
+        let (now, is_up) = (self.now, self.managers[manager].core.is_some());
         let number = self.history.viewer_requests.len();
         self.history.viewer_requests.push(ManifestRequest {
             manager,
             session: session.0,
             package,
-            requested_at: at,
-            ended_at: at,
-            outcome: if up { RequestOutcome::NoAnswer } else { RequestOutcome::ConnectionFailed },
-            starts_viewing: given.is_none(),
-            is_refresh: given.is_some(),
-            was_connected: up,
+            requested_at: now,
+            ended_at: now,
+            outcome: if is_up { RequestOutcome::NoAnswer } else { RequestOutcome::ConnectionFailed },
+            starts_viewing: previous.is_none(),
+            is_refresh: previous.is_some(),
+            was_connected: is_up,
             extra_answers: 0,
         });
-        self.plans.insert(number, (session, package, title, ends, given.map(|given| given.1)));
-        let title_of = &setup::titles(&self.settings)[title as usize];
-        let about = (PackageId(package), TitleId(title), title_of.cells, 3);
-        let origin = given.map_or(TokenOrigin::App { issued: at }, |given| given.0);
-        let (request, valid) = (RequestId(number as u64), at + Duration::from_secs(60));
+        self.plans
+            .insert(number, (session, package, title, watch_until, previous.map(|previous| previous.1)));
+        let title_settings = &setup::titles(&self.settings)[title as usize];
+        let content = (PackageId(package), TitleId(title), title_settings.cells, 3);
+        let origin = previous.map_or(TokenOrigin::App { issued: now }, |previous| previous.0);
+        let (request, token_valid_until) = (RequestId(number as u64), now + Duration::from_secs(60));
         let incarnation = self.managers[manager].incarnation;
-        self.turn(manager, incarnation, |f, h, now| {
-            f.on_request(h, now, request, session, about, origin, valid)
+        self.with_core(manager, incarnation, |core, effects, now| {
+            core.on_request(effects, now, request, session, content, origin, token_valid_until)
         });
         number
     }
 
-    fn closes(&mut self, number: usize) {
-        let ask = &mut self.history.viewer_requests[number];
-        if ask.outcome != RequestOutcome::NoAnswer {
+    /// Closes a request on the side of its viewer.
+    fn close_request(&mut self, number: usize) {
+        let request = &mut self.history.viewer_requests[number];
+        if request.outcome != RequestOutcome::NoAnswer {
             return;
         }
-        (ask.outcome, ask.ended_at) = (RequestOutcome::Closed, self.now);
-        let (manager, session) = (ask.manager, SessionId(ask.session));
+        (request.outcome, request.ended_at) = (RequestOutcome::Closed, self.now);
+        let (manager, session) = (request.manager, SessionId(request.session));
         let incarnation = self.managers[manager].incarnation;
-        self.turn(manager, incarnation, |f, h, now| {
-            f.on_request_closed(h, now, session, RequestId(number as u64))
+        self.with_core(manager, incarnation, |core, effects, now| {
+            core.on_request_closed(effects, now, session, RequestId(number as u64))
         });
     }
 
-    fn answered(&mut self, manager: usize, RequestId(number): RequestId, answer: Answer) {
+    /// Handles the answer to a viewer's request: records it, and schedules what the viewer does next.
+    fn on_answer(&mut self, manager: usize, RequestId(number): RequestId, answer: Answer) {
         let number = number as usize;
-        match self.spoilt {
-            Some(Spoilt::AnswerLost) if !std::mem::replace(&mut self.once, true) => return,
-            Some(Spoilt::AnswerTwice) if !std::mem::replace(&mut self.once, true) => {
+        match self.defect {
+            Some(InjectedDefect::AnswerLost) if !std::mem::replace(&mut self.defect_injected, true) => return,
+            Some(InjectedDefect::AnswerTwice) if !std::mem::replace(&mut self.defect_injected, true) => {
                 self.history.viewer_requests[number].extra_answers += 1;
             }
             _ => {}
@@ -598,16 +710,16 @@
             Answer::Conflict => 409,
             Answer::Replayed | Answer::Revoked => 401,
         };
-        let ask = &mut self.history.viewer_requests[number];
-        if matches!(ask.outcome, RequestOutcome::Answer(_)) {
-            ask.extra_answers += 1;
+        let request = &mut self.history.viewer_requests[number];
+        if matches!(request.outcome, RequestOutcome::Answer(_)) {
+            request.extra_answers += 1;
             return;
         }
-        if ask.outcome == RequestOutcome::Closed {
+        if request.outcome == RequestOutcome::Closed {
             return;
         }
-        (ask.outcome, ask.ended_at) = (RequestOutcome::Answer(status), self.now);
-        let Some((session, package, title, ends, before)) = self.plans.remove(&number) else { return };
+        (request.outcome, request.ended_at) = (RequestOutcome::Answer(status), self.now);
+        let Some((session, package, title, until, previous)) = self.plans.remove(&number) else { return };
         match answer {
             Answer::Plays { server, incarnation, viewing_id, tune_in, sequence, .. } => {
                 let key = TuneInKey {
@@ -617,103 +729,121 @@
                     n: tune_in.0,
                 };
                 let origin = TokenOrigin::Manager { incarnation: incarnation.0, server, sequence };
-                // What plays no more is taken as another viewing when its player asks again.
-                self.history.viewer_requests[number].starts_viewing = before != Some((no(server), key));
-                let next = (manager, session, package, title);
-                self.after(SEGMENT, move |w| w.watches(next, (no(server), key), origin, ends, 1));
+                // If the earlier stream no longer plays, the renewed request counts as a new viewing.
+                self.history.viewer_requests[number].starts_viewing =
+                    previous != Some((to_server_no(server), key));
+                let watch_request = (manager, session, package, title);
+                self.schedule_after(SEGMENT_DURATION, move |harness| {
+                    harness.play_segment(watch_request, (to_server_no(server), key), origin, until, 1)
+                });
             }
-            _ if before.is_some() => self.history.viewer_requests[number].starts_viewing = true,
-            // Most come again, to any manager.
-            Answer::Blocked { .. } if self.now < ends && self.chance.random_bool(0.7) => {
-                let (to, again) = (self.chance.random_range(0..MANAGERS), SessionId(self.chance.random()));
-                self.after(Duration::from_millis(700), move |w| {
-                    w.ask(to, again, package, title, None, ends);
+            _ if previous.is_some() => self.history.viewer_requests[number].starts_viewing = true,
+            // Most blocked viewers retry, at any manager.
+            Answer::Blocked { .. } if self.now < until && self.rng.random_bool(0.7) => {
+                let (new_manager, new_session) =
+                    (self.rng.random_range(0..MANAGER_COUNT), SessionId(self.rng.random()));
+                self.schedule_after(Duration::from_millis(700), move |harness| {
+                    harness.send_request(new_manager, new_session, package, title, None, until);
                 });
             }
             _ => {}
         }
     }
 
-    /// A viewer fetches a segment, and every second one asks for its manifest again.
-    fn watches(
+    /// Fetches a segment for a viewer, and refreshes its manifest at every second segment.
+    fn play_segment(
         &mut self, (manager, session, package, title): (usize, SessionId, usize, u64),
-        (server, key): (ServerNo, TuneInKey), origin: TokenOrigin, ends: Duration, n: u32,
+        (server, key): (ServerNo, TuneInKey), origin: TokenOrigin, watch_until: Duration,
+        segment_number: u32,
     ) {
-        let last = self.now >= ends;
-        let fetched = if self.fleet.up(server) && !self.fleet.frozen(server) {
-            self.fleet.fetch(self.now, server, key, 0, last, SEGMENT)
+        let is_last = self.now >= watch_until;
+        let fetch_outcome = if self.fleet.up(server) && !self.fleet.frozen(server) {
+            self.fleet.fetch(self.now, server, key, 0, is_last, SEGMENT_DURATION)
         } else {
             FetchOutcome::Unknown
         };
-        let next = (manager, session, package, title);
-        if n.is_multiple_of(2) || fetched == FetchOutcome::Unknown && !last {
-            // The manifest tells where it goes on.
+        let watch_request = (manager, session, package, title);
+        if segment_number.is_multiple_of(2) || fetch_outcome == FetchOutcome::Unknown && !is_last {
+            // The manifest says where playback continues.
             if self.managers[manager].core.is_some() {
-                self.ask(manager, session, package, title, Some((origin, (server, key))), ends);
-            } else if !last {
-                self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n));
+                self.send_request(
+                    manager,
+                    session,
+                    package,
+                    title,
+                    Some((origin, (server, key))),
+                    watch_until,
+                );
+            } else if !is_last {
+                self.schedule_after(SEGMENT_DURATION, move |harness| {
+                    harness.play_segment(watch_request, (server, key), origin, watch_until, segment_number)
+                });
             }
-        } else if !last {
-            self.after(SEGMENT, move |w| w.watches(next, (server, key), origin, ends, n + 1));
-        } else if self.now < START + BEGIN + LENGTH && self.chance.random_bool(0.3) {
-            // The app asks again for what was seen to its end.
-            self.after(SEGMENT * 2, move |w| {
-                let ends = w.now + SEGMENT;
-                w.ask(manager, session, package, title, None, ends);
+        } else if !is_last {
+            self.schedule_after(SEGMENT_DURATION, move |harness| {
+                harness.play_segment(watch_request, (server, key), origin, watch_until, segment_number + 1)
+            });
+        } else if self.now < CLOCK_ORIGIN + WARM_UP_DURATION + ARRIVAL_DURATION && self.rng.random_bool(0.3) {
+            // The app requests again what the viewer has watched to its end.
+            self.schedule_after(SEGMENT_DURATION * 2, move |harness| {
+                let watch_until = harness.now + SEGMENT_DURATION;
+                harness.send_request(manager, session, package, title, None, watch_until);
             });
         }
     }
 
-    /// A manager starts, and hears the whole list.
-    fn start(&mut self, manager: usize) {
+    /// Starts a manager, which then receives the full server list.
+    fn start_manager(&mut self, manager: usize) {
         let mut settings = self.settings.clone();
-        let mut of = settings.section("manager");
-        of.put_whole("seed", self.chance.random_range(1..1 << 40));
-        of.put_whole("siblings", MANAGERS as u64);
-        settings.put("manager", of);
-        let unrationed = self.spoilt == Some(Spoilt::Unrationed);
-        if unrationed {
+        let mut manager_section = settings.section("manager");
+        manager_section.put_whole("seed", self.rng.random_range(1..1 << 40));
+        manager_section.put_whole("siblings", MANAGER_COUNT as u64);
+        settings.put("manager", manager_section);
+        let no_retry_budget = self.defect == Some(InjectedDefect::Unrationed);
+        if no_retry_budget {
             settings.clear("ration");
         }
-        if self.spoilt == Some(Spoilt::SeatTooMany) {
+        if self.defect == Some(InjectedDefect::SeatTooMany) {
             settings.each("package", |package| {
                 let seats = package.integer("seats");
                 package.put_whole("seats", if seats > 0 { seats + 1 } else { 0 });
             });
         }
-        let policy: Box<dyn Policy> = match self.spoilt {
-            Some(Spoilt::Unpaced) => Box::<Random>::new(random(&settings)),
+        let policy: Box<dyn Policy> = match self.defect {
+            Some(InjectedDefect::Unpaced) => Box::<RandomPolicy>::new(random_policy(&settings)),
             _ => Box::new(setup::policy(&settings)),
         };
-        let spans = (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
+        let timeouts =
+            (Duration::from_millis(40), Some(Duration::from_secs(6)), Some(Duration::from_secs(600)));
         let incarnation = self.managers[manager].incarnation + 1;
         let (rule_guard, terms) = (setup::rule_guard(&settings), setup::terms(&settings));
         let core = SessionCore::new(
             policy,
             rule_guard,
             terms,
-            spans,
+            timeouts,
             setup::ration(&settings),
             Incarnation(incarnation),
         );
-        let paid = self.managers[manager].paid.clone();
-        let m = &mut self.managers[manager];
-        (m.core, m.incarnation) = (Some(core), incarnation);
-        m.follows.clear();
-        self.turn(manager, incarnation, move |core, effects, now| {
+        let paid_sessions = self.managers[manager].paid_sessions.clone();
+        let manager_state = &mut self.managers[manager];
+        (manager_state.core, manager_state.incarnation) = (Some(core), incarnation);
+        manager_state.followed_servers.clear();
+        self.with_core(manager, incarnation, move |core, effects, now| {
             core.start(effects, now);
-            for (session, (server, until)) in paid {
+            for (session, (server, until)) in paid_sessions {
                 core.restore_paid_session(session, server, until);
             }
         });
-        self.tells_all(manager);
+        self.send_full_list(manager);
     }
 
-    fn listed(&self, at: ServerNo, row: Row) -> ServerEntry {
+    /// Builds the list entry of a server.
+    fn list_entry(&self, server_no: ServerNo, row: ListRow) -> ServerEntry {
         ServerEntry {
-            server: id(at),
-            state: row.standing,
-            started_at: row.born,
+            server: to_server_id(server_no),
+            state: row.listed_state,
+            started_at: row.start_time,
             weight: row.weight,
             zone: ZoneId(0),
             kind: KindId(0),
@@ -721,367 +851,412 @@
         }
     }
 
-    fn told(&mut self, manager: usize, at: ServerNo, standing: ServerState, incarnation: u64) {
-        let standing = match standing {
+    /// Records that the list notified a manager of a server's state.
+    fn record_notification(
+        &mut self, manager: usize, server_no: ServerNo, listed_state: ServerState, incarnation: u64,
+    ) {
+        let server_status = match listed_state {
             ServerState::Ready => ivyward_rules::ServerStatus::Ready,
             ServerState::Draining => ivyward_rules::ServerStatus::Draining,
             ServerState::Gone => ivyward_rules::ServerStatus::Gone,
         };
         self.record(Event::ServerNotified {
             manager: ManagerNo(manager as u32),
-            server: at,
-            standing,
+            server: server_no,
+            standing: server_status,
             incarnation,
         });
     }
 
-    /// The whole list, as it stands.
-    fn tells_all(&mut self, manager: usize) {
-        self.tells_whole(manager, |_| true);
+    /// Sends the full current list to a manager.
+    fn send_full_list(&mut self, manager: usize) {
+        self.send_filtered_list(manager, |_| true);
     }
 
-    /// A whole list that may leave servers out: those are gone to who hears it.
-    fn tells_whole(&mut self, manager: usize, named: impl Fn(ServerNo) -> bool) {
+    /// Sends a full list that may leave servers out; its receiver takes those as gone.
+    fn send_filtered_list(&mut self, manager: usize, is_included: impl Fn(ServerNo) -> bool) {
         if self.managers[manager].core.is_none() {
             return;
         }
-        let rows: Vec<_> =
-            self.rows.iter().enumerate().filter_map(|(i, row)| Some((ServerNo(i), (*row)?))).collect();
+        let list_rows: Vec<_> =
+            self.list_rows.iter().enumerate().filter_map(|(i, row)| Some((ServerNo(i), (*row)?))).collect();
         let mut list = vec![];
-        for (at, row) in rows {
-            if named(at) {
-                self.told(manager, at, row.standing, row.incarnation);
-                list.push(self.listed(at, row));
+        for (server_no, row) in list_rows {
+            if is_included(server_no) {
+                self.record_notification(manager, server_no, row.listed_state, row.incarnation);
+                list.push(self.list_entry(server_no, row));
             } else {
-                self.told(manager, at, ServerState::Gone, row.incarnation);
+                self.record_notification(manager, server_no, ServerState::Gone, row.incarnation);
             }
         }
-        self.hears(manager, &list, ListScope::Full);
+        self.deliver_list(manager, &list, ListScope::Full);
     }
 
-    fn hears(&mut self, manager: usize, list: &[ServerEntry], scope: ListScope) {
+    /// Delivers list entries to a manager, which then follows the updates of the listed servers.
+    fn deliver_list(&mut self, manager: usize, list: &[ServerEntry], scope: ListScope) {
         let incarnation = self.managers[manager].incarnation;
-        let withheld = self.spoilt == Some(Spoilt::EndsWithheld);
+        let ends_withheld = self.defect == Some(InjectedDefect::EndsWithheld);
         let list: Vec<_> =
-            list.iter().filter(|row| !withheld || row.state == ServerState::Ready).copied().collect();
-        let follow: Vec<_> =
-            list.iter().filter(|row| row.state != ServerState::Gone).map(|row| no(row.server)).collect();
-        self.turn(manager, incarnation, move |core, _, now| core.on_server_list(now, &list, scope));
-        follow.into_iter().for_each(|at| self.follows(manager, at));
+            list.iter().filter(|row| !ends_withheld || row.state == ServerState::Ready).copied().collect();
+        let listed_servers: Vec<_> = list
+            .iter()
+            .filter(|row| row.state != ServerState::Gone)
+            .map(|row| to_server_no(row.server))
+            .collect();
+        self.with_core(manager, incarnation, move |core, _, now| core.on_server_list(now, &list, scope));
+        listed_servers.into_iter().for_each(|at| self.follow_server(manager, at));
     }
 
-    /// The list hears of a server now, and tells of it late.
-    fn list_soon(&mut self, at: ServerNo, standing: ServerState) {
-        let late = Duration::from_millis(self.chance.random_range(50..900));
-        self.list_after(at, standing, late);
+    /// Changes a server's state in the list after a random delay.
+    fn update_list_soon(&mut self, server_no: ServerNo, listed_state: ServerState) {
+        let delay = Duration::from_millis(self.rng.random_range(50..900));
+        self.update_list_after(server_no, listed_state, delay);
     }
 
-    fn list_after(&mut self, at: ServerNo, standing: ServerState, late: Duration) {
-        let (incarnation, born) = self.fleet.incarnation(at);
-        self.after(late, move |w| {
-            let old = w.rows[at.0];
-            if old.is_some_and(|row| incarnation < row.incarnation) {
+    /// Changes a server's state in the list after a delay, unless the list has a later incarnation by then.
+    fn update_list_after(&mut self, server_no: ServerNo, listed_state: ServerState, delay: Duration) {
+        let (incarnation, start_time) = self.fleet.incarnation(server_no);
+        self.schedule_after(delay, move |harness| {
+            let old_row = harness.list_rows[server_no.0];
+            if old_row.is_some_and(|row| incarnation < row.incarnation) {
                 return;
             }
-            let cell = old
-                .map_or(at.0 as u32 % w.settings.section("network").count("places") as u32, |row| row.cell);
-            let row = Row { standing, incarnation, born, cell, weight: old.map_or(1.0, |row| row.weight) };
-            w.rows[at.0] = Some(row);
-            if !w.list_lost {
-                w.tells(at);
+            let cell = old_row.map_or(
+                server_no.0 as u32 % harness.settings.section("network").count("places") as u32,
+                |row| row.cell,
+            );
+            let row = ListRow {
+                listed_state,
+                incarnation,
+                start_time,
+                cell,
+                weight: old_row.map_or(1.0, |row| row.weight),
+            };
+            harness.list_rows[server_no.0] = Some(row);
+            if !harness.list_unavailable {
+                harness.send_list_change(server_no);
             }
         });
     }
 
-    /// All managers are told of a server.
-    fn tells(&mut self, at: ServerNo) {
-        let Some(row) = self.rows[at.0] else { return };
-        for manager in 0..MANAGERS {
+    /// Sends the state of a server to all managers.
+    fn send_list_change(&mut self, server_no: ServerNo) {
+        let Some(row) = self.list_rows[server_no.0] else { return };
+        for manager in 0..MANAGER_COUNT {
             if self.managers[manager].core.is_some() {
-                self.told(manager, at, row.standing, row.incarnation);
-                let listed = self.listed(at, row);
-                self.hears(manager, &[listed], ListScope::Changes);
+                self.record_notification(manager, server_no, row.listed_state, row.incarnation);
+                let entry = self.list_entry(server_no, row);
+                self.deliver_list(manager, &[entry], ListScope::Changes);
             }
         }
     }
 
-    /// A manager follows a server's notes: first it hears what plays there, or that nobody listens.
-    fn follows(&mut self, manager: usize, at: ServerNo) {
+    /// Subscribes a manager to a server's updates. It first receives the inventory of what plays there, or an
+    /// empty one if nothing listens.
+    fn follow_server(&mut self, manager: usize, server_no: ServerNo) {
         let incarnation = self.managers[manager].incarnation;
-        if !self.managers[manager].follows.insert(at) {
+        if !self.managers[manager].followed_servers.insert(server_no) {
             return;
         }
-        let way = self.way();
-        self.after(way, move |w| {
-            if !w.fleet.up(at) {
-                w.managers[manager].follows.remove(&at);
-                return w.turn(manager, incarnation, |core, effects, now| {
-                    core.on_inventory(effects, now, id(at), &[]);
-                    core.on_inventory_complete(effects, now, id(at));
+        let delay = self.network_delay();
+        self.schedule_after(delay, move |harness| {
+            if !harness.fleet.up(server_no) {
+                harness.managers[manager].followed_servers.remove(&server_no);
+                return harness.with_core(manager, incarnation, |core, effects, now| {
+                    core.on_inventory(effects, now, to_server_id(server_no), &[]);
+                    core.on_inventory_complete(effects, now, to_server_id(server_no));
                 });
             }
-            w.at_server(at, move |w| {
-                if w.managers[manager].incarnation != incarnation
-                    || !w.fleet.begins(at, ManagerNo(manager as u32), incarnation)
+            harness.run_at_server(server_no, move |harness| {
+                if harness.managers[manager].incarnation != incarnation
+                    || !harness.fleet.begins(server_no, ManagerNo(manager as u32), incarnation)
                 {
                     return;
                 }
-                let keys = w.fleet.playing(at, ManagerNo(manager as u32), incarnation);
-                let rungs = |key: &TuneInKey| w.fleet.rung_of(at, *key).unwrap_or_default();
-                let rows: Vec<_> = keys
+                let playing_keys = harness.fleet.playing(server_no, ManagerNo(manager as u32), incarnation);
+                let rung_of_key =
+                    |key: &TuneInKey| harness.fleet.rung_of(server_no, *key).unwrap_or_default();
+                let running_tune_ins: Vec<_> = playing_keys
                     .iter()
-                    .filter_map(|key| Some((*key, *w.abouts.get(&(at, *key))?, rungs(key))))
+                    .filter_map(|key| {
+                        Some((*key, *harness.stream_infos.get(&(server_no, *key))?, rung_of_key(key)))
+                    })
                     .collect();
-                w.turn(manager, incarnation, move |core, effects, now| {
-                    let of = |key: &TuneInKey| {
+                harness.with_core(manager, incarnation, move |core, effects, now| {
+                    let core_key = |key: &TuneInKey| {
                         (Incarnation(key.incarnation), ViewingId(key.viewing_id), TuneIn(key.n))
                     };
-                    let ids: Vec<_> = rows.iter().map(|(key, ..)| of(key)).collect();
-                    core.on_inventory(effects, now, id(at), &ids);
-                    for (key, (session, package, title, top), rung) in rows {
-                        let about = (PackageId(package), TitleId(title), (rung, top));
-                        core.on_running_tune_in(effects, now, id(at), of(&key), session, about);
+                    let ids: Vec<_> = running_tune_ins.iter().map(|(key, ..)| core_key(key)).collect();
+                    core.on_inventory(effects, now, to_server_id(server_no), &ids);
+                    for (key, (session, package, title, top_rung), rung) in running_tune_ins {
+                        let stream_info = (PackageId(package), TitleId(title), (rung, top_rung));
+                        core.on_running_tune_in(
+                            effects,
+                            now,
+                            to_server_id(server_no),
+                            core_key(&key),
+                            session,
+                            stream_info,
+                        );
                     }
-                    core.on_inventory_complete(effects, now, id(at));
+                    core.on_inventory_complete(effects, now, to_server_id(server_no));
                 });
             });
         });
     }
 
-    /// The model's own time: leases, titles that end, notes.
+    /// Advances the model of servers: ends streams whose lease or title is over, and delivers load updates.
     fn tick(&mut self) {
-        for (at, key, why) in self.fleet.expire(self.now) {
-            self.abouts.remove(&(at, key));
-            self.record(Event::StreamEnded { server: at, key, why });
-            let over = if why == Ends::Ended { EndReason::Completed } else { EndReason::ViewerLeft };
-            self.notes(at, key, move |f, h, now| {
-                f.on_viewing_ended(
-                    h,
+        for (server_no, key, why) in self.fleet.expire(self.now) {
+            self.stream_infos.remove(&(server_no, key));
+            self.record(Event::StreamEnded { server: server_no, key, why });
+            let end_reason =
+                if why == StreamEnd::Ended { EndReason::Completed } else { EndReason::ViewerLeft };
+            self.forward_update(server_no, key, move |core, effects, now| {
+                core.on_viewing_ended(
+                    effects,
                     now,
-                    id(at),
+                    to_server_id(server_no),
                     (Incarnation(key.incarnation), ViewingId(key.viewing_id), TuneIn(key.n)),
-                    over,
+                    end_reason,
                 );
             });
         }
-        for (at, key, note) in self.fleet.notes(self.now) {
-            let news = match note {
-                LoadNote::Share(x) => ServerUpdate::Share(x),
-                LoadNote::Link(x) => ServerUpdate::Link(x),
-                LoadNote::Uplink(x) => ServerUpdate::Uplink(x),
+        for (server_no, key, note) in self.fleet.notes(self.now) {
+            let update = match note {
+                LoadNote::Share(fraction) => ServerUpdate::Share(fraction),
+                LoadNote::Link(fraction) => ServerUpdate::Link(fraction),
+                LoadNote::Uplink(fraction) => ServerUpdate::Uplink(fraction),
             };
-            self.notes(at, key, move |f, _, now| {
-                f.on_server_update(now, id(at), ViewingId(key.viewing_id), news)
+            self.forward_update(server_no, key, move |core, _, now| {
+                core.on_server_update(now, to_server_id(server_no), ViewingId(key.viewing_id), update)
             });
         }
-        self.after(TICK, Harness::tick);
+        self.schedule_after(MODEL_TICK_INTERVAL, Harness::tick);
     }
 
-    fn notes(
-        &mut self, at: ServerNo, key: TuneInKey,
-        tell: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration) + 'static,
+    /// Delivers a server's update to the manager of a tune-in, if the manager follows the server.
+    fn forward_update(
+        &mut self, server_no: ServerNo, key: TuneInKey,
+        deliver: impl FnOnce(&mut SessionCore, &mut EffectLog, Duration) + 'static,
     ) {
-        let (manager, way) = (key.manager.0 as usize, self.way());
-        let m = &self.managers[manager];
-        if m.follows.contains(&at) {
-            let incarnation = m.incarnation;
-            self.after(way, move |w| w.turn(manager, incarnation, tell));
+        let (manager, delay) = (key.manager.0 as usize, self.network_delay());
+        let follower = &self.managers[manager];
+        if follower.followed_servers.contains(&server_no) {
+            let incarnation = follower.incarnation;
+            self.schedule_after(delay, move |harness| harness.with_core(manager, incarnation, deliver));
         }
     }
 
-    /// What a server had is gone: its connections break, and managers that come back find nobody.
-    fn gone(&mut self, at: ServerNo, keys: &[TuneInKey]) {
+    /// Handles the death of a server: its streams end, its connections break, and managers reconnect.
+    fn on_server_down(&mut self, server_no: ServerNo, keys: &[TuneInKey]) {
         for key in keys {
-            self.abouts.remove(&(at, *key));
-            self.record(Event::StreamEnded { server: at, key: *key, why: Ends::Died });
+            self.stream_infos.remove(&(server_no, *key));
+            self.record(Event::StreamEnded { server: server_no, key: *key, why: StreamEnd::Died });
         }
-        self.still.remove(&at);
+        self.frozen_server_jobs.remove(&server_no);
         let broken: Vec<_> = self
-            .out
+            .open_set_ups
             .iter()
-            .filter(|(_, (server, read))| *server == at && *read)
+            .filter(|(_, (server, read))| *server == server_no && *read)
             .map(|(key, _)| *key)
             .collect();
         for key in broken {
-            self.over(at, key, SetUpEnd::ServerClosed);
-            let way = self.way();
-            self.after(way, move |w| {
-                w.happened(key.manager.0 as usize, key, AttemptResult::ConnectionBroken)
+            self.record_set_up_end(server_no, key, SetUpEnd::ServerClosed);
+            let delay = self.network_delay();
+            self.schedule_after(delay, move |harness| {
+                harness.report_attempt_result(key.manager.0 as usize, key, AttemptResult::ConnectionBroken)
             });
         }
-        for manager in 0..MANAGERS {
-            if self.managers[manager].follows.remove(&at) {
-                let again = Duration::from_millis(100);
-                self.after(again, move |w| w.follows(manager, at));
+        for manager in 0..MANAGER_COUNT {
+            if self.managers[manager].followed_servers.remove(&server_no) {
+                let reconnect_delay = Duration::from_millis(100);
+                self.schedule_after(reconnect_delay, move |harness| {
+                    harness.follow_server(manager, server_no)
+                });
             }
         }
-        self.list_soon(at, ServerState::Gone);
+        self.update_list_soon(server_no, ServerState::Gone);
     }
 
-    fn dies(&mut self, at: ServerNo) {
-        if !self.fleet.up(at) {
+    /// Kills a server.
+    fn kill_server(&mut self, server_no: ServerNo) {
+        if !self.fleet.up(server_no) {
             return;
         }
-        let managers = self.fleet.managers(at);
-        self.record(Event::ServerDied { server: at, managers });
-        let keys = self.fleet.die(at);
-        self.gone(at, &keys);
+        let managers = self.fleet.managers(server_no);
+        self.record(Event::ServerDied { server: server_no, managers });
+        let keys = self.fleet.die(server_no);
+        self.on_server_down(server_no, &keys);
     }
 
-    fn starts(&mut self, at: ServerNo) {
-        if self.fleet.up(at) {
+    /// Starts a server.
+    fn start_server(&mut self, server_no: ServerNo) {
+        if self.fleet.up(server_no) {
             return;
         }
-        self.fleet.start(self.now, at);
-        self.record(Event::ServerStarted { server: at });
-        // Some starts are told of as draining first; some are met by a crowd.
-        let late = Duration::from_millis(self.chance.random_range(50..900));
-        if self.chance.random_bool(0.3) {
-            self.list_after(at, ServerState::Draining, late);
+        self.fleet.start(self.now, server_no);
+        self.record(Event::ServerStarted { server: server_no });
+        // The list reports some started servers as draining first; some get a burst of requests at once.
+        let list_delay = Duration::from_millis(self.rng.random_range(50..900));
+        if self.rng.random_bool(0.3) {
+            self.update_list_after(server_no, ServerState::Draining, list_delay);
         }
-        self.list_after(at, ServerState::Ready, late + Duration::from_millis(200));
-        if self.chance.random_bool(0.4) {
-            let cell = at.0 as u32 % self.settings.section("network").count("places") as u32;
+        self.update_list_after(server_no, ServerState::Ready, list_delay + Duration::from_millis(200));
+        if self.rng.random_bool(0.4) {
+            let cell = server_no.0 as u32 % self.settings.section("network").count("places") as u32;
             let holds = |title: &setup::Title| {
                 cell >= title.cells.first && cell < title.cells.first + title.cells.spread
             };
             let title = setup::titles(&self.settings).iter().position(holds).unwrap_or_default() as u64;
             for i in 0..60 {
-                let (session, to) = (SessionId(self.chance.random()), self.chance.random_range(0..MANAGERS));
-                self.after(late + Duration::from_millis(250 + 8 * i), move |w| {
-                    let ends = w.now + Duration::from_secs(1);
-                    w.ask(to, session, 0, title, None, ends);
+                let (session, manager) =
+                    (SessionId(self.rng.random()), self.rng.random_range(0..MANAGER_COUNT));
+                self.schedule_after(list_delay + Duration::from_millis(250 + 8 * i), move |harness| {
+                    let watch_until = harness.now + Duration::from_secs(1);
+                    harness.send_request(manager, session, 0, title, None, watch_until);
                 });
             }
         }
-        let again = Duration::from_millis(100);
-        (0..MANAGERS).for_each(|manager| {
-            self.after(again, move |w| {
-                if w.rows[at.0].is_some() {
-                    w.follows(manager, at);
+        let reconnect_delay = Duration::from_millis(100);
+        (0..MANAGER_COUNT).for_each(|manager| {
+            self.schedule_after(reconnect_delay, move |harness| {
+                if harness.list_rows[server_no.0].is_some() {
+                    harness.follow_server(manager, server_no);
                 }
             });
         });
     }
 
-    fn thaws(&mut self, at: ServerNo) {
-        self.fleet.faults(at).frozen = false;
-        for job in self.still.remove(&at).unwrap_or_default() {
-            if self.fleet.up(at) {
+    /// Resumes a frozen server, which runs the jobs that waited for it.
+    fn thaw_server(&mut self, server_no: ServerNo) {
+        self.fleet.faults(server_no).frozen = false;
+        for job in self.frozen_server_jobs.remove(&server_no).unwrap_or_default() {
+            if self.fleet.up(server_no) {
                 job(self);
             }
         }
     }
 
-    /// A manager is killed: its viewers are cut off, and what it had out is closed.
-    fn kills(&mut self, manager: usize, down: Duration) {
+    /// Kills a manager and restarts it after `down_for`: its viewers are cut off and its set-ups are closed.
+    fn kill_manager(&mut self, manager: usize, down_for: Duration) {
         if self.managers[manager].core.take().is_none() {
             return;
         }
         let now = self.now;
-        self.managers[manager].gaps.push((now, None));
-        for ask in self
+        self.managers[manager].outages.push((now, None));
+        for request in self
             .history
             .viewer_requests
             .iter_mut()
-            .filter(|ask| ask.manager == manager && ask.outcome == RequestOutcome::NoAnswer)
+            .filter(|request| request.manager == manager && request.outcome == RequestOutcome::NoAnswer)
         {
-            (ask.outcome, ask.ended_at) = (RequestOutcome::ConnectionFailed, now);
+            (request.outcome, request.ended_at) = (RequestOutcome::ConnectionFailed, now);
         }
-        let out: Vec<_> = self.out.keys().filter(|key| key.manager.0 as usize == manager).copied().collect();
-        out.into_iter().for_each(|key| self.closes_set_up(key));
-        self.managers[manager].follows.clear();
-        self.after(down, move |w| {
-            let now = w.now;
-            if let Some(gap) = w.managers[manager].gaps.last_mut() {
-                gap.1 = Some(now);
+        let set_ups: Vec<_> =
+            self.open_set_ups.keys().filter(|key| key.manager.0 as usize == manager).copied().collect();
+        set_ups.into_iter().for_each(|key| self.close_set_up(key));
+        self.managers[manager].followed_servers.clear();
+        self.schedule_after(down_for, move |harness| {
+            let now = harness.now;
+            if let Some(outage) = harness.managers[manager].outages.last_mut() {
+                outage.1 = Some(now);
             }
-            w.start(manager);
+            harness.start_manager(manager);
         });
     }
 
-    /// Troubles at their times, each of a kind and on what the seed draws.
-    fn troubles(&mut self) {
+    /// Schedules the troubles, whose times, kinds and targets the seed draws.
+    fn schedule_troubles(&mut self) {
         let ms = Duration::from_millis;
-        // Some servers always drain, die and come back or are replaced, so that each rule is put to the test.
+        // Some servers always drain, die and come back or are replaced, so that each rule has cases to check.
         for i in 0..2 {
-            let at = ServerNo(self.chance.random_range(0..RUN));
-            let (from, drains) = (BEGIN + ms(self.chance.random_range(500..8000)), ms(1600));
-            let next = if i == 0 { at } else { ServerNo(RUN + i) };
-            self.after(from, move |w| {
-                w.fleet.drain(at);
-                w.list_soon(at, ServerState::Draining);
-                w.after(drains, move |w| w.dies(at));
-                w.after(drains + ms(300), move |w| w.starts(next));
+            let server_no = ServerNo(self.rng.random_range(0..INITIAL_SERVER_COUNT));
+            let (starts_after, drain_duration) =
+                (WARM_UP_DURATION + ms(self.rng.random_range(500..8000)), ms(1600));
+            let successor = if i == 0 { server_no } else { ServerNo(INITIAL_SERVER_COUNT + i) };
+            self.schedule_after(starts_after, move |harness| {
+                harness.fleet.drain(server_no);
+                harness.update_list_soon(server_no, ServerState::Draining);
+                harness.schedule_after(drain_duration, move |harness| harness.kill_server(server_no));
+                harness
+                    .schedule_after(drain_duration + ms(300), move |harness| harness.start_server(successor));
             });
         }
-        for i in 0..self.chance.random_range(3..8) {
-            let at = ServerNo(self.chance.random_range(0..RUN));
-            let (from, len) =
-                (BEGIN + ms(self.chance.random_range(0..11_000)), ms(self.chance.random_range(300..4000)));
-            let manager = self.chance.random_range(0..MANAGERS);
-            let part: f64 = self.chance.random();
-            let kind = self.chance.random_range(0..12);
-            self.after(from, move |w| {
-                let turned = |w: &mut Harness,
-                              on: fn(&mut ivyward_fleet::Faults, f64),
-                              off: fn(&mut ivyward_fleet::Faults)| {
-                    on(w.fleet.faults(at), part);
-                    w.after(len, move |w| off(w.fleet.faults(at)));
+        for i in 0..self.rng.random_range(3..8) {
+            let server_no = ServerNo(self.rng.random_range(0..INITIAL_SERVER_COUNT));
+            let (starts_after, duration) = (
+                WARM_UP_DURATION + ms(self.rng.random_range(0..11_000)),
+                ms(self.rng.random_range(300..4000)),
+            );
+            let manager = self.rng.random_range(0..MANAGER_COUNT);
+            let fraction: f64 = self.rng.random();
+            let kind = self.rng.random_range(0..12);
+            self.schedule_after(starts_after, move |harness| {
+                let inject_fault = |harness: &mut Harness,
+                                    on: fn(&mut ivyward_fleet::Faults, f64),
+                                    off: fn(&mut ivyward_fleet::Faults)| {
+                    on(harness.fleet.faults(server_no), fraction);
+                    harness.schedule_after(duration, move |harness| off(harness.fleet.faults(server_no)));
                 };
                 match kind {
                     0 => {
-                        w.fleet.faults(at).frozen = true;
-                        w.after(len, move |w| w.thaws(at));
+                        harness.fleet.faults(server_no).frozen = true;
+                        harness.schedule_after(duration, move |harness| harness.thaw_server(server_no));
                     }
                     1 => {
-                        w.dies(at);
-                        w.after(len, move |w| w.starts(at));
+                        harness.kill_server(server_no);
+                        harness.schedule_after(duration, move |harness| harness.start_server(server_no));
                     }
                     2 => {
-                        // Taken away; another starts in its place under an id of its own.
-                        w.dies(at);
-                        w.after(len, move |w| w.starts(ServerNo(RUN + i % 4)));
+                        // The server is removed; another starts in its place under an id of its own.
+                        harness.kill_server(server_no);
+                        harness.schedule_after(duration, move |harness| {
+                            harness.start_server(ServerNo(INITIAL_SERVER_COUNT + i % 4))
+                        });
+                    }
+                    3 => inject_fault(harness, |f, _| f.answer_lost = true, |f| f.answer_lost = false),
+                    4 => inject_fault(harness, |f, _| f.breaks = true, |f| f.breaks = false),
+                    5 => inject_fault(harness, |f, fraction| f.errors = fraction, |f| f.errors = 0.0),
+                    6 => {
+                        inject_fault(harness, |f, fraction| f.slow = 1.0 + 40.0 * fraction, |f| f.slow = 1.0)
                     }
-                    3 => turned(w, |f, _| f.answer_lost = true, |f| f.answer_lost = false),
-                    4 => turned(w, |f, _| f.breaks = true, |f| f.breaks = false),
-                    5 => turned(w, |f, part| f.errors = part, |f| f.errors = 0.0),
-                    6 => turned(w, |f, part| f.slow = 1.0 + 40.0 * part, |f| f.slow = 1.0),
-                    7 => turned(w, |f, part| f.link = 1.0 + 6.0 * part, |f| f.link = 1.0),
-                    8 => w.kills(manager, len),
+                    7 => inject_fault(harness, |f, fraction| f.link = 1.0 + 6.0 * fraction, |f| f.link = 1.0),
+                    8 => harness.kill_manager(manager, duration),
                     9 => {
-                        w.list_lost = true;
-                        w.after(len, |w| {
-                            w.list_lost = false;
-                            (0..MANAGERS).for_each(|manager| w.tells_all(manager));
+                        harness.list_unavailable = true;
+                        harness.schedule_after(duration, |harness| {
+                            harness.list_unavailable = false;
+                            (0..MANAGER_COUNT).for_each(|manager| harness.send_full_list(manager));
                         });
                     }
                     10 => {
-                        // A whole list without some, for a while; or the same twice.
-                        w.tells_whole(manager, |other| part < 0.2 || other != at);
-                        w.after(len, move |w| w.tells_all(manager));
+                        // A full list that omits the server for a while, or a repeated full list.
+                        harness.send_filtered_list(manager, |other| fraction < 0.2 || other != server_no);
+                        harness.schedule_after(duration, move |harness| harness.send_full_list(manager));
                     }
                     _ => {
-                        if let Some(row) = &mut w.rows[at.0] {
-                            (row.cell, row.weight) = (row.cell + 1, 0.5 + part);
+                        if let Some(row) = &mut harness.list_rows[server_no.0] {
+                            (row.cell, row.weight) = (row.cell + 1, 0.5 + fraction);
                         }
-                        w.tells(at);
+                        harness.send_list_change(server_no);
                     }
                 }
             });
         }
-        // A crowd on one title in a moment.
-        if self.chance.random_bool(0.4) || self.spoilt == Some(Spoilt::Unpaced) {
-            let from = BEGIN + ms(self.chance.random_range(1000..10_000));
-            let (title, count) = (self.chance.random_range(0..6), self.chance.random_range(20..80));
-            // Without pace it has to be more than chance allows.
-            let (count, apart) =
-                if self.spoilt == Some(Spoilt::Unpaced) { (count * 4, 1) } else { (count, 4) };
+        // A burst of requests for one title.
+        if self.rng.random_bool(0.4) || self.defect == Some(InjectedDefect::Unpaced) {
+            let starts_after = WARM_UP_DURATION + ms(self.rng.random_range(1000..10_000));
+            let (title, count) = (self.rng.random_range(0..6), self.rng.random_range(20..80));
+            // Random choice without pacing needs a larger burst to violate the rule reliably.
+            let (count, interval_ms) =
+                if self.defect == Some(InjectedDefect::Unpaced) { (count * 4, 1) } else { (count, 4) };
             for i in 0..count {
-                let (session, to) = (SessionId(self.chance.random()), self.chance.random_range(0..MANAGERS));
-                self.after(from + ms(apart) * i, move |w| {
-                    let ends = w.now + ms(2000);
-                    w.ask(to, session, 0, title, None, ends);
+                let (session, manager) =
+                    (SessionId(self.rng.random()), self.rng.random_range(0..MANAGER_COUNT));
+                self.schedule_after(starts_after + ms(interval_ms) * i, move |harness| {
+                    let watch_until = harness.now + ms(2000);
+                    harness.send_request(manager, session, 0, title, None, watch_until);
                 });
             }
         }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,8 @@
-//! The laboratory: days as scripts, played by real manager processes, stand-in servers and viewers on loopback, and
-//! judged from what passed on the sockets.
+//! The test laboratory of the session front.
+//!
+//! A day is a script, played on loopback by real manager processes, stand-in servers and viewers, and
+//! judged from what passed on the sockets. Seeded histories run the same cores in virtual time. Further
+//! modules measure costs and evaluate fault localization.
 
 pub mod baseline;
 pub mod day;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `ivyward-lab`: the session front's laboratory.
+//! `ivyward-lab`, the command line of the session front's test laboratory.
 
 use clap::{Parser, Subcommand};
 use ivyward_lab::scale::Ask;
@@ -9,172 +9,181 @@
 
 #[derive(Parser)]
 #[command(version, about = "Plays days against the session front and judges them")]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Play a day's script and judge it; exits with 1 where a rule is broken
+enum Command {
+    /// Play the script of a day and judge it; exits with 1 if a rule is violated
     Day {
         script: PathBuf,
-        /// The script's own if left out
+        /// Seed of all random draws [default: the script's seed]
         #[arg(long)]
         seed: Option<u64>,
-        /// A program whose `run FILE` is the manager; this build's if left out
+        /// Program whose `run FILE` starts a manager [default: this program]
         #[arg(long)]
         manager: Option<PathBuf>,
-        /// Managers choose at random, to be compared with
+        /// Let managers choose servers at random, as a baseline for comparison
         #[arg(long, conflicts_with = "manager")]
         random: bool,
-        /// Leave the script's troubles out, to be compared with
+        /// Leave out the script's troubles, for comparison
         #[arg(long)]
         quiet: bool,
-        /// Managers share nothing, to be compared with: what cuts them off from each other is left out
+        /// Run managers without connections between them, for comparison; leaves out PEERS_CUT troubles
         #[arg(long)]
         alone: bool,
-        /// Seconds that viewers come for, instead of the script's
+        /// Seconds during which viewers arrive [default: the script's length]
         #[arg(long)]
         length: Option<f64>,
-        /// Where managers' logs go; nowhere if left out
+        /// Directory for the managers' logs [default: no logs]
         #[arg(long)]
         logs: Option<PathBuf>,
-        /// Where what was seen is written, to be judged again
+        /// File for the observed history, which `judge` reads
         #[arg(long)]
         record: Option<PathBuf>,
     },
-    /// Play the history of a seed in virtual time and judge it; exits with 1 where a rule is broken
+    /// Play the history of a seed in virtual time and judge it; exits with 1 if a rule is violated
     History {
         #[arg(long)]
         seed: u64,
-        /// What is spoilt at an edge of the real code, to see it rejected
+        /// Defect to inject at the edge of the real code, to check that a rule rejects it
         #[arg(long)]
         spoilt: Option<String>,
-        /// Where what was seen is written
+        /// File for the observed history, which `judge` reads
         #[arg(long)]
         record: Option<PathBuf>,
     },
-    /// Judge a history that `day` or `history` wrote; exits with 1 where a rule is broken, with 2 where it can't be judged
+    /// Judge a history written by `day` or `history`; exits with 1 if a rule is violated, with 2 if the
+    /// file can't be read
     Judge { history: PathBuf },
-    /// Tell all that is wrong with a script
+    /// Check a script and print all faults in it
     Check { script: PathBuf },
-    /// Measure a manager against a bare responder, under a script's settings and fleet
+    /// Measure a manager against a minimal HTTP responder, with the settings and fleet of a script
     Measure {
         script: PathBuf,
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Viewings in a round
+        /// Viewings per round
         #[arg(long, default_value_t = 400)]
         viewings: usize,
         #[arg(long, default_value_t = 8)]
         connections: usize,
     },
-    /// Measure what a placement and a look at the rungs cost as live viewings and servers grow
+    /// Measure the cost of a placement and of a check of the rungs as live viewings and servers grow
     Growth {
-        /// Live viewings; may be given several times
+        /// Number of live viewings; may be repeated
         #[arg(long, default_values_t = [100, 1000, 10_000])]
         live: Vec<u32>,
-        /// Servers; may be given several times
+        /// Number of servers; may be repeated
         #[arg(long, default_values_t = [200])]
         servers: Vec<u32>,
-        /// Another build of this laboratory, measured side by side
+        /// Another build of this program to measure side by side
         #[arg(long)]
         against: Option<PathBuf>,
     },
-    /// Measure what control costs a manager as the fleet grows; exits with 1 where a budget is passed
+    /// Measure the control traffic and work of a manager as the fleet grows; exits with 1 if a budget is
+    /// exceeded
     Scale {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Sizes of fleets of real processes of the `ivyward` beside this program, 200 at most; without a number none
+        /// Sizes of fleets of real `ivyward` processes (the program next to this one), at most 200;
+        /// without a value none
         #[arg(long, num_args = 0.., default_values_t = [10, 30, 100, 200])]
         managers: Vec<usize>,
-        /// Sizes of fleets of hollow managers: the same cores without sockets, in virtual time; without a number none
+        /// Sizes of fleets of hollow managers, which run the same cores without sockets in virtual time;
+        /// without a value none
         #[arg(long, num_args = 0.., default_values_t = [100, 300, 580, 1160])]
         hollow: Vec<usize>,
-        /// Another build of `ivyward`, measured in turns with this one
+        /// Another build of `ivyward` to measure alternately with this one
         #[arg(long)]
         against: Option<PathBuf>,
-        /// Hollow managers for a shorter while, without the rarer troubles
+        /// Run hollow managers for a shorter time, without the rarer troubles
         #[arg(long)]
         small: bool,
-        /// A defect put in on purpose, to see it found: hollow managers tell all what is told to neighbours
+        /// Inject a defect to check that it is found: hollow managers send to all peers what is meant for
+        /// neighbours
         #[arg(long)]
         all_by_all: bool,
     },
-    /// Measure what connections, viewings, servers, paid viewings and members cost as there are more of them
+    /// Measure how costs grow with the numbers of connections, viewings, servers, paid viewings and members
     Slopes {
-        /// connection, viewing, answer, list, claim or cores; may be given several times, all if left out
+        /// Measurement to run: connection, viewing, answer, list, claim or cores; may be repeated
+        /// [default: all]
         #[arg(long)]
         only: Vec<String>,
         #[arg(long, default_value_t = 3)]
         runs: usize,
-        /// Connections and live viewings at most, connections as far as descriptors allow
+        /// Maximum number of connections and live viewings; connections are also limited by file
+        /// descriptors
         #[arg(long, default_value_t = 20_000)]
         most: usize,
-        /// Manifests asked for a second at most
+        /// Maximum rate of manifest requests per second
         #[arg(long, default_value_t = 12_000)]
         rate: usize,
-        /// Servers listed at most
+        /// Maximum number of listed servers
         #[arg(long, default_value_t = 2000)]
         servers: usize,
-        /// Paid viewings at most
+        /// Maximum number of paid viewings
         #[arg(long, default_value_t = 2000)]
         paid: usize,
-        /// Members of the group at most, in the cores
+        /// Maximum number of group members, for the measurement of cores
         #[arg(long, default_value_t = 1160)]
         members: usize,
-        /// Seconds after which what was asked is settled; answers are asked for over three times that
+        /// Seconds to wait until requests have settled; answers are measured over three times as long
         #[arg(long, default_value_t = 1.0)]
         settle: f64,
     },
-    /// Kilobytes of memory that each of so many sessions kept, or records in common, takes
+    /// Measure the memory in kilobytes that each of COUNT sessions or records takes
     #[command(hide = true)]
     Weigh { what: String, count: usize },
-    /// What is named for faults planted in worlds of sessions
+    /// Evaluate which causes are named for faults planted in synthetic worlds of sessions
     Quality {
-        /// Worlds of each kind
+        /// Number of worlds of each kind
         #[arg(long, default_value_t = 200)]
         worlds: u64,
-        /// Sessions in a window
+        /// Number of sessions in a window
         #[arg(long, default_value_t = 4000)]
         sessions: u32,
-        /// The part of sessions that a fault makes stutter; may be given several times
+        /// Fraction of the affected sessions that a fault makes stall; may be repeated
         #[arg(long, default_values_t = [0.1, 0.2, 0.4])]
         size: Vec<f64>,
-        /// The same worlds from reports, as they should be and doubled, late, by wrong clocks and in floods
+        /// Compare worlds from undisturbed reports and from duplicated, late, wrongly dated and excessive
+        /// ones
         #[arg(long)]
         disturbed: bool,
     },
-    /// A responder that answers everything with one manifest
+    /// Run an HTTP responder that answers every request with the same manifest
     #[command(hide = true)]
     Bare,
-    /// Play short, dense trials of viewing managers under faults drawn from seeds; exits with 1 where a rule is broken
+    /// Play short, dense trials of viewing managers under faults drawn from seeds; exits with 1 if a rule
+    /// is violated
     Soak {
-        /// The first seed and the last
+        /// First and last seed
         #[arg(long, num_args = 2, default_values_t = [1, 10])]
         seeds: Vec<u64>,
-        /// Trials at once
+        /// Number of concurrent trials
         #[arg(long, default_value_t = 3)]
         jobs: usize,
-        /// A program whose `node FILE` is the manager; this build's if left out
+        /// Program whose `node FILE` starts a manager [default: this program]
         #[arg(long)]
         manager: Option<PathBuf>,
-        /// Where managers' logs stay; nowhere if left out
+        /// Directory in which managers' logs are kept [default: not kept]
         #[arg(long)]
         keep: Option<PathBuf>,
-        /// Only print what the first seed draws
+        /// Only print the plan that the first seed draws
         #[arg(long)]
         plan: bool,
     },
-    /// A viewing manager in a process of its own, for soaks
+    /// Run one viewing manager for `soak`
     #[command(hide = true)]
     Node { config: PathBuf },
-    /// A manager in a process of its own, for days
+    /// Run one manager for `day`
     #[command(hide = true)]
     Run {
         settings: PathBuf,
-        /// Plain random choice in the module's place
+        /// Replace the decision module by random choice
         #[arg(long)]
         random: bool,
     },
@@ -188,42 +197,45 @@
     })
 }
 
-fn run(file: &Path, random: bool) -> Result<(), String> {
-    let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let settings = ivyward_daemon::read(&text).map_err(|faults| format!("{}: {faults:?}", file.display()))?;
+fn run(settings_path: &Path, random: bool) -> Result<(), String> {
+    let text = fs::read_to_string(settings_path).map_err(|e| format!("{}: {e}", settings_path.display()))?;
+    let settings =
+        ivyward_daemon::read(&text).map_err(|faults| format!("{}: {faults:?}", settings_path.display()))?;
     let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
     let (_log, dropped) = ivyward_daemon::log::start(filter, false);
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-        let mut hup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-        let mut jump = signal(SignalKind::user_defined1()).map_err(|e| e.to_string())?;
-        let (tell, texts) = tokio::sync::mpsc::unbounded_channel();
-        let ahead = std::rc::Rc::new(std::cell::Cell::new(false));
-        let jumped = ahead.clone();
-        // The clock of a day's manager jumps an hour when it is told to, and back.
+        let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
+        let mut hang_up = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
+        let mut user_signal = signal(SignalKind::user_defined1()).map_err(|e| e.to_string())?;
+        let (sender, receiver) = tokio::sync::mpsc::unbounded_channel();
+        let is_clock_shifted = std::rc::Rc::new(std::cell::Cell::new(false));
+        let clock_shifted = is_clock_shifted.clone();
+        // SIGUSR1 shifts the manager's clock by an hour, and back again.
         let clock = move || {
-            ivyward_daemon::date() + std::time::Duration::from_secs(if jumped.get() { 3600 } else { 0 })
+            ivyward_daemon::date()
+                + std::time::Duration::from_secs(if clock_shifted.get() { 3600 } else { 0 })
         };
-        let outside = ivyward_daemon::Outside { clock: std::rc::Rc::new(clock), dropped, texts: Some(texts) };
-        let again = file.to_path_buf();
-        let ended = async move {
+        let outside =
+            ivyward_daemon::Outside { clock: std::rc::Rc::new(clock), dropped, texts: Some(receiver) };
+        let path = settings_path.to_path_buf();
+        let until_ended = async move {
             loop {
                 tokio::select! {
-                    _ = term.recv() => return,
-                    _ = jump.recv() => ahead.set(!ahead.get()),
-                    _ = hup.recv() => drop(fs::read_to_string(&again).map(|text| tell.send(text))),
+                    _ = terminate.recv() => return,
+                    _ = user_signal.recv() => is_clock_shifted.set(!is_clock_shifted.get()),
+                    _ = hang_up.recv() => drop(fs::read_to_string(&path).map(|text| sender.send(text))),
                 }
             }
         };
         let policy: Box<dyn ivyward_session::Policy> = if random {
-            Box::new(ivyward_lab::day::random(&settings))
+            Box::new(ivyward_lab::day::random_policy(&settings))
         } else {
             Box::new(ivyward_daemon::setup::policy(&settings))
         };
-        let ready = |address| println!("listening {address}");
-        println!("{}", ivyward_daemon::manage_by(&settings, policy, ready, ended, outside).await?);
+        let on_ready = |address| println!("listening {address}");
+        println!("{}", ivyward_daemon::manage_by(&settings, policy, on_ready, until_ended, outside).await?);
         Ok(())
     })
 }
@@ -248,24 +260,25 @@
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
-fn history(seed: u64, spoilt: Option<&str>, record: Option<&Path>) -> Result<bool, String> {
-    use ivyward_lab::history::{SPOILT, play};
-    let all = SPOILT.map(|spoilt| format!("{spoilt:?}"));
-    let find = |name: &str| all.iter().position(|known| known == name).map(|i| SPOILT[i]);
-    let spoilt = match spoilt {
-        Some(name) => {
-            Some(find(name).ok_or_else(|| format!("--spoilt: {name} is none of {}", all.join(", ")))?)
-        }
+fn history(seed: u64, defect: Option<&str>, record: Option<&Path>) -> Result<bool, String> {
+    use ivyward_lab::history::{INJECTED_DEFECTS, play};
+    let defect_names = INJECTED_DEFECTS.map(|defect| format!("{defect:?}"));
+    let find_defect =
+        |name: &str| defect_names.iter().position(|known| known == name).map(|i| INJECTED_DEFECTS[i]);
+    let defect = match defect {
+        Some(name) => Some(find_defect(name).ok_or_else(|| {
+            format!("--spoilt: unknown defect {name}; use one of {}", defect_names.join(", "))
+        })?),
         None => None,
     };
-    let played = play(seed, spoilt);
+    let played = play(seed, defect);
     if let Some(file) = record {
         let text = ivyward_rules::write(&played.terms, &played.history);
         fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     let rules = ivyward_rules::judge(&played.terms, &played.history);
     print!("{}", ivyward_rules::table(&rules));
-    println!("left {}, assertions that failed in managers {}", played.left, played.breaches);
+    println!("left {}, assertions that failed in managers {}", played.leftover_count, played.violation_count);
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
@@ -278,25 +291,25 @@
     let weighed = match what {
         "sessions" => ivyward_lab::slopes::Weighed::Sessions,
         "records" => ivyward_lab::slopes::Weighed::Records,
-        _ => return Err(format!("{what}: is neither sessions nor records")),
+        _ => return Err(format!("weigh: unknown kind {what}; use sessions or records")),
     };
     println!("{}", ivyward_lab::slopes::weigh(weighed, count));
     Ok(())
 }
 
 fn soak(
-    seeds: &[u64], jobs: usize, (manager, keep): (Option<PathBuf>, Option<PathBuf>), plan: bool,
+    seeds: &[u64], jobs: usize, (manager, log_dir): (Option<PathBuf>, Option<PathBuf>), plan: bool,
 ) -> Result<bool, String> {
-    let [first, last] = seeds else { return Err("--seeds takes the first and the last".into()) };
+    let [first, last] = seeds else { return Err("--seeds needs the first and the last seed".into()) };
     if plan {
         println!("{}", ivyward_lab::soak::describe_plan(*first));
         return Ok(true);
     }
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let program = manager.as_deref().unwrap_or(&own);
-    let ask =
-        ivyward_lab::soak::SoakOptions { seeds: *first..=*last, jobs, program, log_dir: keep.as_deref() };
-    ivyward_lab::soak::run(&ask, |line| println!("{line}"))
+    let own_program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let program = manager.as_deref().unwrap_or(&own_program);
+    let options =
+        ivyward_lab::soak::SoakOptions { seeds: *first..=*last, jobs, program, log_dir: log_dir.as_deref() };
+    ivyward_lab::soak::run(&options, |line| println!("{line}"))
 }
 
 fn node(config: &Path) -> Result<(), String> {
@@ -312,47 +325,47 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().what {
-        What::Check { script } => read(&script).map(|_| {
+    let result = match Arguments::parse().command {
+        Command::Check { script } => read(&script).map(|_| {
             println!("{}: nothing wrong", script.display());
             true
         }),
-        What::Run { settings, random } => run(&settings, random).map(|()| true),
-        What::Growth { live, servers, against } => {
+        Command::Run { settings, random } => run(&settings, random).map(|()| true),
+        Command::Growth { live, servers, against } => {
             ivyward_lab::growth::table(&servers, &live, against.as_deref()).map(|table| {
                 print!("{table}");
                 true
             })
         }
-        What::Quality { worlds, sessions, size, disturbed } => {
+        Command::Quality { worlds, sessions, size, disturbed } => {
             if disturbed {
                 let size = size.last().copied().unwrap_or(0.4);
-                print!("{}", ivyward_lab::quality::disturbed(worlds, sessions, size));
+                print!("{}", ivyward_lab::quality::disturbed_table(worlds, sessions, size));
             } else {
                 print!("{}", ivyward_lab::quality::table(worlds, sessions, &size));
             }
             Ok(true)
         }
-        What::Scale { seed, managers, hollow, against, small, all_by_all } => {
+        Command::Scale { seed, managers, hollow, against, small, all_by_all } => {
             let (managers, hollow) = (&managers[..], &hollow[..]);
             let against = against.as_deref();
             ivyward_lab::scale::run(&Ask { seed, managers, hollow, against, small, all_by_all })
         }
-        What::Slopes { only, runs, most, rate, servers, paid, members, settle } => {
+        Command::Slopes { only, runs, most, rate, servers, paid, members, settle } => {
             let settle = std::time::Duration::from_secs_f64(settle.clamp(0.01, 60.0));
             let sizes = ivyward_lab::slopes::Sizes { runs, most, rate, servers, paid, members, settle };
             slopes(&only, &sizes).map(|()| true)
         }
-        What::Weigh { what, count } => weigh(&what, count).map(|()| true),
-        What::Bare => bare().map(|()| true),
-        What::Measure { script, rounds, viewings, connections } => {
+        Command::Weigh { what, count } => weigh(&what, count).map(|()| true),
+        Command::Bare => bare().map(|()| true),
+        Command::Measure { script, rounds, viewings, connections } => {
             measure(&script, rounds, viewings, connections).map(|()| true)
         }
-        What::Judge { history } => judge(&history),
-        What::Soak { seeds, jobs, manager, keep, plan } => soak(&seeds, jobs, (manager, keep), plan),
-        What::Node { config } => node(&config).map(|()| true),
-        What::History { seed, spoilt, record } => history(seed, spoilt.as_deref(), record.as_deref()),
-        What::Day { script, seed, manager, random, quiet, alone, length, logs, record } => read(&script)
+        Command::Judge { history } => judge(&history),
+        Command::Soak { seeds, jobs, manager, keep, plan } => soak(&seeds, jobs, (manager, keep), plan),
+        Command::Node { config } => node(&config).map(|()| true),
+        Command::History { seed, spoilt, record } => history(seed, spoilt.as_deref(), record.as_deref()),
+        Command::Day { script, seed, manager, random, quiet, alone, length, logs, record } => read(&script)
             .and_then(|mut script| {
                 if let Some(length) = length {
                     script.put_number("length_s", length);
@@ -368,10 +381,10 @@
                 let verdict =
                     ivyward_lab::day::play(&script, seed, program, (logs.as_deref(), record.as_deref()))?;
                 print!("{verdict}");
-                Ok(verdict.kept())
+                Ok(verdict.passed())
             }),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -1,4 +1,4 @@
-//! Real manager processes of a day: started, killed outright, started anew, and ended.
+//! Manager processes of a day: starts, kills, restarts and ends them.
 
 use ivyward_daemon::{Ended, setup};
 use ivyward_fault_proxy::{Fault, FaultProxy};
@@ -15,244 +15,267 @@
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// A manager must have come up within this, and have ended after being told to.
-const UP: Duration = Duration::from_secs(20);
-const DOWN: Duration = Duration::from_secs(20);
+/// How long a process may take to report its address.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a manager may take to end after SIGTERM.
+const END_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Managers that speak with each other: where each listens, and a path from each to each other.
+/// The connections between managers: where each one listens for its peers, and a fault proxy on the path from
+/// each manager to each other one.
 pub struct Speaking {
-    listens: Vec<SocketAddr>,
-    paths: BTreeMap<(usize, usize), FaultProxy>,
+    listen_addresses: Vec<SocketAddr>,
+    proxies: BTreeMap<(usize, usize), FaultProxy>,
 }
 
 impl Speaking {
+    /// Opens the paths between managers.
+    ///
     /// # Errors
-    /// No socket is to be had.
+    /// No socket is available.
     pub async fn open(managers: usize) -> Result<Speaking, String> {
-        let listens = (0..managers).map(|_| free_port()).collect::<Result<Vec<_>, _>>()?;
-        let mut paths = BTreeMap::new();
+        let listen_addresses = (0..managers).map(|_| free_port()).collect::<Result<Vec<_>, _>>()?;
+        let mut proxies = BTreeMap::new();
         for from in 0..managers {
-            for (to, address) in listens.iter().enumerate().filter(|(to, _)| *to != from) {
-                let path = FaultProxy::open(*address).await.map_err(|e| format!("a path: {e}"))?;
-                paths.insert((from, to), path);
+            for (to, address) in listen_addresses.iter().enumerate().filter(|(to, _)| *to != from) {
+                let path = FaultProxy::open(*address)
+                    .await
+                    .map_err(|e| format!("opening a path between managers: {e}"))?;
+                proxies.insert((from, to), path);
             }
         }
-        Ok(Speaking { listens, paths })
+        Ok(Speaking { listen_addresses, proxies })
     }
 
-    /// The settings of one of them.
-    fn text(&self, i: usize) -> String {
-        let member = |to: usize| {
-            let address = self.paths.get(&(i, to)).map_or(self.listens[to], |path| path.address);
-            format!("member {{ name: \"m{}\" address: \"{address}\" }}\n", to + 1)
+    /// Returns the `peers` settings of one manager as text.
+    fn settings_text(&self, index: usize) -> String {
+        let member = |peer: usize| {
+            let address =
+                self.proxies.get(&(index, peer)).map_or(self.listen_addresses[peer], |path| path.address);
+            format!("member {{ name: \"m{}\" address: \"{address}\" }}\n", peer + 1)
         };
-        let members: String = (0..self.listens.len()).map(member).collect();
-        format!("\npeers {{ listen: \"{}\"\n{members}}}\n", self.listens[i])
+        let members: String = (0..self.listen_addresses.len()).map(member).collect();
+        format!("\npeers {{ listen: \"{}\"\n{members}}}\n", self.listen_addresses[index])
     }
 
-    /// What paths between those and the others do.
-    pub fn between(&self, side: &[usize], fault: Fault) {
-        let parted = self.paths.iter().filter(|((a, b), _)| side.contains(a) != side.contains(b));
-        parted.for_each(|(_, path)| path.set_fault(fault));
+    /// Sets the fault on all paths between the managers of `side` and the others.
+    pub fn set_fault_between(&self, side: &[usize], fault: Fault) {
+        let crossing_paths =
+            self.proxies.iter().filter(|((from, to), _)| side.contains(from) != side.contains(to));
+        crossing_paths.for_each(|(_, path)| path.set_fault(fault));
     }
 }
 
-/// A process that runs, and what it says.
+/// A running process, and the lines that it prints.
 pub type Process = (Child, Lines<BufReader<ChildStdout>>);
 
-/// One manager over its processes.
+/// One manager, over all processes that it runs in.
 pub struct Manager {
     pub name: String,
     pub address: SocketAddr,
-    /// Where its operators' pages are.
+    /// The address of its console.
     pub console: SocketAddr,
-    file: PathBuf,
+    settings_file: PathBuf,
     program: PathBuf,
     random: bool,
-    log: Option<PathBuf>,
+    log_file: Option<PathBuf>,
     process: RefCell<Option<Process>>,
-    /// When it was killed, and up again.
-    pub gaps: RefCell<Vec<(Duration, Option<Duration>)>>,
+    /// When the manager was killed, and when it was up again.
+    pub outages: RefCell<Vec<(Duration, Option<Duration>)>>,
     settings: RefCell<Section>,
-    begun: Instant,
+    started_at: Instant,
 }
 
-pub(crate) async fn signal(id: u32, name: &str) -> bool {
-    let told = Command::new("kill").arg(format!("-{name}")).arg(id.to_string()).status().await;
-    told.is_ok_and(|told| told.success())
+/// Sends a signal to a process; false if that failed.
+pub(crate) async fn signal(process_id: u32, name: &str) -> bool {
+    let status = Command::new("kill").arg(format!("-{name}")).arg(process_id.to_string()).status().await;
+    status.is_ok_and(|status| status.success())
 }
 
-/// An address on loopback that nothing listened at a moment ago.
+/// Finds a loopback address that is free at the moment.
 fn free_port() -> Result<SocketAddr, String> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
     listener.local_addr().map_err(|e| e.to_string())
 }
 
-/// The number after a word of a line.
-fn after(line: &str, word: &str) -> Option<u64> {
-    line.split(' ').skip_while(|at| *at != word).nth(1)?.parse().ok()
+/// Returns the number that follows a label in a line.
+fn number_after_label(line: &str, label: &str) -> Option<u64> {
+    line.split(' ').skip_while(|word| *word != label).nth(1)?.parse().ok()
 }
 
-async fn start(
-    (program, random): (&std::path::Path, bool), file: &std::path::Path, log: Option<&std::path::Path>,
+/// Starts a manager process with its settings file, and returns it with its address.
+async fn start_process(
+    (program, random): (&std::path::Path, bool), settings_file: &std::path::Path,
+    log_file: Option<&std::path::Path>,
 ) -> Result<(Process, SocketAddr), String> {
-    let errors = match log {
-        Some(log) => {
-            let opened = File::options().create(true).append(true).open(log);
-            opened.map_err(|e| format!("{}: {e}", log.display()))?.into()
+    let stderr = match log_file {
+        Some(log_file) => {
+            let opened = File::options().create(true).append(true).open(log_file);
+            opened.map_err(|e| format!("{}: {e}", log_file.display()))?.into()
         }
         None => Stdio::null(),
     };
     let mut command = Command::new(program);
-    command.arg("run").arg(file).args(random.then_some("--random")).stderr(errors);
+    command.arg("run").arg(settings_file).args(random.then_some("--random")).stderr(stderr);
     up(command).await
 }
 
-/// Starts a process that says where it listens.
+/// Starts a process that prints `listening ADDRESS` first.
 ///
 /// # Errors
-/// It didn't come up, or said something else.
+/// The process didn't start in time, or printed something else.
 pub async fn up(mut command: Command) -> Result<(Process, SocketAddr), String> {
     command.stdin(Stdio::null()).stdout(Stdio::piped()).kill_on_drop(true);
     let mut process = command.spawn().map_err(|e| format!("{:?}: {e}", command.as_std().get_program()))?;
-    let lines = process.stdout.take().ok_or("no output")?;
+    let lines = process.stdout.take().ok_or("a process was started without standard output")?;
     let mut lines = BufReader::new(lines).lines();
-    let line = timeout(UP, lines.next_line()).await.map_err(|_| "a process did not come up".to_string())?;
-    let line = line.map_err(|e| e.to_string())?.ok_or("a process ended at its start")?;
+    let line = timeout(START_TIMEOUT, lines.next_line())
+        .await
+        .map_err(|_| "a process did not report its address in time".to_string())?;
+    let line = line.map_err(|e| e.to_string())?.ok_or("a process ended before it reported its address")?;
     let address = line.strip_prefix("listening ").and_then(|address| address.parse().ok());
-    let address = address.ok_or_else(|| format!("a process said {line:?}"))?;
+    let address =
+        address.ok_or_else(|| format!("a process printed {line:?} instead of `listening ADDRESS`"))?;
     Ok(((process, lines), address))
 }
 
 impl Manager {
-    /// Starts the `i`-th of `siblings` managers over the list at `list`, and speaking with the others if they do; its files
-    /// go into `dir`.
+    /// Starts manager `index` of `manager_count` with the server list at `list_address`, connected to its
+    /// peers if there are paths. Its files go into `directory`.
     ///
     /// # Errors
-    /// It didn't come up.
+    /// The manager didn't start.
     pub async fn start(
-        settings: &Section, (i, siblings): (usize, usize), seed: u64,
-        (list, speaking): (SocketAddr, Option<&Speaking>), dir: &std::path::Path,
-        (program, random): (&std::path::Path, bool), logs: Option<&std::path::Path>, begun: Instant,
+        settings: &Section, (index, manager_count): (usize, usize), seed: u64,
+        (list_address, peer_paths): (SocketAddr, Option<&Speaking>), directory: &std::path::Path,
+        (program, random): (&std::path::Path, bool), logs: Option<&std::path::Path>, started_at: Instant,
     ) -> Result<Manager, String> {
-        let name = format!("m{}", i + 1);
-        let (mut settings, mut manager) = (settings.clone(), settings.section("manager"));
-        manager.put_text("name", &name);
-        manager.put_text("listen", "127.0.0.1:0");
+        let name = format!("m{}", index + 1);
+        let (mut settings, mut manager_settings) = (settings.clone(), settings.section("manager"));
+        manager_settings.put_text("name", &name);
+        manager_settings.put_text("listen", "127.0.0.1:0");
         let console = free_port()?;
-        manager.put_text("console", &console.to_string());
-        manager.put_text("state_dir", &dir.join(&name).to_string_lossy());
-        manager.put_whole("seed", seed.wrapping_mul(1000).wrapping_add(i as u64));
-        manager.put_whole("siblings", siblings as u64);
-        settings.put("manager", manager.clone());
-        settings.put_text("list_address", &list.to_string());
-        if let Some(speaking) = speaking {
-            let text = settings.to_text() + &speaking.text(i);
+        manager_settings.put_text("console", &console.to_string());
+        manager_settings.put_text("state_dir", &directory.join(&name).to_string_lossy());
+        manager_settings.put_whole("seed", seed.wrapping_mul(1000).wrapping_add(index as u64));
+        manager_settings.put_whole("siblings", manager_count as u64);
+        settings.put("manager", manager_settings.clone());
+        settings.put_text("list_address", &list_address.to_string());
+        if let Some(peer_paths) = peer_paths {
+            let text = settings.to_text() + &peer_paths.settings_text(index);
             settings = ivyward_settings::read("Settings", &text).map_err(|faults| format!("{faults:?}"))?;
             Store::create(&settings.section("manager").text("state_dir"), &setup::group(&settings))?;
         }
-        let file = dir.join(format!("{name}.txtpb"));
+        let settings_file = directory.join(format!("{name}.txtpb"));
         let write = |settings: &Section| {
-            fs::write(&file, settings.to_text()).map_err(|e| format!("{}: {e}", file.display()))
+            fs::write(&settings_file, settings.to_text())
+                .map_err(|e| format!("{}: {e}", settings_file.display()))
         };
         write(&settings)?;
-        let log = logs.map(|logs| logs.join(format!("{name}.log")));
-        let (process, address) = start((program, random), &file, log.as_deref()).await?;
-        // It comes back at the same address.
-        manager.put_text("listen", &address.to_string());
-        settings.put("manager", manager);
+        let log_file = logs.map(|logs| logs.join(format!("{name}.log")));
+        let (process, address) =
+            start_process((program, random), &settings_file, log_file.as_deref()).await?;
+        // After a restart the manager listens at the same address.
+        manager_settings.put_text("listen", &address.to_string());
+        settings.put("manager", manager_settings);
         write(&settings)?;
         Ok(Manager {
             name,
             console,
             address,
-            file,
+            settings_file,
             program: program.into(),
             random,
-            log,
+            log_file,
             process: RefCell::new(Some(process)),
-            gaps: RefCell::default(),
+            outages: RefCell::default(),
             settings: RefCell::new(settings),
-            begun,
+            started_at,
         })
     }
 
-    /// Its process, while it runs.
+    /// Returns the id of its process, while it runs.
     pub fn id(&self) -> Option<u32> {
         self.process.borrow().as_ref().and_then(|(process, _)| process.id())
     }
 
-    /// Killed outright, and started anew after a span.
+    /// Kills the process, and restarts it after `down_for`.
     ///
     /// # Errors
-    /// It didn't come up again.
-    pub async fn kill(&self, down: Duration) -> Result<(), String> {
+    /// The manager didn't restart.
+    pub async fn kill(&self, down_for: Duration) -> Result<(), String> {
         let Some((mut process, _)) = self.process.take() else { return Ok(()) };
-        self.gaps.borrow_mut().push((self.begun.elapsed(), None));
+        self.outages.borrow_mut().push((self.started_at.elapsed(), None));
         process.kill().await.map_err(|e| e.to_string())?;
-        sleep(down).await;
-        let (process, _) = start((&self.program, self.random), &self.file, self.log.as_deref()).await?;
+        sleep(down_for).await;
+        let (process, _) =
+            start_process((&self.program, self.random), &self.settings_file, self.log_file.as_deref())
+                .await?;
         *self.process.borrow_mut() = Some(process);
-        if let Some(gap) = self.gaps.borrow_mut().last_mut() {
-            gap.1 = Some(self.begun.elapsed());
+        if let Some(outage) = self.outages.borrow_mut().last_mut() {
+            outage.1 = Some(self.started_at.elapsed());
         }
         Ok(())
     }
 
-    /// Given other tokens in its settings, which it reads anew.
+    /// Replaces the `tokens` settings, and lets the process reload its settings.
     ///
     /// # Errors
-    /// The file can't be written, or the process can't be told.
-    pub async fn tokens(&self, tokens: Section) -> Result<(), String> {
+    /// The file can't be written, or the process can't be signalled.
+    pub async fn set_tokens(&self, tokens: Section) -> Result<(), String> {
         let text = {
             let mut settings = self.settings.borrow_mut();
             settings.put("tokens", tokens);
             settings.to_text()
         };
-        fs::write(&self.file, text).map_err(|e| format!("{}: {e}", self.file.display()))?;
-        // One that is down reads them at its start.
+        fs::write(&self.settings_file, text).map_err(|e| format!("{}: {e}", self.settings_file.display()))?;
+        // A killed manager reads the settings when it restarts.
         match self.id() {
-            Some(id) if !signal(id, "HUP").await => Err(format!("{}: can't be told", self.name)),
+            Some(process_id) if !signal(process_id, "HUP").await => {
+                Err(format!("{}: SIGHUP failed, so it still uses its old tokens", self.name))
+            }
             _ => Ok(()),
         }
     }
 
-    /// Its clock jumps an hour ahead, or back.
-    pub async fn jump(&self) {
-        if let Some(id) = self.id() {
-            signal(id, "USR1").await;
+    /// Shifts the clock of the process by an hour, or back again.
+    pub async fn shift_clock(&self) {
+        if let Some(process_id) = self.id() {
+            signal(process_id, "USR1").await;
         }
     }
 
-    /// Kilobytes of memory that its process holds, and its open files.
-    pub fn holds(&self) -> Option<(u64, usize)> {
-        let id = self.id()?;
-        let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+    /// Returns the resident memory of the process in kilobytes, and its number of open files.
+    pub fn resource_usage(&self) -> Option<(u64, usize)> {
+        let process_id = self.id()?;
+        let status = fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
-        let kb = line.trim().trim_end_matches(" kB").parse().ok()?;
-        Some((kb, fs::read_dir(format!("/proc/{id}/fd")).ok()?.count()))
+        let memory_kb = line.trim().trim_end_matches(" kB").parse().ok()?;
+        Some((memory_kb, fs::read_dir(format!("/proc/{process_id}/fd")).ok()?.count()))
     }
 
-    /// Told to end: what it came to, if it ended with nothing left unanswered.
+    /// Ends the process with SIGTERM, and returns its end report if it ended cleanly, with nothing
+    /// unanswered.
     pub async fn end(&self) -> Option<Ended> {
         let (mut process, mut lines) = self.process.take()?;
-        let told = signal(process.id()?, "TERM").await;
-        let ended = timeout(DOWN, process.wait()).await;
-        let well = told && ended.is_ok_and(|ended| ended.is_ok_and(|ended| ended.success()));
-        let (mut came, mut any) = (Ended::default(), false);
+        let signalled = signal(process.id()?, "TERM").await;
+        let ended = timeout(END_TIMEOUT, process.wait()).await;
+        let ended_cleanly = signalled && ended.is_ok_and(|ended| ended.is_ok_and(|ended| ended.success()));
+        let (mut report, mut has_report) = (Ended::default(), false);
         while let Ok(Some(line)) = lines.next_line().await {
-            let of = |word| after(&line, word);
-            if let Some(breaches) = of("breaches") {
-                (came.breaches, any) = (breaches, true);
+            let number_after = |label| number_after_label(&line, label);
+            if let Some(breaches) = number_after("breaches") {
+                (report.breaches, has_report) = (breaches, true);
             } else if line.starts_with("left ") {
-                let count = |word| of(word).unwrap_or_default() as usize;
-                (came.viewings, came.timers) = (count("viewings"), count("timers"));
-                (came.connections, came.places) = (count("connections"), count("places"));
+                let count = |label| number_after(label).unwrap_or_default() as usize;
+                (report.viewings, report.timers) = (count("viewings"), count("timers"));
+                (report.connections, report.places) = (count("connections"), count("places"));
             } else if line.starts_with("found ") {
-                (came.orphans, came.taken_over) =
-                    (of("orphans").unwrap_or_default(), of("taken-over").unwrap_or_default());
+                (report.orphans, report.taken_over) = (
+                    number_after("orphans").unwrap_or_default(),
+                    number_after("taken-over").unwrap_or_default(),
+                );
             }
         }
-        Some(came).filter(|_| well && any)
+        Some(report).filter(|_| ended_cleanly && has_report)
     }
 }
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -1,6 +1,6 @@
-//! What of a day is no rule's, scripts, reports, and what a placement costs.
+//! Tests of verdicts beyond the rules, of scripts, of reports, and of the cost of a placement.
 
-use crate::trouble::Played;
+use crate::trouble::PlayedTrouble;
 use crate::verdict::judge;
 use ivyward_daemon::Ended;
 use ivyward_fleet::{Cold, ManagerNo, ServerNo, TuneInKey};
@@ -12,19 +12,23 @@
 }
 
 #[test]
-fn a_manager_that_ends_badly_breaks_the_day_and_troubles_are_counted() {
-    let cold = Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) };
+fn an_unclean_manager_end_fails_the_day_and_trouble_effects_are_counted() {
+    let slow_start = Cold { from: 0.4, warm_up: ms(10_000), multiple: 2.0, fall: ms(1000) };
     let terms = Terms {
         packages: vec![],
         grace: ms(250),
         retry_budget: None,
         slack: ms(100),
         time_tolerance: ms(10),
-        slow_start: (cold, 100),
+        slow_start: (slow_start, 100),
     };
-    for (breaches, kept) in [(Some(0), true), (Some(1), false), (None, false)] {
-        let ended = breaches.map(|breaches| Ended { breaches, ..Default::default() });
-        assert_eq!(judge(&terms, &History::default(), &[], &[ended], &[]).kept(), kept, "{breaches:?}");
+    for (breaches, passes) in [(Some(0), true), (Some(1), false), (None, false)] {
+        let end_report = breaches.map(|breaches| Ended { breaches, ..Default::default() });
+        assert_eq!(
+            judge(&terms, &History::default(), &[], &[end_report], &[]).passed(),
+            passes,
+            "{breaches:?}"
+        );
     }
     let (server, key) =
         (ServerNo(0), |viewing_id| TuneInKey { manager: ManagerNo(0), incarnation: 1, viewing_id, n: 0 });
@@ -54,19 +58,28 @@
     let terms = Terms { packages: vec![package("clip")], ..terms };
     let played = |kind: &str, servers: &[usize]| {
         let servers = servers.iter().map(|at| ServerNo(*at)).collect();
-        Played { kind: kind.into(), from: ms(0), until: ms(500), servers, managers: vec![], racks: vec![] }
+        PlayedTrouble {
+            kind: kind.into(),
+            from: ms(0),
+            until: ms(500),
+            servers,
+            managers: vec![],
+            racks: vec![],
+        }
     };
-    let all = [played("FREEZE", &[0]), played("FREEZE", &[1]), played("BREAK", &[0]), played("CRASH", &[0])];
-    let verdict = judge(&terms, &History { records, ..Default::default() }, &[], &[None], &all);
-    let acted: Vec<_> = verdict.troubles.iter().map(|trouble| trouble.1).collect();
-    assert_eq!(acted, [1, 0, 1, 0]);
+    let played_troubles =
+        [played("FREEZE", &[0]), played("FREEZE", &[1]), played("BREAK", &[0]), played("CRASH", &[0])];
+    let verdict = judge(&terms, &History { records, ..Default::default() }, &[], &[None], &played_troubles);
+    let effect_counts: Vec<_> = verdict.troubles.iter().map(|trouble| trouble.1).collect();
+    assert_eq!(effect_counts, [1, 0, 1, 0]);
 }
 
 #[test]
-fn scripts_are_read_with_their_faults() {
+fn faults_in_scripts_are_reported_with_their_field() {
     let quiet = include_str!("../../../days/quiet.txtpb");
-    let all = [quiet, include_str!("../../../days/bad-day.txtpb"), include_str!("../../../days/burst.txtpb")];
-    all.iter().for_each(|text| drop(crate::day::read(text).expect("a script")));
+    let scripts =
+        [quiet, include_str!("../../../days/bad-day.txtpb"), include_str!("../../../days/burst.txtpb")];
+    scripts.iter().for_each(|text| drop(crate::day::read(text).expect("a script")));
     let cases = [
         ("length_s: 30", "length_s: 0", "length_s"),
         ("share: [3, 5, 2]", "share: [3, 5]", "viewers.package_share"),
@@ -87,14 +100,15 @@
 }
 
 #[test]
-fn reports_doubled_late_and_in_floods_change_no_name() {
-    use crate::quality::{Kind, reported, world};
+fn duplicated_late_and_excessive_reports_change_no_named_cause() {
+    use crate::quality::{Kind, reported_window, world};
     for kind in [Kind::Rack, Kind::Tenant, Kind::Exclusive] {
         for seed in 0..2 {
-            let [plain, other] = [false, true].map(|disturbed| reported(kind, seed, 3000, 0.5, disturbed));
+            let [undisturbed, disturbed_window] =
+                [false, true].map(|disturbed| reported_window(kind, seed, 3000, 0.5, disturbed));
             let planted = world(kind, seed, 3000, 0.5).1;
-            for window in [&plain, &other] {
-                // Networks whose players always stutter may be named beside it.
+            for window in [&undisturbed, &disturbed_window] {
+                // Poor networks, whose players stall in every world, may be named too.
                 let named: Vec<_> = ivyward_quality::blame(&window.stalls)
                     .into_iter()
                     .map(|blame| (blame.factor, blame.level))
@@ -102,22 +116,23 @@
                     .collect();
                 assert_eq!(named, planted, "{kind:?}, seed {seed}");
             }
-            let [before, after] = [&plain, &other].map(|window| window.stalls.whole());
+            let [before, after] = [&undisturbed, &disturbed_window].map(|window| window.stalls.whole());
             assert_eq!(before.count, after.count);
-            let moved = (after.mean() / before.mean() - 1.0).abs();
-            assert!(moved < 0.03, "{kind:?}, seed {seed}: {moved}");
+            let relative_change = (after.mean() / before.mean() - 1.0).abs();
+            assert!(relative_change < 0.03, "{kind:?}, seed {seed}: {relative_change}");
         }
     }
 }
 
 #[test]
-fn a_placement_costs_the_same_at_ten_times_the_servers() {
-    // Servers, live viewings; how many times the entries gone through at 200 servers and 400 viewings it may be.
-    let base = crate::growth::cost(200, 400);
-    for (servers, live, most) in [(2000, 400, 1.2), (2000, 4000, 1.2)] {
-        let cost = crate::growth::cost(servers, live);
-        let times = cost.entries / base.entries;
-        assert!(times <= most, "{servers} servers, {live} viewings: {times:.2} times the entries");
-        assert!(cost.held <= 11 * base.held, "{} entries held against {}", cost.held, base.held);
+fn the_cost_of_a_placement_does_not_grow_with_the_number_of_servers() {
+    // Servers, live viewings, and the maximum ratio of visited entries to those at 200 servers and 400
+    // viewings.
+    let base_cost = crate::growth::cost(200, 400);
+    for (servers, viewings, max_ratio) in [(2000, 400, 1.2), (2000, 4000, 1.2)] {
+        let cost = crate::growth::cost(servers, viewings);
+        let ratio = cost.entries / base_cost.entries;
+        assert!(ratio <= max_ratio, "{servers} servers, {viewings} viewings: {ratio:.2} times the entries");
+        assert!(cost.held <= 11 * base_cost.held, "{} entries held against {}", cost.held, base_cost.held);
     }
 }
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -1,4 +1,4 @@
-//! What goes wrong on a day: each trouble of the script at its time, on what the seed draws.
+//! Plays the troubles of a day's script at their times, on targets that the seed draws.
 
 use crate::managers::{Manager, Speaking};
 use ivyward_fault_proxy::Fault;
@@ -14,221 +14,265 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A trouble as it was played.
+/// A trouble with the targets and times that were drawn for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Played {
+pub struct PlayedTrouble {
     pub kind: String,
     pub from: Duration,
     pub until: Duration,
-    /// The servers it took; none where it took racks or managers, or the list.
+    /// The affected servers; empty if the trouble affects racks, managers or the list.
     pub servers: Vec<ServerNo>,
     pub managers: Vec<usize>,
     pub racks: Vec<usize>,
 }
 
-fn part_of<T>(all: Vec<T>, part: f64, chance: &mut Pcg64Mcg) -> Vec<T> {
-    let mut all = all;
-    all.shuffle(chance);
-    let count = (all.len() as f64 * part).round().max(1.0) as usize;
-    all.truncate(count);
-    all
+/// Draws a fraction of `items`, at least one.
+fn draw_fraction<T>(items: Vec<T>, fraction: f64, rng: &mut Pcg64Mcg) -> Vec<T> {
+    let mut items = items;
+    items.shuffle(rng);
+    let count = (items.len() as f64 * fraction).round().max(1.0) as usize;
+    items.truncate(count);
+    items
 }
 
-/// Plays all troubles of a day that begins at `begin`; what each takes is drawn here, so that it is known beforehand.
+/// Starts playing all troubles of a day whose viewers start at `day_start`.
+///
+/// The targets of all troubles are drawn here, so that the caller knows them beforehand.
 pub fn play(
     troubles: &[Section], seed: u64, standins: &Standins,
-    (managers, speaking): (&Rc<Vec<Manager>>, Option<Rc<Speaking>>), tokens: &Section,
-    (begun, begin): (Instant, Duration),
-) -> Vec<Played> {
-    let mut all = vec![];
-    for (i, trouble) in troubles.iter().enumerate() {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(i as u64));
+    (managers, peer_paths): (&Rc<Vec<Manager>>, Option<Rc<Speaking>>), tokens: &Section,
+    (started_at, day_start): (Instant, Duration),
+) -> Vec<PlayedTrouble> {
+    let mut played_troubles = vec![];
+    for (index, trouble) in troubles.iter().enumerate() {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(index as u64));
         let kind = trouble.enum_name("kind");
-        let (from, len) = (begin + trouble.duration("at_s"), trouble.duration("len_s"));
-        let (part, size, extra) = (trouble.number("part"), trouble.number("size"), trouble.duration("extra"));
-        let mut servers: Vec<_> = standins.model(|fleet| fleet.boxes().collect());
-        let (mut taken, mut racks) = (vec![], vec![]);
+        let (from, duration) = (day_start + trouble.duration("at_s"), trouble.duration("len_s"));
+        let (fraction, size, extra) =
+            (trouble.number("part"), trouble.number("size"), trouble.duration("extra"));
+        let mut target_servers: Vec<_> = standins.model(|fleet| fleet.boxes().collect());
+        let (mut target_managers, mut target_racks) = (vec![], vec![]);
         match kind.as_str() {
-            "LIST_LATE" | "BURST" | "NOTES_LATE" | "KEY_CHANGE" => servers.clear(),
+            "LIST_LATE" | "BURST" | "NOTES_LATE" | "KEY_CHANGE" => target_servers.clear(),
             "UPLINK" => {
-                servers.clear();
-                racks = part_of((0..standins.model(|fleet| fleet.racks())).collect(), part, &mut chance);
+                target_servers.clear();
+                target_racks =
+                    draw_fraction((0..standins.model(|fleet| fleet.racks())).collect(), fraction, &mut rng);
             }
             "MANAGER_KILL" | "MANAGER_CLOCK" | "PEERS_CUT" => {
-                servers.clear();
-                taken = part_of((0..managers.len()).collect(), part, &mut chance);
+                target_servers.clear();
+                target_managers = draw_fraction((0..managers.len()).collect(), fraction, &mut rng);
             }
-            _ => servers = part_of(servers, part, &mut chance),
+            _ => target_servers = draw_fraction(target_servers, fraction, &mut rng),
         }
-        let until = from + len;
-        all.push(Played {
+        let until = from + duration;
+        played_troubles.push(PlayedTrouble {
             kind: kind.clone(),
             from,
             until,
-            servers: servers.clone(),
-            managers: taken.clone(),
-            racks: racks.clone(),
+            servers: target_servers.clone(),
+            managers: target_managers.clone(),
+            racks: target_racks.clone(),
         });
         let (standins, managers) = (standins.clone(), managers.clone());
-        if let Some(speaking) = speaking.clone().filter(|_| kind == "PEERS_CUT") {
+        if let Some(peer_paths) = peer_paths.clone().filter(|_| kind == "PEERS_CUT") {
             let path_fault = if size == 1.0 { Fault::Reset } else { Fault::Stall };
             spawn_local(async move {
-                sleep_until(begun + from).await;
-                speaking.between(&taken, path_fault);
-                sleep(len).await;
-                speaking.between(&taken, Fault::Forward);
+                sleep_until(started_at + from).await;
+                peer_paths.set_fault_between(&target_managers, path_fault);
+                sleep(duration).await;
+                peer_paths.set_fault_between(&target_managers, Fault::Forward);
             });
             continue;
         }
         if kind == "KEY_CHANGE" {
             let tokens = tokens.clone();
             spawn_local(async move {
-                sleep_until(begun + from).await;
-                key_change(&standins, &managers, &tokens, len / 3).await;
+                sleep_until(started_at + from).await;
+                change_keys(&standins, &managers, &tokens, duration / 3).await;
             });
             continue;
         }
         spawn_local(async move {
-            sleep_until(begun + from).await;
-            run(&kind, &standins, &managers, (servers, taken, racks), (size, extra, len), chance).await;
+            sleep_until(started_at + from).await;
+            run_trouble(
+                &kind,
+                &standins,
+                &managers,
+                (target_servers, target_managers, target_racks),
+                (size, extra, duration),
+                rng,
+            )
+            .await;
         });
     }
-    all
+    played_troubles
 }
 
-async fn run(
+/// Plays one trouble from its beginning to its end.
+async fn run_trouble(
     kind: &str, standins: &Standins, managers: &Rc<Vec<Manager>>,
-    (servers, taken, racks): (Vec<ServerNo>, Vec<usize>, Vec<usize>),
-    (size, extra, len): (f64, Duration, Duration), mut chance: Pcg64Mcg,
+    (target_servers, target_managers, target_racks): (Vec<ServerNo>, Vec<usize>, Vec<usize>),
+    (size, extra, duration): (f64, Duration, Duration), mut rng: Pcg64Mcg,
 ) {
-    let each = |with: &dyn Fn(ServerNo)| servers.iter().for_each(|at| with(*at));
+    let for_each_server =
+        |action: &dyn Fn(ServerNo)| target_servers.iter().for_each(|server| action(*server));
     match kind {
         "FREEZE" => {
-            each(&|at| standins.freeze(at));
-            sleep(len).await;
-            each(&|at| standins.thaw(at));
+            for_each_server(&|server| standins.freeze(server));
+            sleep(duration).await;
+            for_each_server(&|server| standins.thaw(server));
         }
         "CRASH" => {
-            each(&|at| standins.crash(at));
-            sleep(len).await;
-            each(&|at| standins.start(at));
+            for_each_server(&|server| standins.crash(server));
+            sleep(duration).await;
+            for_each_server(&|server| standins.start(server));
         }
         "VANISH" => {
-            each(&|at| standins.vanish(at));
-            sleep(len).await;
-            each(&|at| standins.crash(at));
-            each(&|at| standins.start(at));
+            for_each_server(&|server| standins.vanish(server));
+            sleep(duration).await;
+            for_each_server(&|server| standins.crash(server));
+            for_each_server(&|server| standins.start(server));
         }
         "DEPLOY" => {
-            let batch = ((servers.len() as f64 * size.min(1.0)).ceil() as usize).max(1);
-            let batches = servers.len().div_ceil(batch) as u32;
-            for batch in servers.chunks(batch) {
-                batch.iter().for_each(|at| standins.drain(*at));
-                let (next, standins, batch) =
-                    (Instant::now() + len / batches, standins.clone(), batch.to_vec());
+            let batch = ((target_servers.len() as f64 * size.min(1.0)).ceil() as usize).max(1);
+            let batches = target_servers.len().div_ceil(batch) as u32;
+            for batch in target_servers.chunks(batch) {
+                batch.iter().for_each(|server| standins.drain(*server));
+                let (next_batch_at, standins, batch) =
+                    (Instant::now() + duration / batches, standins.clone(), batch.to_vec());
                 spawn_local(async move {
                     sleep(extra).await;
-                    batch.iter().for_each(|at| standins.crash(*at));
+                    batch.iter().for_each(|server| standins.crash(*server));
                     sleep(Duration::from_millis(100)).await;
-                    batch.iter().for_each(|at| standins.start(*at));
+                    batch.iter().for_each(|server| standins.start(*server));
                 });
-                sleep_until(next).await;
+                sleep_until(next_batch_at).await;
             }
         }
-        "ANSWER_LOST" => turned(standins, &servers, "answer_lost", len, |f, on| f.answer_lost = on).await,
-        "BREAK" => turned(standins, &servers, "break", len, |f, on| f.breaks = on).await,
+        "ANSWER_LOST" => {
+            apply_fault_for(standins, &target_servers, "answer_lost", duration, |faults, enabled| {
+                faults.answer_lost = enabled
+            })
+            .await
+        }
+        "BREAK" => {
+            apply_fault_for(standins, &target_servers, "break", duration, |faults, enabled| {
+                faults.breaks = enabled
+            })
+            .await
+        }
         "FAST_ERRORS" => {
-            let part = size.min(1.0);
-            turned(standins, &servers, "fast_errors", len, |f, on| f.errors = if on { part } else { 0.0 })
-                .await;
+            let error_fraction = size.min(1.0);
+            apply_fault_for(standins, &target_servers, "fast_errors", duration, |faults, enabled| {
+                faults.errors = if enabled { error_fraction } else { 0.0 }
+            })
+            .await;
+        }
+        "SLOW" => {
+            apply_fault_for(standins, &target_servers, "slow", duration, |faults, enabled| {
+                faults.slow = if enabled { size } else { 1.0 }
+            })
+            .await
+        }
+        "LINK" => {
+            apply_fault_for(standins, &target_servers, "link", duration, |faults, enabled| {
+                faults.link = if enabled { size } else { 1.0 }
+            })
+            .await
         }
-        "SLOW" => turned(standins, &servers, "slow", len, |f, on| f.slow = if on { size } else { 1.0 }).await,
-        "LINK" => turned(standins, &servers, "link", len, |f, on| f.link = if on { size } else { 1.0 }).await,
         "NEIGHBOUR" => {
-            let until = Instant::now() + len;
-            while Instant::now() < until {
-                let on = Duration::from_secs_f64(0.5 + chance.random::<f64>() * extra.as_secs_f64());
-                turned(standins, &servers, "neighbour", on, |f, on| f.link = if on { size } else { 1.0 })
-                    .await;
-                sleep(on.min(until.saturating_duration_since(Instant::now()))).await;
+            let ends_at = Instant::now() + duration;
+            while Instant::now() < ends_at {
+                let noise_duration = Duration::from_secs_f64(0.5 + rng.random::<f64>() * extra.as_secs_f64());
+                apply_fault_for(standins, &target_servers, "neighbour", noise_duration, |faults, enabled| {
+                    faults.link = if enabled { size } else { 1.0 }
+                })
+                .await;
+                sleep(noise_duration.min(ends_at.saturating_duration_since(Instant::now()))).await;
             }
         }
         "UPLINK" => {
-            standins.model(|fleet| racks.iter().for_each(|rack| fleet.sag(*rack, size)));
-            sleep(len).await;
-            standins.model(|fleet| racks.iter().for_each(|rack| fleet.sag(*rack, 1.0)));
+            standins.model(|fleet| target_racks.iter().for_each(|rack| fleet.sag(*rack, size)));
+            sleep(duration).await;
+            standins.model(|fleet| target_racks.iter().for_each(|rack| fleet.sag(*rack, 1.0)));
         }
         "LIST_LATE" => {
             standins.list_late(Duration::from_secs_f64(size));
-            sleep(len).await;
+            sleep(duration).await;
             standins.list_late(Duration::ZERO);
         }
         "NOTES_LATE" => {
             standins.model(|fleet| fleet.notes_late(Duration::from_secs_f64(size)));
-            sleep(len).await;
+            sleep(duration).await;
             standins.model(|fleet| fleet.notes_late(Duration::ZERO));
         }
         "MANAGER_KILL" => {
-            for i in taken {
+            for index in target_managers {
                 let managers = managers.clone();
                 spawn_local(async move {
-                    if let Err(error) = managers[i].kill(len).await {
-                        eprintln!("{}: {error}", managers[i].name);
+                    if let Err(error) = managers[index].kill(duration).await {
+                        eprintln!("{}: restarting the killed manager: {error}", managers[index].name);
                     }
                 });
             }
         }
         "CLOCK" => {
-            each(&|at| standins.clock(at, size as i64));
-            sleep(len).await;
-            each(&|at| standins.clock(at, 0));
+            for_each_server(&|server| standins.clock(server, size as i64));
+            sleep(duration).await;
+            for_each_server(&|server| standins.clock(server, 0));
         }
         "MANAGER_CLOCK" => {
-            for i in &taken {
-                managers[*i].jump().await;
+            for index in &target_managers {
+                managers[*index].shift_clock().await;
             }
-            sleep(len).await;
-            for i in &taken {
-                managers[*i].jump().await;
+            sleep(duration).await;
+            for index in &target_managers {
+                managers[*index].shift_clock().await;
             }
         }
-        // A burst is drawn with the viewers.
+        // Bursts are drawn together with the viewers.
         _ => {}
     }
 }
 
-/// The tokens of a day before, during and after a change of keys: from the first key by way of both to the second.
-pub fn tokens_of(tokens: &Section, taken: &[usize], signs: usize) -> Section {
+/// Returns the `tokens` settings with only the keys at `key_indices`, signing by the key at `signing_index`.
+///
+/// A key change goes from the first key to both keys and then to the second key.
+pub fn tokens_with_keys(tokens: &Section, key_indices: &[usize], signing_index: usize) -> Section {
     let ids: Vec<_> = tokens.sections("key").iter().map(|key| key.text("id")).collect();
     let mut tokens = tokens.clone();
-    let there = |id: &String| ids.iter().position(|at| at == id).is_some_and(|at| taken.contains(&at));
-    tokens.retain("key", |key| there(&key.text("id")));
-    tokens.put_text("signs", &ids[signs]);
+    let is_included = |id: &String| {
+        ids.iter().position(|known_id| known_id == id).is_some_and(|index| key_indices.contains(&index))
+    };
+    tokens.retain("key", |key| is_included(&key.text("id")));
+    tokens.put_text("signs", &ids[signing_index]);
     tokens
 }
 
-async fn key_change(standins: &Standins, managers: &[Manager], tokens: &Section, step: Duration) {
-    for (taken, signs) in [(&[0, 1][..], 0), (&[0, 1], 1), (&[1], 1)] {
-        let tokens = tokens_of(tokens, taken, signs);
+/// Changes the signing key of servers and managers in three steps, so that tokens of both keys stay valid.
+async fn change_keys(standins: &Standins, managers: &[Manager], tokens: &Section, step_duration: Duration) {
+    for (key_indices, signing_index) in [(&[0, 1][..], 0), (&[0, 1], 1), (&[1], 1)] {
+        let tokens = tokens_with_keys(tokens, key_indices, signing_index);
         match ivyward_daemon::setup::keys(&tokens) {
             Ok(keys) => standins.keys(keys),
-            Err(faults) => eprintln!("keys: {faults:?}"),
+            Err(faults) => eprintln!("key change: the settings of tokens have faults: {faults:?}"),
         }
         for manager in managers {
-            if let Err(error) = manager.tokens(tokens.clone()).await {
-                eprintln!("{error}");
+            if let Err(error) = manager.set_tokens(tokens.clone()).await {
+                eprintln!("key change: {error}");
             }
         }
-        sleep(step).await;
+        sleep(step_duration).await;
     }
 }
 
-/// A fault on some servers for a while.
-async fn turned(
-    standins: &Standins, servers: &[ServerNo], name: &'static str, len: Duration,
-    turn: impl Fn(&mut ivyward_fleet::Faults, bool),
+/// Sets a fault on some servers for a while.
+async fn apply_fault_for(
+    standins: &Standins, servers: &[ServerNo], name: &'static str, duration: Duration,
+    set_fault: impl Fn(&mut ivyward_fleet::Faults, bool),
 ) {
-    servers.iter().for_each(|at| standins.fault(*at, name, true, |faults| turn(faults, true)));
-    sleep(len).await;
-    servers.iter().for_each(|at| standins.fault(*at, name, false, |faults| turn(faults, false)));
+    servers.iter().for_each(|server| standins.fault(*server, name, true, |faults| set_fault(faults, true)));
+    sleep(duration).await;
+    servers.iter().for_each(|server| standins.fault(*server, name, false, |faults| set_fault(faults, false)));
 }
