--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -1,8 +1,10 @@
-//! The six rules, judged from what passed on the sockets of servers, list and viewers; nothing that a manager says of
-//! itself counts, but for breaches that it counted, which are told beside.
+//! The verdict on a day, by the six rules.
+//!
+//! The rules are judged from what passed on the sockets of servers, list and viewers. What a manager reports
+//! of itself doesn't count, except violations that it counted, which the verdict reports separately.
 
-use crate::trouble::Played;
-use crate::viewers::Watched;
+use crate::trouble::PlayedTrouble;
+use crate::viewers::ViewerRecord;
 use hdrhistogram::Histogram;
 use ivyward_daemon::Ended;
 use ivyward_fleet::ServerNo;
@@ -11,78 +13,96 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What all managers together held at a moment: viewings that servers play, kilobytes of memory, open files.
+/// The resource use of all managers together at one moment: streams that servers play, memory, open files.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct ResourceSample {
     pub at: Duration,
     pub streams: usize,
-    pub kb: u64,
-    pub files: usize,
+    pub memory_kb: u64,
+    pub open_files: usize,
 }
 
-/// What is left when all viewers are gone: streams at servers, and by manager viewings, timers, connections, places.
-pub type Left = (usize, Vec<(usize, usize, usize, usize)>);
+/// What is left after the last viewer has gone: streams at servers, and by manager its viewings, timers,
+/// connections and places.
+pub type LeftoverCounts = (usize, Vec<(usize, usize, usize, usize)>);
 
-/// What a day came to.
+/// The result of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub title: String,
     pub rules: [RuleVerdict; 6],
+    /// Answers to new viewings, by package and kind of answer.
     pub answers: BTreeMap<(String, &'static str), u64>,
+    /// The median and the 99th percentile of the join time, by package.
     pub joins: BTreeMap<String, (Duration, Duration)>,
     pub set_ups: u64,
     pub viewers: usize,
+    /// The value of viewers that joined within the target, as a fraction of the value of all viewers.
     pub in_time: f64,
+    /// The value that these viewers played, as a fraction of what all viewers wanted to play.
     pub played: f64,
     pub stalls: usize,
     pub breaks: usize,
     pub switches: usize,
     pub renewals: usize,
-    /// The most segments that any viewer began between two manifests.
-    pub between: usize,
-    /// By trouble: what it took, and how often it was seen to act.
+    /// The most segments that any viewer started between two manifests.
+    pub segments_between_manifests: usize,
+    /// For each trouble, its kind with the affected racks, and how often the record shows that it took
+    /// effect.
     pub troubles: Vec<(String, u64)>,
-    pub unfinished: usize,
-    /// Assertions of rules that failed in managers.
-    pub breaches: u64,
-    /// Manifests that viewers were given, and what was wrong with any.
+    /// Managers that didn't end cleanly when they were told to.
+    pub unclean_end_count: usize,
+    /// Assertions of rules that failed inside managers.
+    pub violation_count: u64,
+    /// How many manifests viewers received, and what was wrong with any of them.
     pub manifests: (u64, Vec<String>),
-    /// What servers held for nobody and was released, and what managers took over from their earlier starts.
-    pub found: (u64, u64),
-    /// What managers made of their players' reports.
+    /// Orphaned streams that managers released, and streams that they took over from earlier incarnations.
+    pub orphans_and_takeovers: (u64, u64),
+    /// What managers concluded from the reports of players.
     pub quality: String,
-    /// What managers held, each second.
-    pub held: Vec<Held>,
-    pub left: Option<Left>,
+    /// The resource use of all managers, sampled once a second.
+    pub resource_samples: Vec<ResourceSample>,
+    /// What is left after the last viewer, if the script gives time to release it.
+    pub leftover_counts: Option<LeftoverCounts>,
 }
 
 impl Verdict {
-    pub fn kept(&self) -> bool {
-        let nothing = (0, 0, 0, 0);
-        let clear = |(streams, left): &Left| *streams == 0 && left.iter().all(|left| *left == nothing);
+    /// Whether all rules hold, all managers ended cleanly and nothing else failed.
+    pub fn passed(&self) -> bool {
+        let none_left = (0, 0, 0, 0);
+        let is_clear = |(stream_count, counts): &LeftoverCounts| {
+            *stream_count == 0 && counts.iter().all(|counts| *counts == none_left)
+        };
         self.rules.iter().all(|rule| rule.violations.is_empty())
-            && self.unfinished == 0
-            && self.breaches == 0
+            && self.unclean_end_count == 0
+            && self.violation_count == 0
             && self.manifests.1.is_empty()
-            && self.left.as_ref().is_none_or(clear)
+            && self.leftover_counts.as_ref().is_none_or(is_clear)
     }
 }
 
-/// Judges a day. `ended`: what each manager came to; none where it didn't end as told, with nothing left unanswered.
+/// Judges a day.
+///
+/// `ended` has the end report of each manager, or `None` for one that didn't end cleanly when it was told to.
 pub fn judge(
-    terms: &Terms, history: &History, watched: &[Watched], ended: &[Option<Ended>], played: &[Played],
+    terms: &Terms, history: &History, viewer_records: &[ViewerRecord], ended: &[Option<Ended>],
+    played_troubles: &[PlayedTrouble],
 ) -> Verdict {
     let History { records, viewer_requests, managers } = history;
     let mut verdict = Verdict {
         rules: ivyward_rules::judge(terms, history),
         set_ups: records.iter().filter(|r| matches!(r.what, Event::SetUp { .. })).count() as u64,
-        viewers: watched.len(),
-        stalls: watched.iter().map(|w| w.stalls).sum(),
-        breaks: watched.iter().map(|w| w.breaks).sum(),
-        switches: watched.iter().map(|w| w.switches).sum(),
-        renewals: watched.iter().map(|w| w.renewals).sum(),
-        between: watched.iter().map(|w| w.between).max().unwrap_or_default(),
-        troubles: played
+        viewers: viewer_records.len(),
+        stalls: viewer_records.iter().map(|w| w.stalls).sum(),
+        breaks: viewer_records.iter().map(|w| w.breaks).sum(),
+        switches: viewer_records.iter().map(|w| w.switches).sum(),
+        renewals: viewer_records.iter().map(|w| w.renewals).sum(),
+        segments_between_manifests: viewer_records
+            .iter()
+            .map(|w| w.segments_between_manifests)
+            .max()
+            .unwrap_or_default(),
+        troubles: played_troubles
             .iter()
             .map(|trouble| {
                 let racks = if trouble.racks.is_empty() {
@@ -90,19 +110,19 @@
                 } else {
                     format!(" of racks {:?}", trouble.racks)
                 };
-                (trouble.kind.clone() + &racks, acted(trouble, records, managers))
+                (trouble.kind.clone() + &racks, effect_count(trouble, records, managers))
             })
             .collect(),
-        unfinished: ended.iter().filter(|ended| ended.is_none()).count(),
-        breaches: ended.iter().flatten().map(|ended| ended.breaches).sum(),
-        found: ended
+        unclean_end_count: ended.iter().filter(|ended| ended.is_none()).count(),
+        violation_count: ended.iter().flatten().map(|ended| ended.breaches).sum(),
+        orphans_and_takeovers: ended
             .iter()
             .flatten()
             .fold((0, 0), |sum, ended| (sum.0 + ended.orphans, sum.1 + ended.taken_over)),
         ..Default::default()
     };
-    for ask in viewer_requests.iter().filter(|ask| ask.starts_viewing) {
-        let kind = match ask.outcome {
+    for request in viewer_requests.iter().filter(|request| request.starts_viewing) {
+        let kind = match request.outcome {
             RequestOutcome::Answer(200) => "plays",
             RequestOutcome::Answer(503) => "blocked",
             RequestOutcome::Answer(502 | 504) => "aborted",
@@ -111,69 +131,75 @@
             RequestOutcome::ConnectionFailed => "cut off",
             RequestOutcome::NoAnswer => "nothing",
         };
-        *verdict.answers.entry((terms.packages[ask.package].name.clone(), kind)).or_default() += 1;
+        *verdict.answers.entry((terms.packages[request.package].name.clone(), kind)).or_default() += 1;
     }
-    let (mut in_time, mut worth, mut offered, mut asked_for) = (0.0, 0.0, 0.0, 0.0);
-    for (i, package) in terms.packages.iter().enumerate() {
-        let of: Vec<_> = watched.iter().filter(|watched| watched.package == i).collect();
+    let (mut value_in_time, mut value_played, mut value_wanted, mut value_requested) = (0.0, 0.0, 0.0, 0.0);
+    for (index, package) in terms.packages.iter().enumerate() {
+        let package_viewers: Vec<_> =
+            viewer_records.iter().filter(|viewer| viewer.package == index).collect();
         let mut joins = Histogram::<u64>::new(3).expect("three figures are few enough");
-        for watched in &of {
-            asked_for += package.value;
-            offered += package.value * watched.wanted;
-            let Some(joined) = watched.joined else { continue };
+        for viewer in &package_viewers {
+            value_requested += package.value;
+            value_wanted += package.value * viewer.wanted;
+            let Some(joined) = viewer.joined else { continue };
             joins.record(joined.as_micros() as u64).ok();
             if joined <= package.target {
-                in_time += package.value;
-                worth += package.value * watched.played;
+                value_in_time += package.value;
+                value_played += package.value * viewer.played;
             }
         }
-        let at = |q| Duration::from_micros(joins.value_at_quantile(q));
-        verdict.joins.insert(package.name.clone(), (at(0.5), at(0.99)));
+        let join_quantile = |quantile| Duration::from_micros(joins.value_at_quantile(quantile));
+        verdict.joins.insert(package.name.clone(), (join_quantile(0.5), join_quantile(0.99)));
     }
-    verdict.in_time = in_time / f64::max(asked_for, 1e-9);
-    verdict.played = worth / f64::max(offered, 1e-9);
+    verdict.in_time = value_in_time / f64::max(value_requested, 1e-9);
+    verdict.played = value_played / f64::max(value_wanted, 1e-9);
     verdict
 }
 
-fn secs(at: Duration) -> f64 {
-    at.as_secs_f64()
+fn secs(duration: Duration) -> f64 {
+    duration.as_secs_f64()
 }
 
-/// How often a trouble was seen to act in the record.
-fn acted(trouble: &Played, records: &[Record], managers: &[ManagerLifetime]) -> u64 {
-    // What ends a trouble is recorded just after its end.
+/// Counts how often the record shows that a trouble took effect.
+fn effect_count(trouble: &PlayedTrouble, records: &[Record], managers: &[ManagerLifetime]) -> u64 {
+    // The last effects of a trouble may be recorded just after its end.
     let until = trouble.until + Duration::from_millis(500);
-    let within = records.iter().filter(|record| trouble.from <= record.at && record.at <= until);
-    let there = |server: &ServerNo| trouble.servers.contains(server);
-    let count =
-        |fits: &dyn Fn(&Event) -> bool| within.clone().filter(|record| fits(&record.what)).count() as u64;
-    let set_ups = || count(&|what| matches!(what, Event::SetUp { server, .. } if there(server)));
-    let ended = |wanted: SetUpEnd| {
+    let records_within = records.iter().filter(|record| trouble.from <= record.at && record.at <= until);
+    let affected = |server: &ServerNo| trouble.servers.contains(server);
+    let count = |matches_event: &dyn Fn(&Event) -> bool| {
+        records_within.clone().filter(|record| matches_event(&record.what)).count() as u64
+    };
+    let set_ups = || count(&|what| matches!(what, Event::SetUp { server, .. } if affected(server)));
+    let ended_as = |end: SetUpEnd| {
         count(
-            &|what| matches!(what, Event::SetUpEnded { server, how, .. } if there(server) && *how == wanted),
+            &|what| matches!(what, Event::SetUpEnded { server, how, .. } if affected(server) && *how == end),
         )
     };
     match trouble.kind.as_str() {
         "FREEZE" | "SLOW" | "LINK" | "NEIGHBOUR" => set_ups(),
         "CRASH" | "VANISH" => {
-            count(&|what| matches!(what, Event::ServerDied { server, .. } if there(server)))
+            count(&|what| matches!(what, Event::ServerDied { server, .. } if affected(server)))
         }
         "DEPLOY" => {
-            let drained =
-                |what: &Event| matches!(what, Event::Fault { server, name: "drain", .. } if there(server));
-            count(&drained)
+            let is_drain =
+                |what: &Event| matches!(what, Event::Fault { server, name: "drain", .. } if affected(server));
+            count(&is_drain)
         }
-        "ANSWER_LOST" => ended(SetUpEnd::ManagerClosed),
-        "FAST_ERRORS" => ended(SetUpEnd::ErrorAnswer),
-        "BREAK" => ended(SetUpEnd::ServerClosed),
+        "ANSWER_LOST" => ended_as(SetUpEnd::ManagerClosed),
+        "FAST_ERRORS" => ended_as(SetUpEnd::ErrorAnswer),
+        "BREAK" => ended_as(SetUpEnd::ServerClosed),
         "CLOCK" => {
-            let jumped =
-                |what: &Event| matches!(what, Event::Fault { server, name: "clock", .. } if there(server));
-            count(&jumped)
+            let is_clock_jump =
+                |what: &Event| matches!(what, Event::Fault { server, name: "clock", .. } if affected(server));
+            count(&is_clock_jump)
         }
         "MANAGER_KILL" => {
-            let killed = |at: &Duration| trouble.from <= *at && *at <= trouble.until;
-            managers.iter().flat_map(|manager| &manager.downtimes).filter(|gap| killed(&gap.0)).count() as u64
+            let is_during_trouble = |at: &Duration| trouble.from <= *at && *at <= trouble.until;
+            managers
+                .iter()
+                .flat_map(|manager| &manager.downtimes)
+                .filter(|gap| is_during_trouble(&gap.0))
+                .count() as u64
         }
         "BURST" => count(&|what| matches!(what, Event::SetUp { .. })),
         "LIST_LATE" => count(&|what| {
@@ -193,8 +219,8 @@
         for (package, (median, high)) in &self.joins {
             writeln!(f, "join  {package:<23} p50 {:.3} s, p99 {:.3} s", secs(*median), secs(*high))?;
         }
-        for (kind, acted) in &self.troubles {
-            writeln!(f, "trouble  {kind:<20} seen to act {acted} times")?;
+        for (kind, effects) in &self.troubles {
+            writeln!(f, "trouble  {kind:<20} seen to act {effects} times")?;
         }
         writeln!(
             f,
@@ -206,55 +232,60 @@
             "value answered in time over asked {:.3}, played over wanted {:.3}",
             self.in_time, self.played
         )?;
-        let (looked, wrong) = &self.manifests;
-        let between = self.between;
+        let (checked_count, manifest_faults) = &self.manifests;
+        let max_between = self.segments_between_manifests;
         writeln!(
             f,
-            "manifests checked {looked}, wrong {}, segments between two {between} at most",
-            wrong.len()
+            "manifests checked {checked_count}, wrong {}, segments between two {max_between} at most",
+            manifest_faults.len()
         )?;
-        wrong.iter().take(5).try_for_each(|what| writeln!(f, "        {what}"))?;
-        let (orphans, taken_over) = self.found;
+        manifest_faults.iter().take(5).try_for_each(|fault| writeln!(f, "        {fault}"))?;
+        let (orphans, taken_over) = self.orphans_and_takeovers;
         if orphans + taken_over > 0 {
             writeln!(f, "found at servers: {orphans} released as nobody's, {taken_over} taken over")?;
         }
         f.write_str(&self.quality)?;
-        if let Some(first) = self.held.first() {
+        if let Some(first) = self.resource_samples.first() {
             writeln!(
                 f,
                 "held, at first: {} viewings, {} kB, {} open files",
-                first.streams, first.kb, first.files
+                first.streams, first.memory_kb, first.open_files
             )?;
         }
         for (name, part) in [("second quarter", 1), ("third quarter", 2), ("last quarter", 3)] {
-            // The last viewers leave after the last quarter begins to empty: its second half is left out.
-            let size = self.held.len() / 4;
-            let of = self.held.iter().skip(part * size).take(if part == 3 { size / 2 } else { size });
-            let of: Vec<_> = of.filter(|held| held.streams > 0).collect();
-            if size < 15 || of.is_empty() {
+            // Viewers leave during the second half of the last quarter, so it is not counted.
+            let length = self.resource_samples.len() / 4;
+            let samples = self.resource_samples.iter().skip(part * length).take(if part == 3 {
+                length / 2
+            } else {
+                length
+            });
+            let samples: Vec<_> = samples.filter(|sample| sample.streams > 0).collect();
+            if length < 15 || samples.is_empty() {
                 continue;
             }
-            let mean =
-                |what: &dyn Fn(&Held) -> f64| of.iter().map(|h| what(h)).sum::<f64>() / of.len() as f64;
-            let files = of.iter().map(|held| held.files).max().unwrap_or_default();
+            let mean = |value: &dyn Fn(&ResourceSample) -> f64| {
+                samples.iter().map(|sample| value(sample)).sum::<f64>() / samples.len() as f64
+            };
+            let files = samples.iter().map(|sample| sample.open_files).max().unwrap_or_default();
             writeln!(
                 f,
                 "held, {name}: {:.0} viewings, {:.0} kB, {files} open files at most",
-                mean(&|h| h.streams as f64),
-                mean(&|h| h.kb as f64)
+                mean(&|sample| sample.streams as f64),
+                mean(&|sample| sample.memory_kb as f64)
             )?;
         }
-        if let Some((streams, left)) = &self.left {
+        if let Some((streams, left)) = &self.leftover_counts {
             writeln!(
                 f,
                 "left: {streams} streams; viewings, timers, connections, places by manager: {left:?}"
             )?;
         }
-        if self.breaches > 0 {
-            writeln!(f, "assertions of rules that failed in managers: {}", self.breaches)?;
+        if self.violation_count > 0 {
+            writeln!(f, "assertions of rules that failed in managers: {}", self.violation_count)?;
         }
-        if self.unfinished > 0 {
-            writeln!(f, "managers that did not end as told: {}", self.unfinished)?;
+        if self.unclean_end_count > 0 {
+            writeln!(f, "managers that did not end as told: {}", self.unclean_end_count)?;
         }
         Ok(())
     }
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -1,5 +1,8 @@
-//! Viewers of a day: they come when the seed says, whatever became of those before, ask for manifests, fetch segments,
-//! leave, and come again after a break or a block. What they ask and what they get is recorded where it passes.
+//! Viewers of a day.
+//!
+//! Viewers arrive at times that the seed draws, whatever happened to earlier ones (an open load model). They
+//! request manifests, fetch segments, leave, and retry after an interruption or a refusal. Their requests and
+//! the answers are recorded on the viewers' side.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -21,61 +24,66 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A viewer waits so much longer than its patience for an answer, so that late ones are seen.
-const LATE: Duration = Duration::from_secs(2);
-/// How far a player's corrected clock may lie from the date of a manifest, in milliseconds: dates are whole seconds.
-const SKEW: i64 = 1000;
-const CONNECT: Duration = Duration::from_secs(1);
-const LONGEST: usize = 64 << 10;
+/// How much longer than its patience a viewer waits for an answer, so that late answers are recorded too.
+const LATE_ANSWER_ALLOWANCE: Duration = Duration::from_secs(2);
+/// How far the corrected clock of a player may lie behind the date of a manifest. Dates have whole seconds.
+const CLOCK_TOLERANCE_MS: i64 = 1000;
+/// How long a viewer waits for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest body that a viewer reads.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// One viewer over all its tries.
+/// What one viewer experienced, over all its tries.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Watched {
+pub struct ViewerRecord {
     pub package: usize,
-    /// From its first request to its first manifest.
+    /// The time from its first request to its first manifest.
     pub joined: Option<Duration>,
-    /// Worth of what was played over what was wanted, in seconds at the worth of the best rung.
+    /// Seconds of video played, weighted by the worth of the rungs.
     pub played: f64,
+    /// Seconds of video that the viewer wanted, weighted by the worth of its top rung.
     pub wanted: f64,
     pub stalls: usize,
     pub breaks: usize,
     pub switches: usize,
-    /// Expired tokens that were replaced in mid-play.
+    /// Expired tokens that were replaced during playback.
     pub renewals: usize,
-    /// The most segments that it began between two manifests, where it asked for them in time.
-    pub between: usize,
+    /// The most segments that it started between two manifests, if it refreshed the manifest in time.
+    pub segments_between_manifests: usize,
     pub tries: usize,
 }
 
-/// What viewers saw.
+/// What all viewers observed.
 #[derive(Default)]
-pub struct Seen {
-    pub asked: Vec<ManifestRequest>,
-    pub watched: Vec<Watched>,
-    /// Manifests that were looked through, and what was wrong with any.
+pub struct Observations {
+    pub viewer_requests: Vec<ManifestRequest>,
+    pub viewer_records: Vec<ViewerRecord>,
+    /// How many manifests were checked, and the faults found in any of them.
     pub manifests: (u64, Vec<String>),
 }
 
-struct Crowd {
+/// What all viewers of a day share.
+struct ViewerContext {
     managers: Vec<SocketAddr>,
     keys: Keys,
-    /// From when the app signs by other keys.
-    changed: Option<(Duration, Keys)>,
-    life: Duration,
+    /// When the app switches to other keys, and these keys.
+    changed_keys: Option<(Duration, Keys)>,
+    token_lifetime: Duration,
     titles: Vec<setup::Title>,
-    /// Name and patience of each package, and whether it is paid at set-up.
+    /// Name and patience of each package, and whether a viewing is paid for at set-up.
     packages: Vec<(String, Duration, bool)>,
-    worths: Vec<f64>,
-    segment: Duration,
-    returns: (f64, Duration),
+    rung_worths: Vec<f64>,
+    segment_duration: Duration,
+    /// The probability that a viewer retries, and the mean pause before.
+    retry: (f64, Duration),
     fetch: bool,
     reports: bool,
-    begun: Instant,
-    seen: RefCell<Seen>,
-    out: Cell<usize>,
+    started_at: Instant,
+    observations: RefCell<Observations>,
+    active_viewers: Cell<usize>,
 }
 
-/// What a viewer is like.
+/// The drawn properties of one viewer.
 struct Viewer {
     session: u128,
     package: usize,
@@ -87,104 +95,122 @@
     ask_twice: bool,
     elsewhere: bool,
     miss_renewal: bool,
-    /// Its clock goes so many milliseconds before the right one.
+    /// How many milliseconds its clock is ahead.
     ahead: i64,
 }
 
-/// Draws one of some weights.
-fn draw(weights: &[f64], chance: &mut Pcg64Mcg) -> usize {
-    let mut left = chance.random::<f64>() * weights.iter().sum::<f64>();
-    for (i, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
-            return i;
+/// Draws an index with a probability proportional to its weight.
+fn draw(weights: &[f64], rng: &mut Pcg64Mcg) -> usize {
+    let mut remaining = rng.random::<f64>() * weights.iter().sum::<f64>();
+    for (index, weight) in weights.iter().enumerate() {
+        remaining -= weight;
+        if remaining < 0.0 {
+            return index;
         }
     }
     weights.len() - 1
 }
 
-/// Plays the viewers from `begin` to `end`, and lets all come to their end.
+/// Plays the viewers that arrive between `arrivals_start_at` and `arrivals_end_at`, and waits until
+/// all of them are done.
 pub async fn play(
-    script: &Section, seed: u64, managers: Vec<SocketAddr>, begun: Instant,
-    (begin, end): (Duration, Duration),
-) -> Result<Seen, String> {
+    script: &Section, seed: u64, managers: Vec<SocketAddr>, started_at: Instant,
+    (arrivals_start_at, arrivals_end_at): (Duration, Duration),
+) -> Result<Observations, String> {
     let (viewers, settings) = (script.section("viewers"), script.section("settings"));
     let tokens = settings.section("tokens");
     let packages: Vec<_> = settings.sections("package");
-    let shares = Some(viewers.numbers("package_share")).filter(|shares| shares.iter().sum::<f64>() > 0.0);
-    let shares = shares.unwrap_or_else(|| vec![1.0; packages.len()]);
+    let package_shares = Some(viewers.numbers("package_share"))
+        .filter(|package_shares| package_shares.iter().sum::<f64>() > 0.0);
+    let package_shares = package_shares.unwrap_or_else(|| vec![1.0; packages.len()]);
     let titles = setup::titles(&settings);
     let zipf: Vec<_> = (1..=titles.len()).map(|rank| (rank as f64).powf(-viewers.number("zipf"))).collect();
-    let worths: Vec<_> =
+    let rung_worths: Vec<_> =
         settings.section("ladder").sections("rung").iter().map(|rung| rung.number("worth")).collect();
-    let bursts: Vec<_> =
-        script.sections("trouble").into_iter().filter(|t| t.enum_name("kind") == "BURST").collect();
+    let bursts: Vec<_> = script
+        .sections("trouble")
+        .into_iter()
+        .filter(|trouble| trouble.enum_name("kind") == "BURST")
+        .collect();
     let keys = || setup::keys(&tokens).map_err(|faults| format!("{faults:?}"));
-    let change = script.sections("trouble").into_iter().find(|t| t.enum_name("kind") == "KEY_CHANGE");
-    let changed = change.map(|t| begin + t.duration("at_s") + t.duration("len_s") / 3);
-    let crowd = Rc::new(Crowd {
+    let key_change =
+        script.sections("trouble").into_iter().find(|trouble| trouble.enum_name("kind") == "KEY_CHANGE");
+    let keys_changed_at = key_change
+        .map(|trouble| arrivals_start_at + trouble.duration("at_s") + trouble.duration("len_s") / 3);
+    let context = Rc::new(ViewerContext {
         managers,
         keys: keys()?,
-        changed: match changed {
-            Some(at) => {
+        changed_keys: match keys_changed_at {
+            Some(changes_at) => {
                 let (mut keys, ids) = (keys()?, tokens.sections("key"));
-                ids.get(1).is_some_and(|key| keys.sign_by(&key.text("id"))).then_some((at, keys))
+                ids.get(1).is_some_and(|key| keys.sign_by(&key.text("id"))).then_some((changes_at, keys))
             }
             None => None,
         },
-        life: tokens.duration("life_s"),
+        token_lifetime: tokens.duration("life_s"),
         packages: packages
             .iter()
-            .map(|p| (p.text("name"), p.duration("patience_s"), p.boolean("once")))
+            .map(|package| (package.text("name"), package.duration("patience_s"), package.boolean("once")))
             .collect(),
-        segment: settings.section("manifest").duration("segment_s"),
-        returns: (viewers.number("returns"), viewers.duration("returns_after_s")),
+        segment_duration: settings.section("manifest").duration("segment_s"),
+        retry: (viewers.number("returns"), viewers.duration("returns_after_s")),
         fetch: viewers.boolean("fetch"),
         reports: viewers.boolean("reports"),
-        begun,
-        seen: RefCell::default(),
-        out: Cell::new(0),
+        started_at,
+        observations: RefCell::default(),
+        active_viewers: Cell::new(0),
         titles,
-        worths,
+        rung_worths,
     });
-    let (mut chance, mut at, mut number) = (Pcg64Mcg::seed_from_u64(seed ^ 0x76_69_65_77), begin, 0_u64);
-    let most = bursts.iter().map(|burst| burst.number("size")).fold(1.0, f64::max);
-    let rungs = crowd.worths.len();
-    let (least, longest) = (viewers.number("watch_least_s"), viewers.number("watch_most_s"));
+    let (mut rng, mut arrives_at, mut viewer_number) =
+        (Pcg64Mcg::seed_from_u64(seed ^ 0x76_69_65_77), arrivals_start_at, 0_u64);
+    let peak_rate_factor = bursts.iter().map(|burst| burst.number("size")).fold(1.0, f64::max);
+    let rung_count = context.rung_worths.len();
+    let (least_watch, longest_watch) = (viewers.number("watch_least_s"), viewers.number("watch_most_s"));
     loop {
-        // Thinned to the rate of the moment, so that a burst changes no other draw.
-        at += Duration::from_secs_f64(
-            -(1.0 - chance.random::<f64>()).ln() / (viewers.number("rate_per_s") * most),
+        // Arrivals are drawn at the highest rate and thinned to the current one, so that a burst changes
+        // no other draw.
+        arrives_at += Duration::from_secs_f64(
+            -(1.0 - rng.random::<f64>()).ln() / (viewers.number("rate_per_s") * peak_rate_factor),
         );
-        if at >= end {
+        if arrives_at >= arrivals_end_at {
             break;
         }
-        let within = |burst: &&Section| {
-            let from = begin + burst.duration("at_s");
-            from <= at && at < from + burst.duration("len_s")
+        let is_during_burst = |burst: &&Section| {
+            let burst_start = arrivals_start_at + burst.duration("at_s");
+            burst_start <= arrives_at && arrives_at < burst_start + burst.duration("len_s")
         };
-        let rate = bursts.iter().filter(within).map(|burst| burst.number("size")).fold(1.0, f64::max);
-        let comes = chance.random::<f64>() < rate / most;
-        number += 1;
-        let mut own = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(number));
-        if !comes {
+        let rate_factor =
+            bursts.iter().filter(is_during_burst).map(|burst| burst.number("size")).fold(1.0, f64::max);
+        let arrives = rng.random::<f64>() < rate_factor / peak_rate_factor;
+        viewer_number += 1;
+        let mut viewer_rng =
+            Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(viewer_number));
+        if !arrives {
             continue;
         }
-        let title = draw(&zipf, &mut own);
-        let watch = Duration::from_secs_f64(least + (longest - least).max(0.0) * own.random::<f64>());
-        let chances = |name: &str, own: &mut Pcg64Mcg| own.random::<f64>() < viewers.number(name);
-        let top = if chances("small_screens", &mut own) { rungs.div_ceil(2) - 1 } else { rungs - 1 };
+        let title = draw(&zipf, &mut viewer_rng);
+        let watch = Duration::from_secs_f64(
+            least_watch + (longest_watch - least_watch).max(0.0) * viewer_rng.random::<f64>(),
+        );
+        let draw_flag =
+            |name: &str, viewer_rng: &mut Pcg64Mcg| viewer_rng.random::<f64>() < viewers.number(name);
+        let top = if draw_flag("small_screens", &mut viewer_rng) {
+            rung_count.div_ceil(2) - 1
+        } else {
+            rung_count - 1
+        };
         let viewer = Viewer {
             session: 0,
-            package: draw(&shares, &mut own),
+            package: draw(&package_shares, &mut viewer_rng),
             title,
-            watch: watch.min(crowd.titles[title].length),
+            watch: watch.min(context.titles[title].length),
             top,
-            close_early: chances("close_early", &mut own),
-            no_show: chances("no_show", &mut own),
-            ask_twice: chances("ask_twice", &mut own),
-            miss_renewal: chances("miss_renewal", &mut own),
-            ahead: match (chances("wrong_clock", &mut own), own.random::<bool>()) {
+            close_early: draw_flag("close_early", &mut viewer_rng),
+            no_show: draw_flag("no_show", &mut viewer_rng),
+            ask_twice: draw_flag("ask_twice", &mut viewer_rng),
+            miss_renewal: draw_flag("miss_renewal", &mut viewer_rng),
+            ahead: match (draw_flag("wrong_clock", &mut viewer_rng), viewer_rng.random::<bool>()) {
                 (false, _) => 0,
                 (true, ahead) => {
                     if ahead {
@@ -194,76 +220,88 @@
                     }
                 }
             },
-            // Drawn where it is asked for only, so that other days stay as they were.
-            elsewhere: viewers.number("elsewhere") > 0.0 && chances("elsewhere", &mut own),
+            // Drawn only if the script asks for it, so that the draws of other days don't change.
+            elsewhere: viewers.number("elsewhere") > 0.0 && draw_flag("elsewhere", &mut viewer_rng),
         };
-        sleep_until(begun + at).await;
-        let crowd = crowd.clone();
-        crowd.out.set(crowd.out.get() + 1);
+        sleep_until(started_at + arrives_at).await;
+        let context = context.clone();
+        context.active_viewers.set(context.active_viewers.get() + 1);
         spawn_local(async move {
-            let watched = crowd.watches(viewer, own).await;
-            crowd.seen.borrow_mut().watched.push(watched);
-            crowd.out.set(crowd.out.get() - 1);
+            let record = context.play_viewer(viewer, viewer_rng).await;
+            context.observations.borrow_mut().viewer_records.push(record);
+            context.active_viewers.set(context.active_viewers.get() - 1);
         });
     }
-    while crowd.out.get() > 0 {
+    while context.active_viewers.get() > 0 {
         sleep(Duration::from_millis(20)).await;
     }
-    Ok(crowd.seen.take())
+    Ok(context.observations.take())
 }
 
-/// What a request for a manifest brought.
-enum Got {
-    Manifest { base: String, again: String, rungs: usize, refresh: Duration, text: String },
+/// The result of a manifest request.
+enum ManifestResult {
+    Manifest {
+        base_url: String,
+        refresh_url: String,
+        rung_count: usize,
+        refresh_interval: Duration,
+        text: String,
+    },
     Blocked(Duration),
     Failed,
     Lost,
 }
 
-fn get(url: &str) -> Option<(SocketAddr, Request<Full<Bytes>>)> {
-    let rest = url.strip_prefix("http://")?;
-    let (host, path) = rest.split_at(rest.find('/')?);
+/// Builds a GET request for a URL, and returns it with the address to connect to.
+fn get_request(url: &str) -> Option<(SocketAddr, Request<Full<Bytes>>)> {
+    let host_and_path = url.strip_prefix("http://")?;
+    let (host, path) = host_and_path.split_at(host_and_path.find('/')?);
     let mut request = Request::new(Full::default());
     *request.uri_mut() = path.parse().ok()?;
     request.headers_mut().insert("host", HeaderValue::from_str(host).ok()?);
     Some((host.parse().ok()?, request))
 }
 
-/// A connection that is kept from request to request.
+/// A connection that is reused from request to request.
 #[derive(Default)]
 pub struct Line(Option<(SocketAddr, Connection)>);
 
 impl Line {
-    /// The status that a page is answered with, if it is.
+    /// Requests a page, and returns the status of the answer, if any.
     pub async fn ask(&mut self, url: &str) -> Option<u16> {
-        let (address, request) = get(url)?;
+        let (address, request) = get_request(url)?;
         if !self.open(address).await {
             return None;
         }
-        self.get(request).await.map(|(status, ..)| status.as_u16())
+        self.send(request).await.map(|(status, ..)| status.as_u16())
     }
 
+    /// Connects to an address, unless the connection is already open; false if that failed.
     async fn open(&mut self, address: SocketAddr) -> bool {
-        if self.0.as_ref().is_some_and(|(to, connection)| *to == address && connection.stands()) {
+        if self.0.as_ref().is_some_and(|(connected_address, connection)| {
+            *connected_address == address && connection.stands()
+        }) {
             return true;
         }
-        self.0 = Connection::open(address, CONNECT).await.ok().map(|connection| (address, connection));
+        self.0 =
+            Connection::open(address, CONNECT_TIMEOUT).await.ok().map(|connection| (address, connection));
         self.0.is_some()
     }
 
-    /// Status, the headers that matter to a player, and the body.
-    async fn get(&mut self, request: Request<Full<Bytes>>) -> Option<(StatusCode, [Option<u64>; 2], Bytes)> {
+    /// Sends a request, and returns the status, the headers that a player uses, and the body.
+    async fn send(&mut self, request: Request<Full<Bytes>>) -> Option<(StatusCode, [Option<u64>; 2], Bytes)> {
         let (_, connection) = self.0.as_mut()?;
-        let answer = match connection.ask(request).await {
-            Ok(answer) => answer,
+        let response = match connection.ask(request).await {
+            Ok(response) => response,
             Err(_) => {
                 self.0 = None;
                 return None;
             }
         };
-        let number = |name: &str| answer.headers().get(name)?.to_str().ok()?.parse().ok();
-        let (status, numbers) = (answer.status(), [number("ivy-come-back-ms"), number("ivy-rung")]);
-        match Limited::new(answer.into_body(), LONGEST).collect().await {
+        let header_number = |name: &str| response.headers().get(name)?.to_str().ok()?.parse().ok();
+        let (status, numbers) =
+            (response.status(), [header_number("ivy-come-back-ms"), header_number("ivy-rung")]);
+        match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
             Ok(body) => Some((status, numbers, body.to_bytes())),
             Err(_) => {
                 self.0 = None;
@@ -273,18 +311,19 @@
     }
 }
 
-impl Crowd {
+impl ViewerContext {
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Where the app sends a viewer, with a token that it mints now.
-    fn url(&self, viewer: &Viewer, manager: usize) -> Result<String, String> {
-        let (token, title) = (self.token(viewer)?, &self.titles[viewer.title].name);
+    /// Returns the URL to which the app sends a viewer, with a newly minted token.
+    fn app_url(&self, viewer: &Viewer, manager: usize) -> Result<String, String> {
+        let (token, title) = (self.app_token(viewer)?, &self.titles[viewer.title].name);
         Ok(format!("http://{}/mpd/{title}.mpd?token={token}", self.managers[manager]))
     }
 
-    fn token(&self, viewer: &Viewer) -> Result<String, String> {
+    /// Mints the app's token for a viewer.
+    fn app_token(&self, viewer: &Viewer) -> Result<String, String> {
         let token_claims = TokenClaims {
             session: viewer.session,
             title: self.titles[viewer.title].name.clone(),
@@ -293,115 +332,133 @@
             tenant: "lab".into(),
             granted: None,
         };
-        let changed = self.changed.as_ref().is_some_and(|(at, _)| self.now() >= *at);
-        let keys = self.changed.as_ref().filter(|_| changed).map_or(&self.keys, |(_, keys)| keys);
-        keys.mint(&token_claims, date(), self.life)
+        let is_changed = self.changed_keys.as_ref().is_some_and(|(changes_at, _)| self.now() >= *changes_at);
+        let keys = self.changed_keys.as_ref().filter(|_| is_changed).map_or(&self.keys, |(_, keys)| keys);
+        keys.mint(&token_claims, date(), self.token_lifetime)
     }
 
-    /// The tune-in that a manifest's segments are fetched by.
-    fn given(&self, base: &str) -> Option<GrantedTuneIn> {
-        let token = base.trim_end_matches('/').rsplit('/').next()?;
-        self.keys.check(token, date(), self.life).ok()?.0.granted
+    /// Returns the granted tune-in that is named in the base URL of a manifest's segments.
+    fn granted_tune_in(&self, base_url: &str) -> Option<GrantedTuneIn> {
+        let token = base_url.trim_end_matches('/').rsplit('/').next()?;
+        self.keys.check(token, date(), self.token_lifetime).ok()?.0.granted
     }
 
-    /// Looks through a manifest; `before`: the one before it, if it is of the same tune-in.
-    fn checked(&self, text: &str, base: &str, before: Option<&str>) {
-        let server = self.given(base).map_or(String::new(), |given| given.server.to_string());
-        let faults = check::faults(text, &server, self.worths.len() - 1, before);
-        let mut seen = self.seen.borrow_mut();
-        seen.manifests.0 += 1;
-        seen.manifests.1.extend(faults);
+    /// Checks a manifest; `previous_text` is the previous one, if it belongs to the same tune-in.
+    fn check_manifest(&self, text: &str, base_url: &str, previous_text: Option<&str>) {
+        let server =
+            self.granted_tune_in(base_url).map_or(String::new(), |tune_in| tune_in.server.to_string());
+        let faults = check::faults(text, &server, self.rung_worths.len() - 1, previous_text);
+        let mut observations = self.observations.borrow_mut();
+        observations.manifests.0 += 1;
+        observations.manifests.1.extend(faults);
     }
 
-    /// One request, recorded. `refreshes`: where the segments lay so far, and the manifest; `limit`: when the viewer closes it.
-    async fn ask(
-        &self, line: &mut Line, url: &str, viewer: &Viewer, manager: usize, refreshes: Option<(&str, &str)>,
-        limit: Duration,
-    ) -> Got {
-        let Some((address, request)) = get(url) else { return Got::Failed };
-        let sent = line.open(address).await;
-        let at = self.now();
+    /// Requests a manifest, and records the request and its outcome.
+    ///
+    /// `previous` has the base URL of the segments so far and the previous manifest; the viewer closes the
+    /// request after `close_after`.
+    async fn request_manifest(
+        &self, connection: &mut Line, url: &str, viewer: &Viewer, manager: usize,
+        previous: Option<(&str, &str)>, close_after: Duration,
+    ) -> ManifestResult {
+        let Some((address, request)) = get_request(url) else { return ManifestResult::Failed };
+        let connected = connection.open(address).await;
+        let requested_at = self.now();
         let patience = self.packages[viewer.package].1;
-        let came = if sent { timeout(limit.min(patience + LATE), line.get(request)).await } else { Ok(None) };
-        let came_at = self.now();
-        let (came, got) = match came {
+        let outcome = if connected {
+            timeout(close_after.min(patience + LATE_ANSWER_ALLOWANCE), connection.send(request)).await
+        } else {
+            Ok(None)
+        };
+        let ended_at = self.now();
+        let (outcome, result) = match outcome {
             Err(_) => {
-                line.0 = None;
-                (if limit < patience { RequestOutcome::Closed } else { RequestOutcome::NoAnswer }, Got::Lost)
+                connection.0 = None;
+                (
+                    if close_after < patience { RequestOutcome::Closed } else { RequestOutcome::NoAnswer },
+                    ManifestResult::Lost,
+                )
             }
-            Ok(None) => (RequestOutcome::ConnectionFailed, Got::Lost),
-            Ok(Some((status, [come_back, _], body))) => {
-                let got = match status {
+            Ok(None) => (RequestOutcome::ConnectionFailed, ManifestResult::Lost),
+            Ok(Some((status, [come_back_ms, _], body))) => {
+                let result = match status {
                     StatusCode::OK => {
                         let text = String::from_utf8_lossy(&body).into_owned();
                         match manifest::read(&text) {
-                            Ok((base, again, rungs, refresh)) => {
-                                Got::Manifest { base, again, rungs, refresh, text }
+                            Ok((base_url, refresh_url, rung_count, refresh_interval)) => {
+                                ManifestResult::Manifest {
+                                    base_url,
+                                    refresh_url,
+                                    rung_count,
+                                    refresh_interval,
+                                    text,
+                                }
                             }
                             Err(error) => {
-                                self.seen.borrow_mut().manifests.1.push(error);
-                                Got::Failed
+                                self.observations.borrow_mut().manifests.1.push(error);
+                                ManifestResult::Failed
                             }
                         }
                     }
                     StatusCode::SERVICE_UNAVAILABLE => {
-                        Got::Blocked(Duration::from_millis(come_back.unwrap_or_default()))
+                        ManifestResult::Blocked(Duration::from_millis(come_back_ms.unwrap_or_default()))
                     }
-                    _ => Got::Failed,
+                    _ => ManifestResult::Failed,
                 };
-                (RequestOutcome::Answer(status.as_u16()), got)
+                (RequestOutcome::Answer(status.as_u16()), result)
             }
         };
         let (session, package) = (viewer.session, viewer.package);
-        let refresh = refreshes.is_some();
-        // What plays no more is taken as another viewing when its player asks again.
-        let new = refreshes.is_none_or(|(before, _)| match &got {
-            Got::Manifest { base, .. } => {
-                let (now, before) = (self.given(base), self.given(before));
-                now.zip(before).is_none_or(|(now, before)| !now.same_tune_in(&before))
+        let is_refresh = previous.is_some();
+        // If the earlier stream no longer plays, the renewed request counts as a new viewing.
+        let starts_viewing = previous.is_none_or(|(previous, _)| match &result {
+            ManifestResult::Manifest { base_url, .. } => {
+                let (current, previous) = (self.granted_tune_in(base_url), self.granted_tune_in(previous));
+                current.zip(previous).is_none_or(|(current, previous)| !current.same_tune_in(&previous))
             }
-            Got::Blocked(_) | Got::Failed => true,
-            Got::Lost => false,
+            ManifestResult::Blocked(_) | ManifestResult::Failed => true,
+            ManifestResult::Lost => false,
         });
-        if let Got::Manifest { base, text, .. } = &got {
-            self.checked(text, base, refreshes.filter(|_| !new).map(|(_, text)| text));
+        if let ManifestResult::Manifest { base_url, text, .. } = &result {
+            self.check_manifest(text, base_url, previous.filter(|_| !starts_viewing).map(|(_, text)| text));
         }
-        self.seen.borrow_mut().asked.push(ManifestRequest {
+        self.observations.borrow_mut().viewer_requests.push(ManifestRequest {
             manager,
             session,
             package,
-            requested_at: at,
-            ended_at: came_at,
-            outcome: came,
-            starts_viewing: new,
-            is_refresh: refresh,
-            was_connected: sent,
+            requested_at,
+            ended_at,
+            outcome,
+            starts_viewing,
+            is_refresh,
+            was_connected: connected,
             extra_answers: 0,
         });
-        got
+        result
     }
 
-    async fn watches(&self, mut viewer: Viewer, mut chance: Pcg64Mcg) -> Watched {
-        let begin = self.now();
-        let worth = self.worths[viewer.top];
-        let wanted = viewer.watch.as_secs_f64() * worth;
-        let mut watched = Watched { package: viewer.package, wanted, ..Default::default() };
-        let mut left = viewer.watch;
-        let until = begin + viewer.watch + self.packages[viewer.package].1;
-        let paid = self.packages[viewer.package].2;
-        let elsewhere = viewer.elsewhere && paid;
-        let mut last = None;
+    /// Plays one viewer from its first request to its end, with all its tries.
+    async fn play_viewer(&self, mut viewer: Viewer, mut rng: Pcg64Mcg) -> ViewerRecord {
+        let first_request_at = self.now();
+        let top_worth = self.rung_worths[viewer.top];
+        let wanted = viewer.watch.as_secs_f64() * top_worth;
+        let mut record = ViewerRecord { package: viewer.package, wanted, ..Default::default() };
+        let mut remaining = viewer.watch;
+        let gives_up_at = first_request_at + viewer.watch + self.packages[viewer.package].1;
+        let is_paid = self.packages[viewer.package].2;
+        let elsewhere = viewer.elsewhere && is_paid;
+        let mut last_manager = None;
         loop {
-            watched.tries += 1;
-            // One that paid goes on with what it paid for, at another manager.
-            let mut manager = match last.filter(|_| elsewhere) {
-                Some(last) => (last + 1) % self.managers.len(),
+            record.tries += 1;
+            // A viewer that has paid continues the same session at another manager.
+            let mut manager = match last_manager.filter(|_| elsewhere) {
+                Some(last_manager) => (last_manager + 1) % self.managers.len(),
                 None => {
-                    viewer.session = chance.random();
-                    chance.random_range(0..self.managers.len())
+                    viewer.session = rng.random();
+                    rng.random_range(0..self.managers.len())
                 }
             };
-            let (line, url) = match self.token(&viewer) {
+            let (connection, url) = match self.app_token(&viewer) {
                 Ok(token) => {
                     let title = &self.titles[viewer.title].name;
                     (
@@ -409,191 +466,273 @@
                         format!("http://{}/mpd/{title}.mpd?token={token}", self.managers[manager]),
                     )
                 }
-                Err(_) => return watched,
+                Err(_) => return record,
             };
-            let mut line = line;
-            let limit = if viewer.close_early {
-                Duration::from_millis(chance.random_range(0..40))
+            let mut connection = connection;
+            let close_after = if viewer.close_early {
+                Duration::from_millis(rng.random_range(0..40))
             } else {
                 Duration::MAX
             };
-            let first = self.ask(&mut line, &url, &viewer, manager, None, limit);
-            let got = if elsewhere && last.is_none() {
-                // Its app, or a proxy before it, asks two managers at once.
-                let (mut second, other) = (Line::default(), (manager + 1) % self.managers.len());
-                let Ok(url) = self.url(&viewer, other) else { return watched };
-                let crossing = self.ask(&mut second, &url, &viewer, other, None, Duration::MAX);
-                match tokio::join!(first, crossing) {
-                    (got @ Got::Manifest { .. }, _) => got,
-                    (_, got @ Got::Manifest { .. }) => {
-                        (line, manager) = (second, other);
-                        got
+            let first_request =
+                self.request_manifest(&mut connection, &url, &viewer, manager, None, close_after);
+            let result = if elsewhere && last_manager.is_none() {
+                // The app, or a proxy in front of it, sends the request to two managers at once.
+                let (mut second_connection, other_manager) =
+                    (Line::default(), (manager + 1) % self.managers.len());
+                let Ok(url) = self.app_url(&viewer, other_manager) else { return record };
+                let second_request = self.request_manifest(
+                    &mut second_connection,
+                    &url,
+                    &viewer,
+                    other_manager,
+                    None,
+                    Duration::MAX,
+                );
+                match tokio::join!(first_request, second_request) {
+                    (result @ ManifestResult::Manifest { .. }, _) => result,
+                    (_, result @ ManifestResult::Manifest { .. }) => {
+                        (connection, manager) = (second_connection, other_manager);
+                        result
                     }
-                    (got, _) => got,
+                    (result, _) => result,
                 }
             } else if viewer.ask_twice {
-                // The app resends, or two of its requests cross.
-                let mut second = Line::default();
-                let crossing = self.ask(&mut second, &url, &viewer, manager, None, Duration::MAX);
-                tokio::join!(first, crossing).0
+                // The app resends its request, or two of its requests cross.
+                let mut second_connection = Line::default();
+                let second_request = self.request_manifest(
+                    &mut second_connection,
+                    &url,
+                    &viewer,
+                    manager,
+                    None,
+                    Duration::MAX,
+                );
+                tokio::join!(first_request, second_request).0
             } else {
-                first.await
+                first_request.await
             };
-            last = Some(manager);
-            let wait = match got {
-                Got::Manifest { base, again, rungs, refresh, text } => {
-                    watched.joined.get_or_insert(self.now() - begin);
+            last_manager = Some(manager);
+            let retry_after = match result {
+                ManifestResult::Manifest { base_url, refresh_url, rung_count, refresh_interval, text } => {
+                    record.joined.get_or_insert(self.now() - first_request_at);
                     if viewer.no_show {
-                        return watched;
+                        return record;
                     }
                     if self
-                        .plays(
-                            &mut line,
+                        .play_stream(
+                            &mut connection,
                             &viewer,
                             manager,
-                            (base, again, rungs, refresh, text),
-                            &mut left,
-                            &mut watched,
+                            (base_url, refresh_url, rung_count, refresh_interval, text),
+                            &mut remaining,
+                            &mut record,
                         )
                         .await
                     {
-                        return watched;
+                        return record;
                     }
-                    watched.breaks += 1;
+                    record.breaks += 1;
                     Duration::ZERO
                 }
-                Got::Blocked(wait) => wait,
-                // What was paid for and may have run is not asked for again.
-                Got::Failed | Got::Lost if paid && !elsewhere => return watched,
-                Got::Failed | Got::Lost => Duration::ZERO,
+                ManifestResult::Blocked(retry_after) => retry_after,
+                // A paid viewing that may have run is not requested again.
+                ManifestResult::Failed | ManifestResult::Lost if is_paid && !elsewhere => return record,
+                ManifestResult::Failed | ManifestResult::Lost => Duration::ZERO,
             };
-            if viewer.close_early || chance.random::<f64>() >= self.returns.0 {
-                return watched;
+            if viewer.close_early || rng.random::<f64>() >= self.retry.0 {
+                return record;
             }
-            sleep(wait.max(self.returns.1.mul_f64(0.5 + chance.random::<f64>()))).await;
-            if self.now() >= until {
-                return watched;
+            sleep(retry_after.max(self.retry.1.mul_f64(0.5 + rng.random::<f64>()))).await;
+            if self.now() >= gives_up_at {
+                return record;
             }
         }
     }
 
-    /// The player tells its manager how it fares: a CMCD report, on the token of its last manifest.
-    async fn reports(
-        &self, line: &mut Line, again: &str, viewer: &Viewer,
-        (number, start, stalled, rung): (u64, Option<Duration>, Duration, usize),
+    /// Sends the player's CMCD report to its manager, with the token of its last manifest.
+    async fn send_report(
+        &self, connection: &mut Line, refresh_url: &str, viewer: &Viewer,
+        (report_number, start_delay, stalled_for, rung): (u64, Option<Duration>, Duration, usize),
     ) {
-        let Some((host, token)) =
-            again.split_once("/mpd/").and_then(|(host, rest)| Some((host, rest.split_once("token=")?.1)))
+        let Some((host, token)) = refresh_url
+            .split_once("/mpd/")
+            .and_then(|(host, rest)| Some((host, rest.split_once("token=")?.1)))
         else {
             return;
         };
-        let Some((address, mut request)) = get(&format!("{host}/cmcd?token={token}")) else { return };
-        let sent = date().as_millis() as i64 + viewer.ahead;
-        let mut text = format!("sn={number},ts={sent},bsda={},br={}", stalled.as_millis(), (rung + 1) * 1000);
-        if let Some(start) = start {
-            text += &format!(",msd={}", start.as_millis());
+        let Some((address, mut request)) = get_request(&format!("{host}/cmcd?token={token}")) else { return };
+        let sent_at_ms = date().as_millis() as i64 + viewer.ahead;
+        let mut text = format!(
+            "sn={report_number},ts={sent_at_ms},bsda={},br={}",
+            stalled_for.as_millis(),
+            (rung + 1) * 1000
+        );
+        if let Some(start_delay) = start_delay {
+            text += &format!(",msd={}", start_delay.as_millis());
         }
         *request.method_mut() = hyper::Method::POST;
         *request.body_mut() = Full::from(text);
-        if line.open(address).await {
-            timeout(CONNECT, line.get(request)).await.ok();
+        if connection.open(address).await {
+            timeout(CONNECT_TIMEOUT, connection.send(request)).await.ok();
         }
     }
 
-    /// Plays to the end of what the viewer wants; false where it broke.
-    async fn plays(
-        &self, line: &mut Line, viewer: &Viewer, manager: usize,
-        given: (String, String, usize, Duration, String), left: &mut Duration, watched: &mut Watched,
+    /// Plays the rest of what the viewer wants; false if playback was interrupted.
+    async fn play_stream(
+        &self, connection: &mut Line, viewer: &Viewer, manager: usize,
+        manifest_parts: (String, String, usize, Duration, String), remaining: &mut Duration,
+        record: &mut ViewerRecord,
     ) -> bool {
-        let (mut base, mut again, mut rungs, mut refresh, mut text) = given;
-        // A player asks for no segment before the date that the manifest gives, by its own clock as that corrects it.
-        let own = i64::try_from(date().as_millis()).unwrap_or_default() + viewer.ahead;
-        let own = Duration::from_millis(u64::try_from(own).unwrap_or_default());
-        let corrected = manifest::behind(&text, own).unwrap_or_default() + own.as_millis() as i64;
-        if manifest::available(&text).is_none_or(|at| at.as_millis() as i64 > corrected + SKEW) {
-            self.seen.borrow_mut().manifests.1.push("a player finds nothing available yet".into());
+        let (mut base_url, mut refresh_url, mut rung_count, mut refresh_interval, mut text) = manifest_parts;
+        // A player requests no segment before the date in the manifest. It compares that date with its own
+        // clock, as the manifest corrects it.
+        let own_clock = i64::try_from(date().as_millis()).unwrap_or_default() + viewer.ahead;
+        let own_clock = Duration::from_millis(u64::try_from(own_clock).unwrap_or_default());
+        let corrected_clock =
+            manifest::behind(&text, own_clock).unwrap_or_default() + own_clock.as_millis() as i64;
+        if manifest::available(&text)
+            .is_none_or(|at| at.as_millis() as i64 > corrected_clock + CLOCK_TOLERANCE_MS)
+        {
+            self.observations.borrow_mut().manifests.1.push(
+                "the manifest's first segment is not available yet by the player's corrected clock".into(),
+            );
             return false;
         }
-        let (mut fetches, mut number) = (Line::default(), 1_u64);
-        let (mut refreshed, mut last_rung) = (self.now(), None);
-        let (mut begun, mut told, mut stalled) = (0, 0, Duration::ZERO);
-        while !left.is_zero() {
-            begun += 1;
-            let step = self.segment.min(*left);
-            let segment_begins = self.now();
-            let mut rung = rungs - 1;
+        let (mut segment_connection, mut segment_number) = (Line::default(), 1_u64);
+        let (mut refreshed_at, mut last_rung) = (self.now(), None);
+        let (mut segments_since_manifest, mut report_count, mut stalled_for) = (0, 0, Duration::ZERO);
+        while !remaining.is_zero() {
+            segments_since_manifest += 1;
+            let play_duration = self.segment_duration.min(*remaining);
+            let segment_started_at = self.now();
+            let mut rung = rung_count - 1;
             if self.fetch {
-                let mut given = false;
+                let mut received = false;
                 for _ in 0..3 {
-                    let Some((server, request)) = get(&format!("{base}r{rung}/{number}.m4s")) else {
+                    let Some((server, request)) =
+                        get_request(&format!("{base_url}r{rung}/{segment_number}.m4s"))
+                    else {
                         return false;
                     };
-                    let asked = async {
-                        if !fetches.open(server).await {
+                    let fetch_segment = async {
+                        if !segment_connection.open(server).await {
                             return None;
                         }
-                        fetches.get(request).await
+                        segment_connection.send(request).await
                     };
-                    match timeout(self.segment + Duration::from_secs(1), asked).await {
+                    match timeout(self.segment_duration + Duration::from_secs(1), fetch_segment).await {
                         Ok(Some((StatusCode::OK, ..))) => {
-                            given = true;
+                            received = true;
                             break;
                         }
-                        // Its token has run out: the app gives it a new one for the same session.
+                        // Its token has expired, and the app mints a new one for the same session.
                         Ok(Some((StatusCode::UNAUTHORIZED, ..))) if viewer.miss_renewal => {
-                            watched.renewals += 1;
-                            refreshed = self.now();
-                            let Ok(url) = self.url(viewer, manager) else { return false };
+                            record.renewals += 1;
+                            refreshed_at = self.now();
+                            let Ok(url) = self.app_url(viewer, manager) else { return false };
                             match self
-                                .ask(line, &url, viewer, manager, Some((&base, &text)), Duration::MAX)
+                                .request_manifest(
+                                    connection,
+                                    &url,
+                                    viewer,
+                                    manager,
+                                    Some((&base_url, &text)),
+                                    Duration::MAX,
+                                )
                                 .await
                             {
-                                Got::Manifest { base: b, again: a, rungs: r, refresh: f, text: t } => {
-                                    (base, again, rungs, refresh, text) = (b, a, r, f, t)
+                                ManifestResult::Manifest {
+                                    base_url: new_base_url,
+                                    refresh_url: new_refresh_url,
+                                    rung_count: new_rung_count,
+                                    refresh_interval: new_refresh_interval,
+                                    text: new_text,
+                                } => {
+                                    (base_url, refresh_url, rung_count, refresh_interval, text) = (
+                                        new_base_url,
+                                        new_refresh_url,
+                                        new_rung_count,
+                                        new_refresh_interval,
+                                        new_text,
+                                    )
                                 }
-                                Got::Lost | Got::Blocked(_) | Got::Failed => return false,
+                                ManifestResult::Lost
+                                | ManifestResult::Blocked(_)
+                                | ManifestResult::Failed => return false,
                             }
                         }
-                        // The server holds it to the rung in force.
-                        Ok(Some((StatusCode::FORBIDDEN, [_, Some(most)], _))) => {
-                            rung = rung.min(most as usize)
+                        // The server limits the viewer to the rung in force.
+                        Ok(Some((StatusCode::FORBIDDEN, [_, Some(highest_rung)], _))) => {
+                            rung = rung.min(highest_rung as usize)
                         }
                         _ => break,
                     }
                 }
-                if !given {
-                    // It gives up: all that it waited is told first.
-                    stalled += self.now() - segment_begins;
+                if !received {
+                    // The viewer gives up; its last report includes the time that it waited.
+                    stalled_for += self.now() - segment_started_at;
                     if self.reports {
-                        self.reports(line, &again, viewer, (told + 1, None, stalled, rung)).await;
+                        self.send_report(
+                            connection,
+                            &refresh_url,
+                            viewer,
+                            (report_count + 1, None, stalled_for, rung),
+                        )
+                        .await;
                     }
                     return false;
                 }
-                let late = (self.now() - segment_begins).saturating_sub(self.segment);
-                stalled += late;
-                watched.stalls += usize::from(!late.is_zero());
+                let late_by = (self.now() - segment_started_at).saturating_sub(self.segment_duration);
+                stalled_for += late_by;
+                record.stalls += usize::from(!late_by.is_zero());
             }
-            watched.switches += usize::from(last_rung.is_some_and(|last| last != rung));
+            record.switches += usize::from(last_rung.is_some_and(|previous_rung| previous_rung != rung));
             last_rung = Some(rung);
-            sleep_until(self.begun + segment_begins + step).await;
-            *left -= step;
-            watched.played += step.as_secs_f64() * self.worths[rung.min(viewer.top)];
-            number += 1;
+            sleep_until(self.started_at + segment_started_at + play_duration).await;
+            *remaining -= play_duration;
+            record.played += play_duration.as_secs_f64() * self.rung_worths[rung.min(viewer.top)];
+            segment_number += 1;
             if self.reports {
-                told += 1;
-                let start = watched.joined.filter(|_| told == 1);
-                self.reports(line, &again, viewer, (told, start, stalled, rung)).await;
+                report_count += 1;
+                let start_delay = record.joined.filter(|_| report_count == 1);
+                self.send_report(
+                    connection,
+                    &refresh_url,
+                    viewer,
+                    (report_count, start_delay, stalled_for, rung),
+                )
+                .await;
             }
-            if self.now() >= refreshed + refresh && !left.is_zero() && !viewer.miss_renewal {
-                refreshed = self.now();
-                match self.ask(line, &again, viewer, manager, Some((&base, &text)), Duration::MAX).await {
-                    Got::Manifest { base: b, again: a, rungs: r, refresh: f, text: t } => {
-                        (base, again, rungs, refresh, text) = (b, a, r, f, t);
-                        watched.between = watched.between.max(std::mem::take(&mut begun));
+            if self.now() >= refreshed_at + refresh_interval && !remaining.is_zero() && !viewer.miss_renewal {
+                refreshed_at = self.now();
+                match self
+                    .request_manifest(
+                        connection,
+                        &refresh_url,
+                        viewer,
+                        manager,
+                        Some((&base_url, &text)),
+                        Duration::MAX,
+                    )
+                    .await
+                {
+                    ManifestResult::Manifest {
+                        base_url: new_base_url,
+                        refresh_url: new_refresh_url,
+                        rung_count: new_rung_count,
+                        refresh_interval: new_refresh_interval,
+                        text: new_text,
+                    } => {
+                        (base_url, refresh_url, rung_count, refresh_interval, text) =
+                            (new_base_url, new_refresh_url, new_rung_count, new_refresh_interval, new_text);
+                        record.segments_between_manifests = record
+                            .segments_between_manifests
+                            .max(std::mem::take(&mut segments_since_manifest));
                     }
-                    // Its manager may be gone for a moment; what plays plays on.
-                    Got::Lost => {}
-                    Got::Blocked(_) | Got::Failed => return false,
+                    // The manager may be down for a moment; playback continues.
+                    ManifestResult::Lost => {}
+                    ManifestResult::Blocked(_) | ManifestResult::Failed => return false,
                 }
             }
         }
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,4 +1,4 @@
-//! The laboratory as it is called: a short bad day with real manager processes, and scripts that can't be played.
+//! Tests of the `ivyward-lab` program: days with real manager processes, and scripts that can't be played.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -13,64 +13,67 @@
 }
 
 #[test]
-fn a_short_bad_day_keeps_all_rules_and_every_trouble_acts() {
+fn a_short_bad_day_violates_no_rule_and_every_trouble_takes_effect() {
     let record = env::temp_dir().join(format!("ivyward-seen-{}.txt", std::process::id()));
     let file = record.to_string_lossy().into_owned();
     let out = lab(&["day", &day("short-bad-day.txtpb").to_string_lossy(), "--seed", "3", "--record", &file]);
-    let told = String::from_utf8_lossy(&out.stdout);
-    assert_eq!(out.status.code(), Some(0), "{told}{}", String::from_utf8_lossy(&out.stderr));
+    let stdout = String::from_utf8_lossy(&out.stdout);
+    assert_eq!(out.status.code(), Some(0), "{stdout}{}", String::from_utf8_lossy(&out.stderr));
     assert_eq!(
-        told.lines().filter(|line| line.starts_with("rule ") && line.contains(" kept ")).count(),
+        stdout.lines().filter(|line| line.starts_with("rule ") && line.contains(" kept ")).count(),
         6,
-        "{told}"
+        "{stdout}"
     );
-    // What was recorded gets the same verdict when it is read back; cut short, none.
-    let again = lab(&["judge", &file]);
-    let rules = told.lines().filter(|line| line.starts_with("rule ")).collect::<Vec<_>>();
-    assert_eq!(String::from_utf8_lossy(&again.stdout).lines().collect::<Vec<_>>(), rules);
+    // The recorded history gets the same verdict when it is read back; a truncated one is rejected.
+    let judged = lab(&["judge", &file]);
+    let rules = stdout.lines().filter(|line| line.starts_with("rule ")).collect::<Vec<_>>();
+    assert_eq!(String::from_utf8_lossy(&judged.stdout).lines().collect::<Vec<_>>(), rules);
     let text = fs::read_to_string(&record).expect("a record");
-    let whole = text.lines().count();
-    fs::write(&record, text.lines().take(whole / 2).map(|line| format!("{line}\n")).collect::<String>())
+    let line_count = text.lines().count();
+    fs::write(&record, text.lines().take(line_count / 2).map(|line| format!("{line}\n")).collect::<String>())
         .expect("written");
-    let cut = lab(&["judge", &file]);
-    let error = String::from_utf8_lossy(&cut.stderr).into_owned();
-    assert_eq!((cut.status.code(), cut.stdout.is_empty()), (Some(2), true), "{error}");
-    assert!(error.contains(&format!("{file}:{}:1: end: the history is cut short", whole / 2)), "{error}");
+    let truncated = lab(&["judge", &file]);
+    let error = String::from_utf8_lossy(&truncated.stderr).into_owned();
+    assert_eq!((truncated.status.code(), truncated.stdout.is_empty()), (Some(2), true), "{error}");
+    assert!(
+        error.contains(&format!("{file}:{}:1: end: the history is cut short", line_count / 2)),
+        "{error}"
+    );
     fs::remove_file(&record).ok();
-    let troubles: Vec<_> = told.lines().filter(|line| line.starts_with("trouble ")).collect();
-    assert!(troubles.len() == 7 && troubles.iter().all(|line| !line.contains("act 0 times")), "{told}");
+    let troubles: Vec<_> = stdout.lines().filter(|line| line.starts_with("trouble ")).collect();
+    assert!(troubles.len() == 7 && troubles.iter().all(|line| !line.contains("act 0 times")), "{stdout}");
 }
 
 #[test]
-fn half_a_minute_with_a_fifth_of_the_servers_frozen_keeps_all_rules() {
+fn a_fifth_of_the_servers_frozen_for_half_a_minute_violates_no_rule() {
     let out = lab(&["day", &day("frozen-fifth.txtpb").to_string_lossy(), "--length", "30"]);
-    let told = String::from_utf8_lossy(&out.stdout);
-    assert_eq!(out.status.code(), Some(0), "{told}{}", String::from_utf8_lossy(&out.stderr));
-    assert!(told.contains("trouble  FREEZE") && !told.contains("act 0 times"), "{told}");
-    assert!(told.contains("tokens replaced ") && !told.contains("tokens replaced 0"), "{told}");
+    let stdout = String::from_utf8_lossy(&out.stdout);
+    assert_eq!(out.status.code(), Some(0), "{stdout}{}", String::from_utf8_lossy(&out.stderr));
+    assert!(stdout.contains("trouble  FREEZE") && !stdout.contains("act 0 times"), "{stdout}");
+    assert!(stdout.contains("tokens replaced ") && !stdout.contains("tokens replaced 0"), "{stdout}");
 }
 
 #[test]
-fn an_uplink_that_fails_is_named_by_what_players_report_and_nothing_else_is() {
+fn player_reports_name_exactly_the_rack_whose_uplink_fails() {
     let out = lab(&["day", &day("bad-uplink.txtpb").to_string_lossy()]);
-    let told = String::from_utf8_lossy(&out.stdout);
-    assert_eq!(out.status.code(), Some(0), "{told}{}", String::from_utf8_lossy(&out.stderr));
+    let stdout = String::from_utf8_lossy(&out.stdout);
+    assert_eq!(out.status.code(), Some(0), "{stdout}{}", String::from_utf8_lossy(&out.stderr));
     let rack =
-        told.lines().find_map(|line| line.strip_prefix("trouble  UPLINK of racks [")?.split(']').next());
+        stdout.lines().find_map(|line| line.strip_prefix("trouble  UPLINK of racks [")?.split(']').next());
     let rack = format!("rack {} (", rack.expect("the rack that failed"));
     let named: Vec<_> =
-        told.lines().filter_map(|line| line.rsplit("  ").next().filter(|at| at.contains(" +0"))).collect();
+        stdout.lines().filter_map(|line| line.rsplit("  ").next().filter(|at| at.contains(" +0"))).collect();
     assert!(
         !named.is_empty() && named.iter().all(|at| at.starts_with(&rack) && !at.contains(';')),
-        "{rack}: {told}"
+        "{rack}: {stdout}"
     );
 }
 
 #[test]
-fn scripts_that_cant_be_played_say_why() {
+fn invalid_scripts_are_rejected_with_the_faulty_field() {
     let quiet = fs::read_to_string(day("quiet.txtpb")).expect("a script");
     let file = env::temp_dir().join(format!("ivyward-script-{}.txtpb", std::process::id()));
-    for (from, to, told) in
+    for (from, to, faulty_field) in
         [("rate_per_s: 12", "rate: 12", "viewers.rate"), ("servers: 12", "servers: 0", "fleet.servers")]
     {
         fs::write(&file, quiet.replace(from, to)).expect("written");
@@ -79,7 +82,7 @@
             let error = String::from_utf8_lossy(&out.stderr);
             assert_eq!(out.status.code(), Some(2), "{command}: {error}");
             assert!(
-                error.contains(&file.to_string_lossy()[..]) && error.contains(told),
+                error.contains(&file.to_string_lossy()[..]) && error.contains(faulty_field),
                 "{command}: {error}"
             );
         }
