--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -36,7 +36,10 @@
     let error = String::from_utf8_lossy(&truncated.stderr).into_owned();
     assert_eq!((truncated.status.code(), truncated.stdout.is_empty()), (Some(2), true), "{error}");
     assert!(
-        error.contains(&format!("{file}:{}:1: end: the history is cut short", line_count / 2)),
+        error.contains(&format!(
+            "{file}:{}:1: end: the history is incomplete: its last line is not a complete end entry",
+            line_count / 2
+        )),
         "{error}"
     );
     fs::remove_file(&record).ok();
