--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -249,7 +249,9 @@
 
 /// The result of playing a history.
 pub struct Played {
+    /// The terms for judging the history.
     pub terms: Terms,
+    /// What viewers, servers and the list observed.
     pub history: History,
     /// Assertions of rules that failed inside managers. The rules themselves don't use this count.
     pub violation_count: u64,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -18,6 +18,7 @@
 enum Command {
     /// Play the script of a day and judge it; exits with 1 if a rule is violated
     Day {
+        /// Script of the day
         script: PathBuf,
         /// Seed of all random draws [default: the script's seed]
         #[arg(long)]
@@ -46,6 +47,7 @@
     },
     /// Play the history of a seed in virtual time and judge it; exits with 1 if a rule is violated
     History {
+        /// Seed of all random draws
         #[arg(long)]
         seed: u64,
         /// Defect to inject at the edge of the real code, to check that a rule rejects it
@@ -57,17 +59,26 @@
     },
     /// Judge a history written by `day` or `history`; exits with 1 if a rule is violated, with 2 if the
     /// file can't be read
-    Judge { history: PathBuf },
+    Judge {
+        /// File of the recorded history
+        history: PathBuf,
+    },
     /// Check a script and print all faults in it
-    Check { script: PathBuf },
+    Check {
+        /// Script of a day
+        script: PathBuf,
+    },
     /// Measure a manager against a minimal HTTP responder, with the settings and fleet of a script
     Measure {
+        /// Script with the settings and the fleet
         script: PathBuf,
+        /// Number of rounds
         #[arg(long, default_value_t = 5)]
         rounds: usize,
         /// Viewings per round
         #[arg(long, default_value_t = 400)]
         viewings: usize,
+        /// Number of connections
         #[arg(long, default_value_t = 8)]
         connections: usize,
     },
@@ -86,6 +97,7 @@
     /// Measure the control traffic and work of a manager as the fleet grows; exits with 1 if a budget is
     /// exceeded
     Scale {
+        /// Seed of all random draws
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Sizes of fleets of real `ivyward` processes (the program next to this one), at most 200;
@@ -113,6 +125,7 @@
         /// [default: all]
         #[arg(long)]
         only: Vec<String>,
+        /// Number of runs of each measurement
         #[arg(long, default_value_t = 3)]
         runs: usize,
         /// Maximum number of connections and live viewings; connections are also limited by file
@@ -137,7 +150,12 @@
     },
     /// Measure the memory in kilobytes that each of COUNT sessions or records takes
     #[command(hide = true)]
-    Weigh { what: String, count: usize },
+    Weigh {
+        /// sessions or records
+        what: String,
+        /// Number of them
+        count: usize,
+    },
     /// Evaluate which causes are named for faults planted in synthetic worlds of sessions
     Quality {
         /// Number of worlds of each kind
@@ -178,10 +196,14 @@
     },
     /// Run one viewing manager for `soak`
     #[command(hide = true)]
-    Node { config: PathBuf },
+    Node {
+        /// Configuration file
+        config: PathBuf,
+    },
     /// Run one manager for `day`
     #[command(hide = true)]
     Run {
+        /// Settings file
         settings: PathBuf,
         /// Replace the decision module by random choice
         #[arg(long)]
@@ -189,6 +211,7 @@
     },
 }
 
+/// Reads and checks a script; all its faults become one error message.
 fn read(script: &Path) -> Result<ivyward_settings::Section, String> {
     let text = fs::read_to_string(script).map_err(|e| format!("{}: {e}", script.display()))?;
     ivyward_lab::day::read(&text).map_err(|faults| {
@@ -197,6 +220,7 @@
     })
 }
 
+/// Runs a manager of a day until SIGTERM. SIGHUP reloads its settings.
 fn run(settings_path: &Path, random: bool) -> Result<(), String> {
     let text = fs::read_to_string(settings_path).map_err(|e| format!("{}: {e}", settings_path.display()))?;
     let settings =
@@ -240,6 +264,7 @@
     })
 }
 
+/// Measures a manager against the minimal responder.
 fn measure(script: &Path, rounds: usize, viewings: usize, connections: usize) -> Result<(), String> {
     let script = read(script)?;
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
@@ -249,6 +274,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, measured)
 }
 
+/// Judges a recorded history; false if a rule is violated.
 fn judge(file: &Path) -> Result<bool, String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let (terms, history) = ivyward_rules::read(&text).map_err(|faults| {
@@ -260,6 +286,7 @@
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
+/// Plays and judges a history; false if a rule is violated.
 fn history(seed: u64, defect: Option<&str>, record: Option<&Path>) -> Result<bool, String> {
     use ivyward_lab::history::{INJECTED_DEFECTS, play};
     let defect_names = INJECTED_DEFECTS.map(|defect| format!("{defect:?}"));
@@ -282,11 +309,13 @@
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
+/// Runs the measurements of `slopes` and prints their table.
 fn slopes(only: &[String], sizes: &ivyward_lab::slopes::Sizes) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     ivyward_lab::slopes::table(&program, only, sizes, |text| print!("{text}"))
 }
 
+/// Measures the memory of sessions or records.
 fn weigh(what: &str, count: usize) -> Result<(), String> {
     let weighed = match what {
         "sessions" => ivyward_lab::slopes::Weighed::Sessions,
@@ -297,6 +326,7 @@
     Ok(())
 }
 
+/// Runs the trials of `soak`, or prints the plan of the first one; false if a rule is violated.
 fn soak(
     seeds: &[u64], jobs: usize, (manager, log_dir): (Option<PathBuf>, Option<PathBuf>), plan: bool,
 ) -> Result<bool, String> {
@@ -312,12 +342,14 @@
     ivyward_lab::soak::run(&options, |line| println!("{line}"))
 }
 
+/// Runs a viewing manager for `soak`.
 fn node(config: &Path) -> Result<(), String> {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "error".into());
     let _log = ivyward_daemon::log::start(filter, false);
     ivyward_node::run(config)
 }
 
+/// Runs the minimal responder.
 fn bare() -> Result<(), String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -70,7 +70,9 @@
 
 /// One manager, over all processes that it runs in.
 pub struct Manager {
+    /// The name in its settings: `m1`, `m2` and so on.
     pub name: String,
+    /// The address for viewers.
     pub address: SocketAddr,
     /// The address of its console.
     pub console: SocketAddr,
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -17,12 +17,17 @@
 /// A trouble with the targets and times that were drawn for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlayedTrouble {
+    /// The kind, as the script has it.
     pub kind: String,
+    /// When it begins, counted from the start of the program.
     pub from: Duration,
+    /// When it ends.
     pub until: Duration,
     /// The affected servers; empty if the trouble affects racks, managers or the list.
     pub servers: Vec<ServerNo>,
+    /// The affected managers.
     pub managers: Vec<usize>,
+    /// The affected racks.
     pub racks: Vec<usize>,
 }
 
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -16,9 +16,13 @@
 /// The resource use of all managers together at one moment: streams that servers play, memory, open files.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceSample {
+    /// The time of the sample, counted from the start of the program.
     pub at: Duration,
+    /// Streams that servers play.
     pub streams: usize,
+    /// Resident memory in kilobytes.
     pub memory_kb: u64,
+    /// Open file descriptors.
     pub open_files: usize,
 }
 
@@ -29,28 +33,36 @@
 /// The result of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
+    /// The heading of the report.
     pub title: String,
+    /// The verdicts of the six rules.
     pub rules: [RuleVerdict; 6],
     /// Answers to new viewings, by package and kind of answer.
     pub answers: BTreeMap<(String, &'static str), u64>,
     /// The median and the 99th percentile of the join time, by package.
     pub joins: BTreeMap<String, (Duration, Duration)>,
+    /// Set-ups that servers received.
     pub set_ups: u64,
+    /// Viewers that took part.
     pub viewers: usize,
     /// The value of viewers that joined within the target, as a fraction of the value of all viewers.
     pub in_time: f64,
     /// The value that these viewers played, as a fraction of what all viewers wanted to play.
     pub played: f64,
+    /// Segments that arrived too late for uninterrupted playback.
     pub stalls: usize,
+    /// Interruptions of playback.
     pub breaks: usize,
+    /// Changes of rung during playback.
     pub switches: usize,
+    /// Expired tokens that were replaced during playback.
     pub renewals: usize,
     /// The most segments that any viewer started between two manifests.
     pub segments_between_manifests: usize,
     /// For each trouble, its kind with the affected racks, and how often the record shows that it took
     /// effect.
     pub troubles: Vec<(String, u64)>,
-    /// Managers that didn't end cleanly when they were told to.
+    /// Managers that didn't end cleanly after SIGTERM.
     pub unclean_end_count: usize,
     /// Assertions of rules that failed inside managers.
     pub violation_count: u64,
@@ -83,7 +95,7 @@
 
 /// Judges a day.
 ///
-/// `ended` has the end report of each manager, or `None` for one that didn't end cleanly when it was told to.
+/// `ended` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
 pub fn judge(
     terms: &Terms, history: &History, viewer_records: &[ViewerRecord], ended: &[Option<Ended>],
     played_troubles: &[PlayedTrouble],
@@ -156,6 +168,7 @@
     verdict
 }
 
+/// Returns a duration in seconds.
 fn secs(duration: Duration) -> f64 {
     duration.as_secs_f64()
 }
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -36,6 +36,7 @@
 /// What one viewer experienced, over all its tries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ViewerRecord {
+    /// The number of its package.
     pub package: usize,
     /// The time from its first request to its first manifest.
     pub joined: Option<Duration>,
@@ -43,20 +44,26 @@
     pub played: f64,
     /// Seconds of video that the viewer wanted, weighted by the worth of its top rung.
     pub wanted: f64,
+    /// Segments that arrived too late for uninterrupted playback.
     pub stalls: usize,
+    /// Interruptions of playback.
     pub breaks: usize,
+    /// Changes of rung during playback.
     pub switches: usize,
     /// Expired tokens that were replaced during playback.
     pub renewals: usize,
     /// The most segments that it started between two manifests, if it refreshed the manifest in time.
     pub segments_between_manifests: usize,
+    /// Viewings that it requested, retries included.
     pub tries: usize,
 }
 
 /// What all viewers observed.
 #[derive(Default)]
 pub struct Observations {
+    /// All manifest requests and their outcomes.
     pub viewer_requests: Vec<ManifestRequest>,
+    /// The experience of each viewer.
     pub viewer_records: Vec<ViewerRecord>,
     /// How many manifests were checked, and the faults found in any of them.
     pub manifests: (u64, Vec<String>),
@@ -88,12 +95,19 @@
     session: u128,
     package: usize,
     title: usize,
+    /// How long it watches.
     watch: Duration,
+    /// The highest rung that its screen can show.
     top: usize,
+    /// It closes its request before the answer.
     close_early: bool,
+    /// It gets a manifest, but doesn't play.
     no_show: bool,
+    /// It sends its request twice at once.
     ask_twice: bool,
+    /// If it has paid, it sends its request to two managers, and retries at other managers.
     elsewhere: bool,
+    /// It doesn't refresh its manifest, so that its token expires during playback.
     miss_renewal: bool,
     /// How many milliseconds its clock is ahead.
     ahead: i64,
@@ -312,6 +326,7 @@
 }
 
 impl ViewerContext {
+    /// The time since the day's start.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
