--- a/crates/lab/src/growth.rs
+++ b/crates/lab/src/growth.rs
@@ -127,14 +127,14 @@
     /// Median time of a placement.
     pub placement_us: f64,
     /// Median time of a check of the rungs.
-    pub look_ms: f64,
+    pub rung_check_ms: f64,
     /// Entries that a placement visited on average, and all entries that the manager holds.
-    pub entries: f64,
-    pub held: usize,
+    pub entries_per_placement: f64,
+    pub held_entries: usize,
 }
 
 /// Measures the median costs with this many servers and live viewings.
-pub fn cost(servers: u32, live: u32) -> Cost {
+pub fn measure_cost(servers: u32, live: u32) -> Cost {
     let mut loaded = LoadedManager::new(servers, live, 0.8);
     for _ in 0..live {
         loaded.place_viewing();
@@ -148,10 +148,10 @@
     let placement_s = median_s((0..MEASURED_PLACEMENT_COUNT).map(|_| loaded.place_viewing()).collect());
     Cost {
         placement_us: placement_s * 1e6,
-        look_ms: check_s * 1e3,
-        entries: (loaded.manager.visited_entries() - visited_before) as f64
+        rung_check_ms: check_s * 1e3,
+        entries_per_placement: (loaded.manager.visited_entries() - visited_before) as f64
             / f64::from(MEASURED_PLACEMENT_COUNT),
-        held: loaded.manager.entry_count(),
+        held_entries: loaded.manager.entry_count(),
     }
 }
 
@@ -167,9 +167,10 @@
     text += if against.is_some() { "      before: placement us   look ms   ratios\n" } else { "\n" };
     for (servers, live) in servers.iter().flat_map(|servers| sizes.iter().map(move |live| (*servers, *live)))
     {
-        let Cost { placement_us, look_ms, entries, held } = cost(servers, live);
+        let Cost { placement_us, rung_check_ms: look_ms, entries_per_placement: entries, held_entries } =
+            measure_cost(servers, live);
         text += &format!(
-            "{servers:>7} {live:>15} {held:>14} {entries:>14.0} {placement_us:>14.1} {look_ms:>9.2}"
+            "{servers:>7} {live:>15} {held_entries:>14} {entries:>14.0} {placement_us:>14.1} {look_ms:>9.2}"
         );
         if let Some(program) = against {
             let size = [live.to_string(), servers.to_string()];
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Returns an error when no address is free.
-pub async fn bare() -> Result<(), String> {
+pub async fn serve_fixed_manifest() -> Result<(), String> {
     let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
     println!("listening {}", listener.local_addr().map_err(|e| e.to_string())?);
     let manifest_text = Bytes::from(fixed_manifest());
@@ -99,11 +99,11 @@
         .map(|_| {
             let (urls, latencies, failed) = (urls.clone(), latencies.clone(), failed.clone());
             spawn_local(async move {
-                let mut connection = viewers::Line::default();
+                let mut connection = viewers::ViewerConnection::default();
                 loop {
                     let Some(url) = urls.borrow_mut().pop() else { return };
                     let sent_at = Instant::now();
-                    let status = connection.ask(&url).await;
+                    let status = connection.request_status(&url).await;
                     latencies.borrow_mut().record(sent_at.elapsed().as_micros() as u64).ok();
                     failed.set(failed.get() + usize::from(status != Some(200)));
                 }
@@ -163,7 +163,7 @@
 ///
 /// # Errors
 /// Returns an error when a process did not start.
-pub async fn front(
+pub async fn compare_with_bare_responder(
     script: &Section, program: &Path, rounds: usize, count: usize, connections: usize,
 ) -> Result<(), String> {
     let (settings, fleet) = (script.section("settings"), script.section("fleet"));
@@ -233,7 +233,7 @@
 async fn bare_process(program: &Path) -> Result<(Process, SocketAddr), String> {
     let mut command = Command::new(program);
     command.arg("bare").kill_on_drop(true);
-    crate::managers::up(command).await
+    crate::managers::start_listening_process(command).await
 }
 
 /// Times each part by itself in a loop, to show where the time goes.
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -248,17 +248,17 @@
 }
 
 /// Options of the scale measurement.
-pub struct Ask<'a> {
+pub struct ScaleOptions<'a> {
     /// Seed of the simulation and of the managers.
     pub seed: u64,
     /// Sizes of fleets of real processes.
-    pub managers: &'a [usize],
+    pub process_fleet_sizes: &'a [usize],
     /// Sizes of fleets of simulated managers.
-    pub hollow: &'a [usize],
+    pub simulated_fleet_sizes: &'a [usize],
     /// Another build of the manager, measured beside this one.
-    pub against: Option<&'a Path>,
+    pub other_program: Option<&'a Path>,
     /// Runs shorter simulated scenarios; their counts are the same in each run.
-    pub small: bool,
+    pub short_scenarios: bool,
     /// Planted defect: simulated managers send to all members what they should send to neighbours.
     pub all_by_all: bool,
 }
@@ -271,11 +271,14 @@
 const SIMULATED_SIZES: RangeInclusive<usize> = 10..=2000;
 
 /// Runs the scenarios for simulated fleets of all requested sizes.
-fn measure_simulated(options: &Ask) -> Result<Table, String> {
-    let durations =
-        if options.small { scenarios::ScenarioDurations::SMALL } else { scenarios::ScenarioDurations::FULL };
+fn measure_simulated(options: &ScaleOptions) -> Result<Table, String> {
+    let durations = if options.short_scenarios {
+        scenarios::ScenarioDurations::SMALL
+    } else {
+        scenarios::ScenarioDurations::FULL
+    };
     let mut table = Table::default();
-    for chunk in options.hollow.chunks(CONCURRENT_FLEET_COUNT) {
+    for chunk in options.simulated_fleet_sizes.chunks(CONCURRENT_FLEET_COUNT) {
         let run_fleet = |members: usize| {
             let simulation_options = simulated::SimulationOptions {
                 members,
@@ -306,17 +309,18 @@
 ///
 /// # Errors
 /// Returns an error when the measurement could not be run.
-pub fn run(options: &Ask) -> Result<bool, String> {
+pub fn run(options: &ScaleOptions) -> Result<bool, String> {
     let (mut exceeded_budgets, begun_at) = (vec![], Instant::now());
     let tagged = |name: &'static str| move |message: String| format!("{message} ({name})");
-    if let Some(size) = options.hollow.iter().find(|size| !SIMULATED_SIZES.contains(size)) {
+    if let Some(size) = options.simulated_fleet_sizes.iter().find(|size| !SIMULATED_SIZES.contains(size)) {
         let (min_size, max_size) = (SIMULATED_SIZES.start(), SIMULATED_SIZES.end());
         return Err(format!("--hollow {size}: use {min_size} to {max_size} simulated managers"));
     }
     let mut real = Table::default();
     let mut not_run = 0;
-    if !options.managers.is_empty() {
-        let (this_build, other_build) = real::measure(options.seed, options.managers, options.against)?;
+    if !options.process_fleet_sizes.is_empty() {
+        let (this_build, other_build) =
+            real::measure(options.seed, options.process_fleet_sizes, options.other_program)?;
         let mut tables: Vec<(&str, &Table)> = other_build.iter().map(|table| ("before", table)).collect();
         tables.push(("real", &this_build));
         print!("{}", render(&tables));
@@ -324,7 +328,7 @@
         not_run += this_build.not_run.len();
         real = this_build;
     }
-    if !options.hollow.is_empty() {
+    if !options.simulated_fleet_sizes.is_empty() {
         let simulated = measure_simulated(options)?;
         not_run += simulated.not_run.len();
         println!("\nsimulated managers (--hollow), seed {}", options.seed);
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -10,8 +10,8 @@
     BYTES_PER_S_BUDGET, CPU_PERCENT_BUDGET, DESCRIPTOR_BUDGET, MEMORY_MB_BUDGET, PROPAGATION_S_BUDGET,
     START_KB_BUDGET, Table,
 };
-use crate::day::Folder;
-use crate::managers::{Process, signal, up};
+use crate::day::TempDirectory;
+use crate::managers::{Process, signal, start_listening_process};
 use ivyward_daemon::embedded;
 use ivyward_settings::Section;
 use serde_json::Value;
@@ -141,7 +141,7 @@
     settings: Section,
     /// Subnet of their addresses.
     peer_subnet: String,
-    _folder: Folder,
+    _folder: TempDirectory,
 }
 
 /// Runs tasks, a few at once, and returns their results in order, or the first error.
@@ -176,7 +176,7 @@
     /// process its own addresses.
     fn new(program: &Path, count: usize, seed: u64, block: u8) -> Result<Fleet, String> {
         let name = format!("ivyward-scale-{}-{block}", process::id());
-        let folder = Folder(env::temp_dir().join(name));
+        let folder = TempDirectory(env::temp_dir().join(name));
         // A subnet of its own, so that no other connection holds these ports.
         let subnet_byte = 2 + (process::id() % 60) as u8;
         let address_of = |i: usize, port| SocketAddr::from(([127, subnet_byte, block, i as u8 + 1], port));
@@ -253,7 +253,7 @@
                 .arg(&self.managers[*i].settings_file)
                 .env("IVYWARD_LOG", "error")
                 .stderr(Stdio::null());
-            async move { up(command).await.map(|(process, _)| process) }
+            async move { start_listening_process(command).await.map(|(process, _)| process) }
         };
         let all = run_concurrently(which.iter().map(started)).await?;
         for (i, process) in which.iter().zip(all) {
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -17,7 +17,7 @@
 mod process;
 mod viewing;
 
-pub use cores::{Weighed, weigh};
+pub use cores::{MemoryItem, memory_per_item_kb};
 pub use fit::{FigureKind, Fit, Series};
 
 use std::path::Path;
@@ -32,22 +32,22 @@
 
 /// Number of runs and the largest size of each measurement.
 #[derive(Clone, Debug)]
-pub struct Sizes {
+pub struct ScalingOptions {
     /// Runs of each measurement.
     pub runs: usize,
     /// Most connections, and most live viewings.
-    pub most: usize,
+    pub max_viewings: usize,
     /// Most manifest requests a second.
-    pub rate: usize,
+    pub max_requests_per_s: usize,
     /// Most servers in the server list.
-    pub servers: usize,
+    pub max_servers: usize,
     /// Most paid viewings whose claims a group of three members stores.
-    pub paid: usize,
+    pub max_paid_viewings: usize,
     /// Most members of the group.
-    pub members: usize,
+    pub max_members: usize,
     /// Time after which a manager has its server list and requests have settled. Cheap activity is
     /// measured over twice this time.
-    pub settle: Duration,
+    pub settle_for: Duration,
 }
 
 /// Returns up to `sizes` sizes that double up to `most`, without zeros.
@@ -66,13 +66,13 @@
 /// # Errors
 /// Returns an error for an unknown name, a process that did not start, or more failed requests than
 /// allowed.
-pub fn table(
-    program: &Path, only: &[String], sizes: &Sizes, mut output: impl FnMut(&str),
+pub fn run_measurements(
+    program: &Path, only: &[String], sizes: &ScalingOptions, mut output: impl FnMut(&str),
 ) -> Result<(), String> {
     if let Some(unknown) = only.iter().find(|name| !MEASUREMENTS.contains(&name.as_str())) {
         return Err(format!("--only {unknown}: unknown measurement; use one of {}", MEASUREMENTS.join(", ")));
     }
-    let sizes = Sizes { runs: sizes.runs.max(1), ..sizes.clone() };
+    let sizes = ScalingOptions { runs: sizes.runs.max(1), ..sizes.clone() };
     output(&format!("{} runs of each; machine load at the start: {}\n", sizes.runs, process::load()));
     for measurement in MEASUREMENTS
         .iter()
--- a/crates/lab/src/slopes/answer.rs
+++ b/crates/lab/src/slopes/answer.rs
@@ -4,7 +4,7 @@
 //! Latencies are wall times on a machine that also runs other work.
 
 use super::process::{self, Players, TempDir};
-use super::{FigureKind, Series, Sizes, doubling};
+use super::{FigureKind, ScalingOptions, Series, doubling};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -106,8 +106,8 @@
 }
 
 /// Measures latency and processor share of manifest requests at growing request rates.
-pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
-    let rates = doubling(sizes.rate, 4);
+pub async fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
+    let rates = doubling(sizes.max_requests_per_s, 4);
     let per_item = |figure, unit| Series::new(figure, unit, FigureKind::PerItem, &rates);
     let mut median = per_item("time to the answer, middle, with so many asked for a second", "ms");
     let mut p99_latency = per_item("time to the answer, 99th percentile", "ms");
@@ -119,8 +119,8 @@
         process::check_free_memory()?;
         let (folder, standins) = (TempDir::new(&format!("a{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
-        let viewing_count = VIEWING_COUNT.min(sizes.most).max(1);
+            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
+        let viewing_count = VIEWING_COUNT.min(sizes.max_viewings).max(1);
         let results =
             process::request_manifests(players.sign_manifest_urls(manager.address, viewing_count, "clip")?)
                 .await;
@@ -128,7 +128,7 @@
             return Err(format!("{} of {viewing_count} viewings got no manifest", results.failed));
         }
         let mut rows = [(); 4].map(|()| vec![]);
-        let duration = sizes.settle * 3;
+        let duration = sizes.settle_for * 3;
         for rate in &rates {
             let cpu_before_us = process::live_threads_cpu_us(process_id);
             let (p50_ms, p99_ms, count) =
--- a/crates/lab/src/slopes/claim.rs
+++ b/crates/lab/src/slopes/claim.rs
@@ -5,8 +5,8 @@
 //! processor time is summed over all threads that ever ran, in steps of a hundredth of a second.
 
 use super::process::{self, Players, TempDir};
-use super::{FigureKind, Series, Sizes, doubling};
-use crate::managers::{Manager, Speaking};
+use super::{FigureKind, ScalingOptions, Series, doubling};
+use crate::managers::{Manager, PeerPaths};
 use std::fs;
 use std::path::Path;
 use tokio::time::{Instant, sleep};
@@ -17,9 +17,9 @@
 const MEMBER_COUNT: usize = 3;
 
 /// Measures the cost of storing claims at growing numbers of paid viewings.
-pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
+pub async fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
     let mut sizes_measured = vec![0];
-    sizes_measured.extend(doubling(sizes.paid, 3));
+    sizes_measured.extend(doubling(sizes.max_paid_viewings, 3));
     let total = |figure, unit| Series::new(figure, unit, FigureKind::Total, &sizes_measured);
     let mut acceptor_memory = total("memory of a keeper with so many sessions kept", "kB");
     let mut acceptor_disk = total("its store on disk", "kB");
@@ -32,7 +32,7 @@
     for run in 0..sizes.runs {
         process::check_free_memory()?;
         let (folder, standins) = (TempDir::new(&format!("p{run}"))?, process::standins(&script)?);
-        let speaking = Speaking::open(MEMBER_COUNT).await?;
+        let speaking = PeerPaths::open(MEMBER_COUNT).await?;
         let mut managers = vec![];
         for index in 0..MEMBER_COUNT {
             let list = (standins.list_address(), Some(&speaking));
@@ -44,7 +44,7 @@
         }
         let process_ids: Option<Vec<_>> = managers.iter().map(Manager::id).collect();
         let process_ids = process_ids.ok_or("a manager process ended right after its start")?;
-        sleep(sizes.settle).await;
+        sleep(sizes.settle_for).await;
         let (proposer_id, acceptor_id) = (process_ids[0], process_ids[1]);
         let store_file = folder.0.join("m2").join("keeper.redb");
         let (mut stored_count, mut rows) = (0, [(); 5].map(|()| vec![]));
@@ -66,7 +66,7 @@
                         results.failed
                     ));
                 }
-                sleep(sizes.settle / 3).await;
+                sleep(sizes.settle_for / 3).await;
                 let cpu_after_us = [proposer_id, acceptor_id].map(process::process_cpu_us);
                 if package == "ticket" {
                     acceptor_cpu_us += cpu_after_us[1] - cpu_before_us[1];
--- a/crates/lab/src/slopes/connection.rs
+++ b/crates/lab/src/slopes/connection.rs
@@ -1,7 +1,7 @@
 //! Measures idle player connections, each after one answered request.
 
 use super::process::{self, TempDir};
-use super::{FigureKind, Series, Sizes, doubling, within_descriptors};
+use super::{FigureKind, ScalingOptions, Series, doubling, within_descriptors};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -36,9 +36,9 @@
 
 /// Measures memory, descriptors and processor time at growing numbers of connections, and bursts of
 /// them.
-pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
+pub async fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
     let mut sizes_measured: Vec<_> = vec![0];
-    sizes_measured.extend(doubling(within_descriptors(sizes.most), 4));
+    sizes_measured.extend(doubling(within_descriptors(sizes.max_viewings), 4));
     let mut memory = Series::new(
         "memory of a manager with so many idle connections",
         "kB",
@@ -53,7 +53,7 @@
         FigureKind::PerItem,
         &sizes_measured[1..],
     );
-    let burst_sizes = doubling(sizes.most.min(MAX_BURST), 4);
+    let burst_sizes = doubling(sizes.max_viewings.min(MAX_BURST), 4);
     let burst_label = "time until the last of so many that come in the same moment is answered";
     let mut burst_time = Series::new(burst_label, "ms", FigureKind::PerItem, &burst_sizes);
     let script = process::script(4)?;
@@ -61,7 +61,7 @@
         process::check_free_memory()?;
         let (folder, standins) = (TempDir::new(&format!("c{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
+            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
         let (mut open_streams, mut rows) = (vec![], [vec![], vec![], vec![]]);
         for size in &sizes_measured {
             let (cpu_before_us, open_before) = (process::live_threads_cpu_us(process_id), open_streams.len());
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -1,7 +1,7 @@
 //! Measures the replication cores that managers share, without sockets, disk or clock; the only time
 //! read is their own processor time.
 
-use super::{FigureKind, Series, Sizes, process};
+use super::{FigureKind, ScalingOptions, Series, process};
 use ivyward_overlay::Overlay;
 use ivyward_replica::{
     Acceptor, Claim, ClaimNo, ClaimOutcome, ClaimSet, Effects, Group, LogId, Member, Record, ReplicatedSet,
@@ -203,7 +203,7 @@
 
 /// Items whose memory is measured in a process of its own, so that no memory freed earlier is reused.
 #[derive(Clone, Copy, Debug)]
-pub enum Weighed {
+pub enum MemoryItem {
     /// Claims that an acceptor stores.
     Sessions,
     /// Records of a replicated set.
@@ -211,16 +211,16 @@
 }
 
 /// Returns the kilobytes of memory that each of `count` items takes in this process.
-pub fn weigh(item: Weighed, count: usize) -> f64 {
+pub fn memory_per_item_kb(item: MemoryItem, count: usize) -> f64 {
     let before = process::memory_kb("self");
     let after = match item {
-        Weighed::Sessions => {
+        MemoryItem::Sessions => {
             let filled_acceptor = acceptor_with_claims(count);
             let after = process::memory_kb("self");
             drop(black_box(filled_acceptor));
             after
         }
-        Weighed::Records => {
+        MemoryItem::Records => {
             let replica = replica_of_records(count);
             let after = process::memory_kb("self");
             drop(black_box(replica));
@@ -239,8 +239,8 @@
 }
 
 /// Measures the cores at growing numbers of members, sessions and missing records.
-pub fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
-    let (members, sessions) = (tripling(sizes.members), [100, 1000, 10_000, 100_000]);
+pub fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
+    let (members, sessions) = (tripling(sizes.max_members), [100, 1000, 10_000, 100_000]);
     let each = |figure, unit, counts: &[usize]| Series::new(figure, unit, FigureKind::PerItem, counts);
     let missing_counts = [31, 256, 1024, 4096, 16_384];
     let mut all = vec![
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -2,7 +2,7 @@
 //! connection of its own.
 
 use super::process::{self, TempDir};
-use super::{FigureKind, Series, Sizes, doubling, within_descriptors};
+use super::{FigureKind, ScalingOptions, Series, doubling, within_descriptors};
 use ivyward_fleet::ServerNo;
 use std::path::Path;
 use std::time::Duration;
@@ -14,11 +14,12 @@
 const CHANGE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Measures a manager's memory, descriptors and processor time at growing lengths of the list.
-pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
+pub async fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
     // This process holds a listener and a connection for each server, so two descriptors.
     let mut sizes_measured = vec![1];
-    sizes_measured
-        .extend(doubling(within_descriptors(sizes.servers * 2) / 2, 3).into_iter().filter(|size| *size > 1));
+    sizes_measured.extend(
+        doubling(within_descriptors(sizes.max_servers * 2) / 2, 3).into_iter().filter(|size| *size > 1),
+    );
     let total = |figure, unit| Series::new(figure, unit, FigureKind::Total, &sizes_measured);
     let mut memory = total("memory of a manager with so many servers listed", "kB");
     let mut descriptors_held = total("descriptors of a manager", "descriptors");
@@ -34,19 +35,19 @@
             let folder = TempDir::new(&format!("l{run}-{size}"))?;
             let standins = process::standins(&script)?;
             let (manager, process_id) =
-                process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
+                process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
             // Connections to many servers take some time to open.
             let all_connected = |process_id| process::descriptors(process_id) >= *size as f64;
             let begun_at = Instant::now();
-            while !all_connected(process_id) && begun_at.elapsed() < sizes.settle * 10 {
-                sleep(sizes.settle / 10).await;
+            while !all_connected(process_id) && begun_at.elapsed() < sizes.settle_for * 10 {
+                sleep(sizes.settle_for / 10).await;
             }
-            sleep(sizes.settle).await;
+            sleep(sizes.settle_for).await;
             let cpu_used_us = process::live_threads_cpu_us(process_id);
             rows[0].push(process::memory_kb(&process_id.to_string()));
             rows[1].push(process::descriptors(process_id));
             let begun_at = Instant::now();
-            sleep(sizes.settle * 2).await;
+            sleep(sizes.settle_for * 2).await;
             let idle_us_per_s =
                 (process::live_threads_cpu_us(process_id) - cpu_used_us) / begun_at.elapsed().as_secs_f64();
             rows[2].push(idle_us_per_s);
@@ -56,7 +57,7 @@
                 standins.drain(ServerNo(index % size));
                 sleep(CHANGE_INTERVAL).await;
             }
-            sleep(sizes.settle / 5).await;
+            sleep(sizes.settle_for / 5).await;
             let cpu_used_us = process::live_threads_cpu_us(process_id)
                 - cpu_before_us
                 - idle_us_per_s * begun_at.elapsed().as_secs_f64();
--- a/crates/lab/src/slopes/tests.rs
+++ b/crates/lab/src/slopes/tests.rs
@@ -80,16 +80,17 @@
 
 #[test]
 fn an_unknown_measurement_is_named_in_the_error() {
-    let sizes = super::Sizes {
+    let sizes = super::ScalingOptions {
         runs: 1,
-        most: 1,
-        rate: 1,
-        servers: 1,
-        paid: 1,
-        members: 3,
-        settle: std::time::Duration::ZERO,
+        max_viewings: 1,
+        max_requests_per_s: 1,
+        max_servers: 1,
+        max_paid_viewings: 1,
+        max_members: 3,
+        settle_for: std::time::Duration::ZERO,
     };
-    let error = super::table(std::path::Path::new("/nowhere"), &["weather".into()], &sizes, |_| ()).err();
+    let error =
+        super::run_measurements(std::path::Path::new("/nowhere"), &["weather".into()], &sizes, |_| ()).err();
     let error = error.unwrap_or_default();
     assert!(
         error.contains("weather") && error.contains("connection, viewing, answer, list, claim, cores"),
--- a/crates/lab/src/slopes/viewing.rs
+++ b/crates/lab/src/slopes/viewing.rs
@@ -4,7 +4,7 @@
 //! No player keeps a connection here, so the figures hold viewings and no connections.
 
 use super::process::{self, Players, TempDir};
-use super::{FigureKind, Series, Sizes, doubling};
+use super::{FigureKind, ScalingOptions, Series, doubling};
 use std::path::Path;
 use tokio::time::{Instant, sleep};
 
@@ -16,9 +16,9 @@
 const MAX_FAILED_FRACTION: f64 = 0.01;
 
 /// Measures a manager at growing numbers of live viewings.
-pub async fn measure(program: &Path, sizes: &Sizes) -> Result<Vec<Series>, String> {
+pub async fn measure(program: &Path, sizes: &ScalingOptions) -> Result<Vec<Series>, String> {
     let mut sizes_measured = vec![0];
-    sizes_measured.extend(doubling(sizes.most, 4));
+    sizes_measured.extend(doubling(sizes.max_viewings, 4));
     let total = |figure, unit| Series::new(figure, unit, FigureKind::Total, &sizes_measured);
     let per_item = |figure| Series::new(figure, "us", FigureKind::PerItem, &sizes_measured[1..]);
     let mut memory = total("memory of a manager with so many live viewings", "kB");
@@ -32,7 +32,7 @@
         process::check_free_memory()?;
         let (folder, standins) = (TempDir::new(&format!("v{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle).await?;
+            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
         let (mut urls, mut rows, mut failed) = (vec![], [(); 5].map(|()| vec![]), 0);
         for size in &sizes_measured {
             let new_count = size - urls.len();
@@ -47,10 +47,10 @@
             if failed as f64 > MAX_FAILED_FRACTION * (*size as f64) {
                 return Err(format!("{failed} of {size} viewings got no manifest"));
             }
-            sleep(sizes.settle).await;
+            sleep(sizes.settle_for).await;
             rows[0].push(process::memory_kb(&process_id.to_string()));
             let (cpu_before_us, begun_at) = (process::live_threads_cpu_us(process_id), Instant::now());
-            sleep(sizes.settle * 2).await;
+            sleep(sizes.settle_for * 2).await;
             let idle_us_per_s =
                 (process::live_threads_cpu_us(process_id) - cpu_before_us) / begun_at.elapsed().as_secs_f64();
             rows[1].push(idle_us_per_s);
