--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,9 @@
-//! Interface of the decision module: id types, the actions that it may take, and its inputs. Times are
+//! Interface of the decision module: id types, its inputs, and the actions that it may take. Times are
 //! spans since the start of the caller's clock.
 
 use std::time::Duration;
 
+/// Defines the id types.
 macro_rules! ids {
     ($($name:ident($inner:ty)),* $(,)?) => {$(
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -10,6 +11,7 @@
     )*};
 }
 
+// `PackageId` and `KindId` are positions in the settings.
 ids! {
     ViewingId(u32),
     ServerId([u8; 6]),
@@ -69,42 +71,57 @@
 /// A server's load report: the utilization of its link and uplink, where reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// Utilization of the server's link.
     pub link: Option<f64>,
+    /// Utilization of its rack's uplink.
     pub uplink: Option<f64>,
 }
 
 /// The cells that hold a title: `spread` successive ones starting with `first`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cells {
+    /// Number of the first cell.
     pub first: u32,
+    /// Number of cells.
     pub spread: u32,
 }
 
 /// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
+    /// It accepts set-ups.
     Ready,
+    /// It finishes its viewings and gets no new ones.
     Draining,
+    /// It is no longer in use.
     Gone,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
+    /// The server.
     pub server: ServerId,
+    /// Its state.
     pub state: ServerState,
     /// Time of its last start; none if that was long ago.
     pub started_at: Option<Duration>,
+    /// Capacity of its link in the units of [`Network::kb_per_weight`](crate::state::Network::kb_per_weight).
     pub weight: f64,
+    /// Its zone.
     pub zone: ZoneId,
+    /// Its kind, which determines its slow start.
     pub kind: KindId,
+    /// Its cell.
     pub cell: u32,
 }
 
 /// Which part of the list an update carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
+    /// Only the entries that changed.
     Changes,
+    /// The whole list; servers that it leaves out are gone.
     Full,
     /// The whole list as last known before a restart; it may be stale.
     Restored,
@@ -135,7 +152,7 @@
     MayStillRun,
 }
 
-/// What the module may do. Each call takes effect at the time of the present input.
+/// Actions of the decision module. Each call takes effect at the time of the present input.
 pub trait Actions {
     /// Sends a tune-in to a server; it ends as timed out after `timeout`.
     fn tune_in(&mut self, viewing_id: ViewingId, server: ServerId, timeout: Duration);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -402,6 +402,7 @@
         while self.viewing_times.pop_front_if(|time| *time + self.window <= now).is_some() {}
     }
 
+    /// Whether the budget allows one more retry.
     fn allows_retry(&mut self, now: Duration) -> bool {
         while self.viewing_times.pop_front_if(|time| *time + self.window <= now).is_some() {}
         while self.retry_times.pop_front_if(|time| *time + self.window < now).is_some() {}
@@ -417,10 +418,10 @@
 impl Manager {
     /// Starts the manager and its replan timer. Servers that are listed from now on count as cold at
     /// first.
-    pub fn start(&mut self, act: &mut dyn Actions, now: Duration) {
+    pub fn start(&mut self, actions: &mut dyn Actions, now: Duration) {
         self.start_time = now;
         self.context.now = now;
-        act.set_timer(CONTROL_INTERVAL / REPLANS_PER_INTERVAL, REPLAN_TIMER_TOKEN);
+        actions.set_timer(CONTROL_INTERVAL / REPLANS_PER_INTERVAL, REPLAN_TIMER_TOKEN);
     }
 
     /// Handles an update of the server list.
@@ -467,7 +468,7 @@
 
     /// Handles a viewer's request: registers the viewing and makes its first tune-in.
     pub fn on_request(
-        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
+        &mut self, actions: &mut dyn Actions, now: Duration, viewing_id: ViewingId, package: PackageId,
         title: TitleId, cells: Cells, top_rung: usize, patience_ends_at: Duration,
     ) {
         self.context.now = now;
@@ -478,10 +479,11 @@
         }
         match self.insert_viewing(viewing_id, package, title, cells, top_rung) {
             Some(viewing) => viewing.patience_ends_at = patience_ends_at,
-            None => return act.abort(viewing_id, RefusalReason::UnknownPackage),
+            None => return actions.abort(viewing_id, RefusalReason::UnknownPackage),
         }
-        act.set_timer(patience_ends_at.saturating_sub(now), PATIENCE_TIMER_FLAG | u64::from(viewing_id.0));
-        self.tune_in(act, viewing_id, true);
+        actions
+            .set_timer(patience_ends_at.saturating_sub(now), PATIENCE_TIMER_FLAG | u64::from(viewing_id.0));
+        self.tune_in(actions, viewing_id, true);
     }
 
     /// Handles the start of playback.
@@ -496,7 +498,7 @@
     /// Handles the end of a tune-in, or of the viewing that came of it. `tune_in` counts from 0; after a
     /// `terminal` end nothing more follows.
     pub fn on_tune_in_ended(
-        &mut self, act: &mut dyn Actions, now: Duration, viewing_id: ViewingId, tune_in: u16,
+        &mut self, actions: &mut dyn Actions, now: Duration, viewing_id: ViewingId, tune_in: u16,
         server: ServerId, outcome: TuneInOutcome, terminal: bool, load: LoadReport,
     ) {
         self.on_load_report(now, server, load);
@@ -504,8 +506,7 @@
             outcome,
             TuneInOutcome::Unreachable | TuneInOutcome::ConnectionBroken | TuneInOutcome::TimedOut
         );
-        // A late failure of a tune-in that was sent to an earlier start says nothing about the present
-        // one.
+        // A late failure of a tune-in that was sent to an earlier start doesn't concern the present one.
         let started_at = self.servers.get(&server).and_then(|entry| entry.started_at);
         let from_earlier_start = self
             .viewings
@@ -532,18 +533,18 @@
         self.assign_server(viewing_id, None);
         self.record_demand(server);
         match continuation {
-            Some(continuation) => continuation(self, act, viewing_id, outcome),
+            Some(continuation) => continuation(self, actions, viewing_id, outcome),
             None => self.remove_viewing(viewing_id),
         }
     }
 
-    /// The viewer left: it needs no answer any more.
-    pub fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
+    /// Handles a viewer that left before its answer.
+    pub fn on_viewer_left(&mut self, actions: &mut dyn Actions, viewing_id: ViewingId) {
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.answered = true;
         match viewing.server {
             Some(_) if !viewing.playing && self.limits.may_cancel => {
-                act.cancel_tune_in(viewing_id, viewing.tune_ins - 1)
+                actions.cancel_tune_in(viewing_id, viewing.tune_ins - 1)
             }
             Some(_) => {}
             None => self.remove_viewing(viewing_id),
@@ -613,7 +614,7 @@
 
     /// Handles a probe's result, `None` if no answer came. A viewing waits for all its own probes.
     pub fn on_probe_result(
-        &mut self, act: &mut dyn Actions, now: Duration, server: ServerId, load: Option<LoadReport>,
+        &mut self, actions: &mut dyn Actions, now: Duration, server: ServerId, load: Option<LoadReport>,
     ) {
         self.on_load_report(now, server, load.unwrap_or_default());
         if load.is_none() {
@@ -631,22 +632,22 @@
         }
         for viewing_id in ready {
             self.awaiting_probes.remove(&viewing_id);
-            self.tune_in(act, viewing_id, true);
+            self.tune_in(actions, viewing_id, true);
         }
     }
 
     /// Handles a timer: the end of a viewer's patience, or a replan.
-    pub fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
+    pub fn on_timer(&mut self, actions: &mut dyn Actions, now: Duration, token: u64) {
         self.context.now = now;
         if token & PATIENCE_TIMER_FLAG != 0 {
             // Every viewing gets an answer when its patience ends, even if events are missing.
             let viewing_id = ViewingId(token as u32);
             if self.viewings.get(&viewing_id).is_some_and(|viewing| !viewing.answered) {
-                self.give_up(act, viewing_id, RefusalReason::PatienceOver);
+                self.give_up(actions, viewing_id, RefusalReason::PatienceOver);
             }
             return;
         }
-        act.set_timer(CONTROL_INTERVAL / REPLANS_PER_INTERVAL, REPLAN_TIMER_TOKEN);
+        actions.set_timer(CONTROL_INTERVAL / REPLANS_PER_INTERVAL, REPLAN_TIMER_TOKEN);
         let placed: Vec<_> = self.viewings.values().filter(|viewing| viewing.server.is_some()).collect();
         let own_kb: f64 = placed.iter().map(|viewing| self.rung_kb(viewing, viewing.rung)).sum();
         let (placed_count, uplink_count) = (placed.len() as f64, self.uplinks.len() as f64);
@@ -666,7 +667,7 @@
         }
         let racks: Vec<_> =
             (0..uplink_count as usize).filter(|rack| self.servers_in_use(*rack).next().is_some()).collect();
-        racks.into_iter().for_each(|rack| self.replan_rungs(act, rack));
+        racks.into_iter().for_each(|rack| self.replan_rungs(actions, rack));
     }
 }
 
@@ -746,7 +747,7 @@
     /// bucket is empty, any other with a token. If no holder is eligible, the error is the time until
     /// one is and the reason; it is `None` while probes are pending.
     fn choose_server(
-        &mut self, act: &mut dyn Actions, viewing_id: ViewingId,
+        &mut self, actions: &mut dyn Actions, viewing_id: ViewingId,
     ) -> Result<ServerId, Option<(Duration, RefusalReason)>> {
         let (viewing, now, recent_for) =
             (&self.viewings[&viewing_id], self.context.now, self.slow_start.cold_for);
@@ -879,7 +880,7 @@
             let (candidates, pending_probes) =
                 (drawn_two.iter().map(|holder| holder.1).collect(), stale.collect::<Vec<_>>());
             if !pending_probes.is_empty() {
-                pending_probes.iter().for_each(|server| act.probe(*server));
+                pending_probes.iter().for_each(|server| actions.probe(*server));
                 self.viewings.entry(viewing_id).and_modify(|viewing| {
                     (viewing.candidates, viewing.pending_probes) = (candidates, pending_probes)
                 });
@@ -904,7 +905,7 @@
     }
 
     /// Makes a tune-in for a viewing, or ends the viewing if none is possible.
-    fn tune_in(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, is_first: bool) {
+    fn tune_in(&mut self, actions: &mut dyn Actions, viewing_id: ViewingId, is_first: bool) {
         let (now, viewing) = (self.context.now, &self.viewings[&viewing_id]);
         let (package, title, tune_ins) = (viewing.package, viewing.title, viewing.tune_ins);
         let package_settings = &self.packages[package];
@@ -924,7 +925,7 @@
             .chain([(over_retry_budget, RefusalReason::RetryBudgetExhausted)])
             .find(|refusal| refusal.0)
         {
-            return self.give_up(act, viewing_id, reason);
+            return self.give_up(actions, viewing_id, reason);
         }
         // A paid viewing can't be retried after a timeout, and nothing follows a last tune-in; both may
         // use all the patience that is left.
@@ -937,10 +938,10 @@
         if viewing.candidates.is_empty() {
             push_sample(&mut self.placement_times, 32 * MAX_SAMPLES, now);
         }
-        let server = match self.choose_server(act, viewing_id) {
+        let server = match self.choose_server(actions, viewing_id) {
             Ok(server) => server,
             Err(None) => return,
-            Err(Some((wait, reason))) => return self.block_viewing(act, viewing_id, wait, reason),
+            Err(Some((wait, reason))) => return self.block_viewing(actions, viewing_id, wait, reason),
         };
         self.retry_budget
             .iter_mut()
@@ -956,8 +957,8 @@
         }
         self.viewings.entry(viewing_id).and_modify(|viewing| {
             (viewing.tune_ins, viewing.sent_at) = (tune_ins + 1, now);
-            viewing.continuation = Some(Box::new(move |manager, act, viewing_id, outcome| {
-                manager.on_tune_in_failed(act, viewing_id, server, outcome)
+            viewing.continuation = Some(Box::new(move |manager, actions, viewing_id, outcome| {
+                manager.on_tune_in_failed(actions, viewing_id, server, outcome)
             }));
         });
         self.assign_server(viewing_id, Some(server));
@@ -967,13 +968,13 @@
         let rung = targets.binary_search_by_key(&viewing_id, |target| target.0).map_or(0, |i| targets[i].1);
         self.assign_rung(viewing_id, rung);
         self.record_demand(server);
-        act.set_rung(viewing_id, rung);
-        act.tune_in(viewing_id, server, timeout);
+        actions.set_rung(viewing_id, rung);
+        actions.tune_in(viewing_id, server, timeout);
     }
 
     /// Continues after a tune-in that didn't play: a retry, or the end of the viewing.
     fn on_tune_in_failed(
-        &mut self, act: &mut dyn Actions, viewing_id: ViewingId, server: ServerId, outcome: TuneInOutcome,
+        &mut self, actions: &mut dyn Actions, viewing_id: ViewingId, server: ServerId, outcome: TuneInOutcome,
     ) {
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.failed_servers.push(server);
@@ -983,28 +984,28 @@
         if self.packages[viewing.package].paid_once && !outcome.never_ran() {
             // It is paid and may have run, so it is neither retried nor blocked.
             self.remove_viewing(viewing_id);
-            return act.abort(viewing_id, RefusalReason::MayHaveRun);
+            return actions.abort(viewing_id, RefusalReason::MayHaveRun);
         }
-        self.tune_in(act, viewing_id, false);
+        self.tune_in(actions, viewing_id, false);
     }
 
     /// Ends a viewing that has no answer yet. Cancels its tune-in if one is open.
-    fn give_up(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, reason: RefusalReason) {
+    fn give_up(&mut self, actions: &mut dyn Actions, viewing_id: ViewingId, reason: RefusalReason) {
         let Some(viewing) = self.viewings.get(&viewing_id) else { return };
         if viewing.server.is_none() {
-            return self.block_viewing(act, viewing_id, Duration::ZERO, reason);
+            return self.block_viewing(actions, viewing_id, Duration::ZERO, reason);
         }
         let paid_once = self.packages[viewing.package].paid_once;
-        self.on_viewer_left(act, viewing_id);
-        if paid_once { act.abort(viewing_id, reason) } else { act.block(viewing_id, None, reason) }
+        self.on_viewer_left(actions, viewing_id);
+        if paid_once { actions.abort(viewing_id, reason) } else { actions.block(viewing_id, None, reason) }
     }
 
     /// Blocks a viewing that has no open tune-in, and of which nothing ran or which may be set up again.
     fn block_viewing(
-        &mut self, act: &mut dyn Actions, viewing_id: ViewingId, wait: Duration, reason: RefusalReason,
+        &mut self, actions: &mut dyn Actions, viewing_id: ViewingId, wait: Duration, reason: RefusalReason,
     ) {
         self.remove_viewing(viewing_id);
-        act.block(
+        actions.block(
             viewing_id,
             self.limits.max_come_back_after.map(|max_wait| wait.min(max_wait)).filter(|wait| !wait.is_zero()),
             reason,
@@ -1050,7 +1051,7 @@
     /// Mechanism 1: lowers rungs where the utilization is above the band and raises them where there is
     /// headroom. A step down that exceeds our part is taken at random, so that all managers together
     /// reduce their demand by the intended amount.
-    fn replan_rungs(&mut self, act: &mut dyn Actions, rack: usize) {
+    fn replan_rungs(&mut self, actions: &mut dyn Actions, rack: usize) {
         let (now, own_fraction) = (self.context.now, 1.0 / self.manager_count);
         // A lone viewing at a link rises only if all like it may; several use only half of their
         // headroom.
@@ -1108,7 +1109,7 @@
                     (*excess - reduction_kb, 0.0, uplink_excess - reduction_kb, 0.0);
                 self.record_intended_change(server, -reduction_kb);
                 if self.rng.random_bool(reduction_kb / kb / price_ratio) {
-                    self.set_rung(act, viewing_id, new_rung);
+                    self.set_rung(actions, viewing_id, new_rung);
                 }
             }
         }
@@ -1125,7 +1126,7 @@
             if let Some((kb, _, new_rung)) = { options }.find(fits) {
                 (*headroom, uplink_headroom) = (*headroom - kb, uplink_headroom - kb);
                 self.record_intended_change(server, kb);
-                self.set_rung(act, viewing_id, new_rung);
+                self.set_rung(actions, viewing_id, new_rung);
             }
         }
     }
@@ -1160,11 +1161,11 @@
     }
 
     /// Changes the rung of a viewing and records the new demand.
-    fn set_rung(&mut self, act: &mut dyn Actions, viewing_id: ViewingId, rung: usize) {
+    fn set_rung(&mut self, actions: &mut dyn Actions, viewing_id: ViewingId, rung: usize) {
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.rung_changed_at = self.context.now;
         let server = viewing.server;
-        act.set_rung(viewing_id, rung);
+        actions.set_rung(viewing_id, rung);
         self.assign_rung(viewing_id, rung);
         server.into_iter().for_each(|server| self.record_demand(server));
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -40,8 +40,11 @@
 /// The ladder of rates: kB per second and worth of each rung, and the seconds of value that a switch
 /// costs.
 pub struct Ladder {
+    /// kB per second of each rung, lowest first.
     pub rates_kb: Vec<f64>,
+    /// Worth of each rung.
     pub worths: Vec<f64>,
+    /// Cost of a switch, in seconds of value.
     pub switch_cost_s: f64,
 }
 
@@ -54,12 +57,17 @@
 
 /// Settings of a package: value, set-up target, scale of its rates, lowest and highest rung.
 pub struct Package {
+    /// Value of a viewing, by which the worth of its rung is multiplied.
     pub value: f64,
+    /// Target for the time until playback starts.
     pub set_up_target: Duration,
     /// Paid at set-up, so it is never set up twice.
     pub paid_once: bool,
+    /// Factor by which the ladder's rates are multiplied.
     pub rate_scale: f64,
+    /// Lowest rung that may be played.
     pub floor_rung: usize,
+    /// Highest rung that may be played.
     pub top_rung: usize,
     /// Maximum number of viewings of one title that a manager may hold; 0 for no limit.
     pub seats: usize,
@@ -67,37 +75,47 @@
 
 /// Cells and racks, the capacities of links, and the timing of reports on them.
 pub struct Network {
+    /// Number of cells.
     pub cell_count: u32,
+    /// Number of racks; a cell's rack is its number modulo this.
     pub rack_count: u32,
     /// Capacity of all servers' links together, at the start.
     pub total_link_kb: f64,
+    /// Link capacity of a server of weight 1.
     pub kb_per_weight: f64,
+    /// Capacity of a rack's uplink.
     pub uplink_kb: f64,
-    /// Zero if reports come at no interval.
+    /// Interval between the load reports of a server. Zero if reports come at no interval.
     pub configured_report_interval: Duration,
+    /// Age of the load that a report shows when it arrives.
     pub report_delay: Duration,
 }
 
 impl Network {
+    /// The rack of a cell.
     pub(crate) fn rack_of_cell(&self, cell: u32) -> usize {
         (cell % self.rack_count.max(1)) as usize
     }
 }
 
-/// Limits of tune-ins: their maximum count, whether they may be cancelled, the price of a probe in worth
-/// (none: no probes), and the longest time after which a blocked viewer is asked to come back (none:
-/// viewers get no such time).
+/// Limits of tune-ins, probes and answers.
 pub struct Limits {
+    /// Maximum number of tune-ins of one viewing.
     pub max_tune_ins: u16,
+    /// Whether tune-ins may be cancelled.
     pub may_cancel: bool,
+    /// Price of a probe in worth; none for no probes.
     pub probe_price: Option<f64>,
+    /// Longest time after which a blocked viewer is asked to come back; none for no such time.
     pub max_come_back_after: Option<Duration>,
 }
 
 /// Costs of a viewing as fractions of its value: crossing to another zone, and a new connection to a
 /// server.
 pub struct Prices {
+    /// Cost of playing from another zone.
     pub cross_zone: f64,
+    /// Cost of a new connection.
     pub handshake: f64,
 }
 
@@ -132,6 +150,7 @@
         (self.package, self.rung, self.top_rung)
     }
 
+    /// A viewing at no server. `rungs`: the initial and the highest usable one.
     pub fn new(package: usize, title: TitleId, cells: Cells, rungs: (usize, usize)) -> Self {
         let (rung, top_rung) = rungs;
         let (patience_ends_at, sent_at, rung_changed_at, failed_servers) =
@@ -184,16 +203,19 @@
         }
     }
 
+    /// Adds a report of the utilization, unless its value is invalid.
     pub fn add_report(&mut self, at: Duration, utilization: f64) {
         if utilization.is_finite() && utilization >= 0.0 {
             push_sample(&mut self.reports, MAX_SAMPLES, (at, utilization));
         }
     }
 
+    /// The last entry of the demand history.
     pub fn last_demand(&self) -> (Duration, f64, f64) {
         self.demand_history.back().copied().unwrap_or((Duration::ZERO, 0.0, 1.0))
     }
 
+    /// Our present demand in kB.
     pub fn own_demand(&self) -> f64 {
         self.last_demand().1
     }
@@ -305,6 +327,7 @@
 }
 
 impl RetryBudget {
+    /// In each window, allows `free_retries` and `retry_share` retries per new viewing.
     pub fn new(window: Duration, free_retries: f64, retry_share: f64) -> Self {
         RetryBudget {
             window,
@@ -391,12 +414,13 @@
     pub steps: Vec<RungStep>,
     /// The servers that have viewings of ours. Each keeps its slot while it has any.
     pub server_slots: Vec<Option<ServerId>>,
-    /// Viewing slots that were given back.
+    /// Viewing slots that are free again.
     free_viewing_slots: Vec<usize>,
     viewing_slot_count: usize,
 }
 
 impl Rack {
+    /// Orders the entries of `steps` relative to `step`, for a binary search.
     fn compare_steps(step: &RungStep) -> impl Fn(&RungStep) -> std::cmp::Ordering {
         let RungStep { value_per_kb, viewing_id, rung, .. } = *step;
         move |other| {
@@ -412,7 +436,7 @@
         self.viewing_slot_count
     }
 
-    /// The slot of a server; takes a free one if it has none.
+    /// The slot of a server; assigns a free one if it has none.
     fn server_slot_of(&mut self, server: ServerId) -> usize {
         let slot = |wanted: Option<ServerId>| self.server_slots.iter().position(|id| *id == wanted);
         let slot = slot(Some(server)).or(slot(None)).unwrap_or(self.server_slots.len());
@@ -516,10 +540,13 @@
     pub(crate) class_counts: BTreeMap<(usize, usize, usize), usize>,
     pub(crate) uplinks: Vec<Link>,
     pub(crate) context: EstimateContext,
+    /// Number of entries that decisions have visited.
     visited: Cell<usize>,
 }
 
 impl Manager {
+    /// Creates a manager without servers and viewings. `seed`: of its random choices; `manager_count`: of
+    /// all managers of the fleet; `zone`: its own.
     pub fn new(
         (seed, manager_count, zone, prices): (u64, u32, ZoneId, Prices), ladder: Ladder, network: Network,
         slow_start: SlowStart, limits: Limits, retry_budget: Option<RetryBudget>, packages: Vec<Package>,
