--- a/crates/session/src/rule_guard.rs
+++ b/crates/session/src/rule_guard.rs
@@ -90,8 +90,8 @@
 
     /// Marks servers that a full list doesn't contain as gone.
     pub(crate) fn on_full_list(&mut self, now: Duration, listed_servers: &BTreeSet<ServerId>) {
-        let gone: Vec<_> = self.known_servers.difference(listed_servers).copied().collect();
-        gone.into_iter().for_each(|server| self.on_server_state(now, server, ServerState::Gone));
+        let unlisted_servers: Vec<_> = self.known_servers.difference(listed_servers).copied().collect();
+        unlisted_servers.into_iter().for_each(|server| self.on_server_state(now, server, ServerState::Gone));
     }
 
     /// Forgets servers that have been gone for longer than any set-up can be outstanding.
--- a/crates/session/src/session_core.rs
+++ b/crates/session/src/session_core.rs
@@ -81,7 +81,7 @@
     ) -> Self {
         let table =
             SessionTable::new(retry_budget, rule_guard, incarnation, paid_session_retention.is_some());
-        let (inventoried, deferred_requests) = (BTreeSet::new(), vec![]);
+        let (inventoried_servers, deferred_requests) = (BTreeSet::new(), vec![]);
         SessionCore {
             policy,
             table,
@@ -90,7 +90,7 @@
             paid_session_retention,
             idle_timeout,
             stopping: false,
-            inventoried_servers: inventoried,
+            inventoried_servers,
             deferred_requests,
             inventory_counts: (0, 0),
         }
@@ -321,8 +321,8 @@
         (incarnation, viewing_id, tune_in): (Incarnation, ViewingId, TuneIn), session: SessionId,
         (package, title, (rung, top_rung)): (PackageId, TitleId, (usize, usize)),
     ) {
-        let ours = self.table.viewings.get(&viewing_id);
-        if ours.is_some_and(|viewing| match viewing.state {
+        let known_viewing = self.table.viewings.get(&viewing_id);
+        if known_viewing.is_some_and(|viewing| match viewing.state {
             // The answer to the set-up may still be in transit.
             SessionState::SettingUp { server: at_server, tune_in: expected, .. } => {
                 (incarnation, server, tune_in) == (self.table.incarnation, at_server, expected)
@@ -334,7 +334,7 @@
         }) {
             return;
         }
-        let already_known = ours.is_some() || self.table.sessions.contains_key(&session);
+        let already_known = known_viewing.is_some() || self.table.sessions.contains_key(&session);
         let package_terms = self
             .package_terms
             .get(package.0)
@@ -425,9 +425,9 @@
         self.deferred_requests.retain(|deferred| deferred.request != request);
         let Some(&viewing_id) = self.table.sessions.get(&session) else { return };
         let Some(viewing) = self.table.viewings.get_mut(&viewing_id) else { return };
-        let before = viewing.requests.len();
+        let earlier_count = viewing.requests.len();
         viewing.requests.retain(|waiting| *waiting != request);
-        if before == viewing.requests.len() || !viewing.requests.is_empty() || viewing.answered {
+        if earlier_count == viewing.requests.len() || !viewing.requests.is_empty() || viewing.answered {
             return;
         }
         viewing.answered = true;
@@ -639,7 +639,7 @@
 
     /// Handles the time since a player last fetched a segment, as its server reports it.
     ///
-    /// The server was asked because the player has requested no manifest for long. None if the server
+    /// The server was queried because the player has requested no manifest for long. None if the server
     /// doesn't answer or no longer plays the viewing.
     pub fn on_last_fetch(
         &mut self, effects: &mut dyn Effects, now: Duration, server: ServerId,
--- a/crates/session/src/session_table.rs
+++ b/crates/session/src/session_table.rs
@@ -54,6 +54,7 @@
 }
 
 impl SendRetryBudget {
+    /// A budget without charges. `limits`: window, free retries, and retries per accepted viewing.
     pub fn new(limits: (Duration, f64, f64)) -> Self {
         SendRetryBudget { limits, accepted_at: VecDeque::new(), retried_at: VecDeque::new() }
     }
@@ -64,8 +65,8 @@
         while self.accepted_at.pop_front_if(|at| *at + self.limits.0 <= now).is_some() {}
     }
 
-    /// Charges a retry that reached no server: it was an attempt too, beside those that slow connections
-    /// bunch.
+    /// Charges a retry that reached no server. It counts as an attempt too, in addition to those that slow
+    /// connections bunch.
     pub fn charge_unreached_retry(&mut self, now: Duration) {
         self.retried_at.push_back(now);
     }
@@ -116,6 +117,7 @@
 }
 
 impl SessionTable {
+    /// A table without viewings.
     pub fn new(
         retry_budget: Option<(Duration, f64, f64)>, rule_guard: RuleGuard, incarnation: Incarnation,
         remembers_paid_sessions: bool,
@@ -248,16 +250,16 @@
         self.effects.set_timer(timeout, Timer::TuneInTimeout(viewing_id, tune_in));
     }
 
-    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, why: RefusalReason) {
+    fn block(&mut self, viewing_id: ViewingId, come_back: Option<Duration>, reason: RefusalReason) {
         self.table.answer(
             self.effects,
             viewing_id,
-            Answer::Blocked { come_back, why: FailureCause::ByPolicy(why) },
+            Answer::Blocked { come_back, why: FailureCause::ByPolicy(reason) },
         );
     }
 
-    fn abort(&mut self, viewing_id: ViewingId, why: RefusalReason) {
-        self.table.answer(self.effects, viewing_id, Answer::Aborted { why: FailureCause::ByPolicy(why) });
+    fn abort(&mut self, viewing_id: ViewingId, reason: RefusalReason) {
+        self.table.answer(self.effects, viewing_id, Answer::Aborted { why: FailureCause::ByPolicy(reason) });
     }
 
     fn cancel_tune_in(&mut self, viewing_id: ViewingId, tune_in: u16) {
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -519,12 +519,12 @@
     let cases = [(1, Some(2)), (1, Some(3)), (3, Some(4)), (2, None), (1, None), (4, Some(5)), (9, None)];
     for (request, (sequence, next)) in (2..).zip(cases) {
         harness.request_with_token(request, session(1), PLAIN, 0, origin(sequence));
-        let given = match harness.recorded.last() {
+        let issued = match harness.recorded.last() {
             Some(RecordedEffect::Answer(_, Answer::Plays { sequence, .. })) => Some(*sequence),
             Some(RecordedEffect::Answer(_, Answer::Replayed)) => None,
             other => panic!("{other:?}"),
         };
-        assert_eq!(given, next, "sequence {sequence}");
+        assert_eq!(issued, next, "sequence {sequence}");
     }
     assert_eq!(
         (harness.core.viewing_count(), harness.set_ups().len()),
@@ -886,7 +886,7 @@
         harness.advance(ms(patience - 1));
         assert!(answers(&harness).is_empty(), "{package} {patience}: answered early");
         harness.advance(ms(1));
-        // A paid request whose set-up is outstanding is not told to retry, whether or not it was written.
+        // A paid request whose set-up is outstanding is not asked to retry, whether or not it was written.
         let may_have_run = package == PAID;
         assert!(
             matches!(answers(&harness)[..], [Answer::Aborted { .. }] if may_have_run)
