--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,4 +1,4 @@
-//! Judges histories by the six rules.
+//! Checks histories against the six rules.
 //!
 //! A history holds what was observed from outside: requests of viewers and their answers, set-ups that
 //! servers read and how they ended, notifications of the server list, and starts and ends of managers and
@@ -36,11 +36,13 @@
 /// The terms of a package.
 #[derive(Clone, Debug)]
 pub struct Package {
+    /// Its name in the settings.
     pub name: String,
     /// How long viewers wait for an answer.
     pub patience: Duration,
     /// Target for the time until playback starts.
     pub target: Duration,
+    /// Value of a viewing relative to those of other packages.
     pub value: f64,
     /// Whether the package is paid at set-up and must not be set up twice.
     pub paid_once: bool,
@@ -62,20 +64,25 @@
 /// Everything that was observed; records and requests are in order of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
+    /// The events at servers and of the server list.
     pub records: Vec<Record>,
+    /// The viewers' requests.
     pub viewer_requests: Vec<ManifestRequest>,
+    /// The managers, in the order in which requests refer to them.
     pub managers: Vec<ManagerLifetime>,
 }
 
 /// The verdict on a rule: how often it was checked, and each violation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleVerdict {
+    /// How often the rule was checked.
     pub check_count: u64,
+    /// A description of each violation.
     pub violations: Vec<String>,
 }
 
 impl RuleVerdict {
-    /// The verdict in a few words.
+    /// A summary of the verdict.
     pub fn verdict(&self) -> &'static str {
         match (self.check_count, self.violations.is_empty()) {
             (_, false) => "BROKEN",
@@ -98,15 +105,16 @@
 /// The verdict as a table, with the first few violations of each rule.
 pub fn table(rules: &[RuleVerdict; 6]) -> String {
     let row = |(name, rule): (&&str, &RuleVerdict)| {
-        let RuleVerdict { check_count: looked, violations } = rule;
+        let RuleVerdict { check_count, violations } = rule;
         let summary = rule.verdict();
-        let row = format!("rule  {name:<28} {summary:<7} {looked:>7} checked, {} broken\n", violations.len());
-        row + &violations.iter().take(5).map(|what| format!("        {what}\n")).collect::<String>()
+        let row =
+            format!("rule  {name:<28} {summary:<7} {check_count:>7} checked, {} broken\n", violations.len());
+        row + &violations.iter().take(5).map(|violation| format!("        {violation}\n")).collect::<String>()
     };
     RULES.iter().zip(rules).map(row).collect()
 }
 
-/// Judges a history by each of the rules.
+/// Checks a history against each of the rules.
 pub fn judge(terms: &Terms, history: &History) -> [RuleVerdict; 6] {
     let History { records, viewer_requests: requests, managers } = history;
     let verdicts = [
@@ -120,7 +128,7 @@
     verdicts.map(|(checked, messages)| RuleVerdict { check_count: checked, violations: messages })
 }
 
-/// Judges an additional rule for servers that read immediately what is sent to them.
+/// Checks an additional rule for servers that read immediately what is sent to them.
 ///
 /// After a viewer has closed its request, no set-up for its session is read later than `after`, unless
 /// another request of the session is waiting then.
@@ -153,6 +161,7 @@
     verdict
 }
 
+/// A time in seconds, for messages.
 fn seconds(at: Duration) -> f64 {
     at.as_secs_f64()
 }
@@ -347,14 +356,14 @@
 /// the server when it died, or they started later.
 fn check_slow_start(terms: &Terms, records: &[Record], managers: &[ManagerLifetime]) -> (u64, Vec<String>) {
     let (mut checked, mut violations, (slow_start, capacity)) = (0, vec![], &terms.slow_start);
-    let mut informed: BTreeSet<(ManagerNo, ServerNo)> = BTreeSet::new();
+    let mut informed_managers: BTreeSet<(ManagerNo, ServerNo)> = BTreeSet::new();
     let mut starts: BTreeMap<ServerNo, (Duration, u64)> = BTreeMap::new();
     let mut recent_set_ups: BTreeMap<ServerNo, VecDeque<(Duration, ManagerNo)>> = BTreeMap::new();
     for record in records {
         match &record.what {
             Event::ServerDied { server, managers } => {
-                informed.retain(|(_, known)| known != server);
-                informed.extend(managers.iter().map(|manager| (*manager, *server)));
+                informed_managers.retain(|(_, known)| known != server);
+                informed_managers.extend(managers.iter().map(|manager| (*manager, *server)));
             }
             Event::ServerStarted { server } => {
                 let incarnation = starts.get(server).map_or(2, |(_, incarnation)| incarnation + 1);
@@ -364,7 +373,7 @@
             Event::ServerNotified { manager, server, incarnation, .. }
                 if starts.get(server).is_some_and(|(_, latest)| incarnation >= latest) =>
             {
-                informed.insert((*manager, *server));
+                informed_managers.insert((*manager, *server));
             }
             Event::SetUp { server, key, .. } => {
                 let Some((started_at, _)) = starts.get(server).copied() else { continue };
@@ -382,14 +391,16 @@
                 };
                 let informed_count = server_set_ups
                     .iter()
-                    .filter(|(_, m)| informed.contains(&(*m, *server)) || started_later(m))
+                    .filter(|(_, sender)| {
+                        informed_managers.contains(&(*sender, *server)) || started_later(sender)
+                    })
                     .count();
                 if informed_count * 2 > server_set_ups.len() {
                     let (started_at, at) = (seconds(started_at), seconds(record.at));
                     let senders =
                         format!("{informed_count} of {} set-ups by managers that knew", server_set_ups.len());
                     violations.push(format!(
-                        "{server:?} born at {started_at:.3} pushed over at {at:.3} by {key:?}: {senders}"
+                        "{server:?} started at {started_at:.3} pushed over at {at:.3} by {key:?}: {senders}"
                     ));
                 }
             }
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -21,6 +21,7 @@
 pub struct ManifestRequest {
     /// Index of the manager among the managers of the history.
     pub manager: usize,
+    /// The session that the request's token identifies.
     pub session: u128,
     /// Index of the package in the terms.
     pub package: usize,
@@ -43,8 +44,11 @@
 /// The state of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
+    /// It accepts set-ups.
     Ready,
+    /// It finishes its streams and must get no new set-ups.
     Draining,
+    /// It is no longer in use.
     Gone,
 }
 
@@ -91,6 +95,8 @@
 /// An event with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
+    /// When it was observed, counted from the start of the day.
     pub at: Duration,
+    /// The event.
     pub what: Event,
 }
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -67,14 +67,16 @@
     }
 }
 
-fn request(session: u128, package: usize, at: u64, came_at: u64, came: RequestOutcome) -> ManifestRequest {
+fn request(
+    session: u128, package: usize, at: u64, ended_at_ms: u64, outcome: RequestOutcome,
+) -> ManifestRequest {
     ManifestRequest {
         manager: 0,
         session,
         package,
         requested_at: ms(at),
-        ended_at: ms(came_at),
-        outcome: came,
+        ended_at: ms(ended_at_ms),
+        outcome,
         starts_viewing: true,
         is_refresh: false,
         was_connected: true,
@@ -118,8 +120,8 @@
     ];
     let answered_twice = ManifestRequest { extra_answers: 1, ..request(1, CLIP, 0, 200, playing) };
     assert_eq!(violated_rules(&[], &[answered_twice], &[lifetime(&[])]).0, [0], "answered twice");
-    for (name, came, came_at, downtimes, is_violation) in cases {
-        let requests = [request(1, CLIP, 0, came_at, came)];
+    for (name, outcome, ended_at_ms, downtimes, is_violation) in cases {
+        let requests = [request(1, CLIP, 0, ended_at_ms, outcome)];
         let (rules, report) = violated_rules(&[], &requests, &[lifetime(&downtimes)]);
         assert_eq!(rules, if is_violation { vec![0] } else { vec![] }, "{name}: {report}");
     }
@@ -138,10 +140,11 @@
         ("another waited", RequestOutcome::Closed, Some((250, 600)), 800, 1, 1),
         ("another arrives later", RequestOutcome::Closed, Some((900, 950)), 800, 1, 1),
     ];
-    for (name, came, other, read_at, checked_count, violation_count) in cases {
-        let mut session_requests = vec![request(1, CLIP, 0, 200, came)];
-        session_requests
-            .extend(other.map(|(at, came_at)| request(1, CLIP, at, came_at, RequestOutcome::Answer(200))));
+    for (name, outcome, other, read_at, checked_count, violation_count) in cases {
+        let mut session_requests = vec![request(1, CLIP, 0, 200, outcome)];
+        session_requests.extend(
+            other.map(|(at, ended_at_ms)| request(1, CLIP, at, ended_at_ms, RequestOutcome::Answer(200))),
+        );
         let history = History {
             records: vec![set_up(read_at, 0, 1, 0, CLIP)],
             viewer_requests: session_requests,
@@ -263,7 +266,7 @@
     // Set-ups at a fixed interval in milliseconds from 2000 on, by these managers in rotation. One second after
     // its start the server may be sent nine in a second, and twelve more by chance; two seconds after it,
     // ten and thirteen more.
-    let sent = |managers: &[u32], interval_ms: u64, count: u64| -> Vec<Record> {
+    let set_ups = |managers: &[u32], interval_ms: u64, count: u64| -> Vec<Record> {
         let pair = |i: u64| {
             let manager = ManagerNo(managers[i as usize % managers.len()]);
             let key = TuneInKey { manager, ..key(i as u32, 0) };
@@ -281,61 +284,71 @@
         (
             "as many as it may be sent",
             vec![server_started(), manager_notified(2)],
-            sent(&[0], 1, 21),
+            set_ups(&[0], 1, 21),
             vec![],
             false,
         ),
-        ("one more", vec![server_started(), manager_notified(2)], sent(&[0], 1, 22), vec![], true),
+        ("one more", vec![server_started(), manager_notified(2)], set_ups(&[0], 1, 22), vec![], true),
         (
             "one more, the first a window before",
             vec![server_started(), manager_notified(2)],
-            sent(&[0], 44, 24),
+            set_ups(&[0], 44, 24),
             vec![],
             false,
         ),
         (
             "one more, just within the window",
             vec![server_started(), manager_notified(2)],
-            sent(&[0], 43, 24),
+            set_ups(&[0], 43, 24),
             vec![],
             true,
         ),
-        ("no manager knew", vec![server_started()], sent(&[0], 1, 22), vec![], false),
+        ("no manager knew", vec![server_started()], set_ups(&[0], 1, 22), vec![], false),
         (
             "notified of the previous start only",
             vec![server_started(), manager_notified(1)],
-            sent(&[0], 1, 22),
+            set_ups(&[0], 1, 22),
             vec![],
             false,
         ),
         (
             "warm for long",
             vec![at(0, Event::ServerStarted { server: ServerNo(1) }), manager_notified(1)],
-            sent(&[0], 1, 99),
+            set_ups(&[0], 1, 99),
             vec![],
             false,
         ),
         (
             "two managers together, most by the informed one",
             vec![server_started(), manager_notified(2)],
-            sent(&[0, 0, 1], 1, 22),
+            set_ups(&[0, 0, 1], 1, 22),
             vec![],
             true,
         ),
         (
             "most by the uninformed one",
             vec![server_started(), manager_notified(2)],
-            sent(&[0, 1, 1], 1, 22),
+            set_ups(&[0, 1, 1], 1, 22),
             vec![],
             false,
         ),
-        ("a witness of its end", vec![server_died(&[0]), server_started()], sent(&[0], 1, 22), vec![], true),
-        ("started since", vec![server_started()], sent(&[0], 1, 22), vec![(900, 1100)], true),
+        (
+            "a witness of its end",
+            vec![server_died(&[0]), server_started()],
+            set_ups(&[0], 1, 22),
+            vec![],
+            true,
+        ),
+        ("started since", vec![server_started()], set_ups(&[0], 1, 22), vec![(900, 1100)], true),
     ];
-    for (name, events, sent, downtimes, is_violation) in cases {
-        let (rules, report) = violated_rules(&[events, sent].concat(), &[], &[lifetime(&downtimes)]);
+    for (name, events, set_up_records, downtimes, is_violation) in cases {
+        let (rules, report) =
+            violated_rules(&[events, set_up_records].concat(), &[], &[lifetime(&downtimes)]);
         assert_eq!(rules, if is_violation { vec![3] } else { vec![] }, "{name}: {report}");
-        assert!(!is_violation || report.contains("ServerNo(0) born at 1.000 pushed over at 2."), "{report}");
+        assert!(
+            !is_violation || report.contains("ServerNo(0) started at 1.000 pushed over at 2."),
+            "{report}"
+        );
     }
 }
 
@@ -442,14 +455,14 @@
     // answered.
     let cases =
         [(51, 503, false, false), (51, 200, false, true), (90, 200, false, true), (51, 200, true, false)];
-    for (at, came, refresh, is_violation) in cases.into_iter().chain([(91, 200, false, false)]) {
+    for (at, status, refresh, is_violation) in cases.into_iter().chain([(91, 200, false, false)]) {
         let second = ManifestRequest {
             is_refresh: refresh,
-            ..request(1, CLIP, at, at.max(90), RequestOutcome::Answer(came))
+            ..request(1, CLIP, at, at.max(90), RequestOutcome::Answer(status))
         };
         let both_requests = [request(1, CLIP, 50, 90, RequestOutcome::Answer(503)), second];
         let (rules, report) = violated_rules(&records, &both_requests, &[lifetime(&[])]);
-        assert_eq!(rules.contains(&5), is_violation, "{came}: {report}");
+        assert_eq!(rules.contains(&5), is_violation, "{status}: {report}");
     }
 }
 
@@ -457,8 +470,8 @@
 fn a_rule_without_checks_is_reported_as_not_exercised() {
     let verdicts = judge(&terms(), &History::default());
     assert!(verdicts.iter().all(|rule| rule.verdict() == "not exercised"), "{}", table(&verdicts));
-    let asked = vec![request(1, CLIP, 0, 10, RequestOutcome::Answer(200))];
-    let verdicts = judge(&terms(), &History { viewer_requests: asked, ..Default::default() });
+    let answered_requests = vec![request(1, CLIP, 0, 10, RequestOutcome::Answer(200))];
+    let verdicts = judge(&terms(), &History { viewer_requests: answered_requests, ..Default::default() });
     assert_eq!(verdicts.each_ref().map(RuleVerdict::verdict)[..2], ["kept", "not exercised"]);
 }
 
@@ -495,7 +508,7 @@
 }
 
 #[test]
-fn faults_are_reported_by_line_and_field_and_never_judged() {
+fn faults_are_reported_by_line_and_field_and_reject_the_history() {
     let text = write(&terms(), &full_history());
     // The original text, its replacement, the faulty line, and its field.
     let cases = [
@@ -520,10 +533,10 @@
     for (original, replacement, line, field) in cases {
         assert!(text.contains(original), "{original} in {text}");
         let faults = read(&text.replacen(original, replacement, 1)).expect_err(replacement);
-        let found = |fault: &ivyward_settings::Fault| {
+        let is_expected = |fault: &ivyward_settings::Fault| {
             fault.line == line && (field.is_empty() || fault.field == field)
         };
-        assert!(faults.iter().any(found), "{replacement}: {faults:#?}");
+        assert!(faults.iter().any(is_expected), "{replacement}: {faults:#?}");
     }
     // A text that is cut off anywhere is rejected.
     for cut in 0..text.len() {
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -1,7 +1,7 @@
 //! Reads and writes histories as text.
 //!
 //! Each line is one entry in protobuf text format (`proto/history.proto`). A text that is malformed, out of
-//! order or incomplete is rejected as a whole, so that it is never judged.
+//! order or incomplete is rejected as a whole, so that the rules are never checked on a part of it.
 
 use crate::record::{Event, ManifestRequest, Record, RequestOutcome, ServerStatus, SetUpEnd};
 use crate::{History, ManagerLifetime, Package, Terms};
@@ -37,6 +37,7 @@
 const ENTRY_KINDS: [&str; 11] =
     ["terms", "life", "asked", "set_up", "set_up_over", "rung", "stream_over", "told", "born", "died", "end"];
 
+/// A duration in microseconds, as the text has it.
 fn to_micros(span: Duration) -> u128 {
     span.as_micros()
 }
@@ -46,6 +47,7 @@
     names.iter().find(|(_, value)| value == wanted).map_or("", |(name, _)| name)
 }
 
+/// Writes the key of a tune-in.
 fn write_key(TuneInKey { manager, incarnation, viewing_id, n }: &TuneInKey) -> String {
     format!("key {{ manager: {} birth: {incarnation} vw: {viewing_id} n: {n} }}", manager.0)
 }
@@ -95,6 +97,7 @@
     text + &format!("at_us: {last_at} end {{ }}\n")
 }
 
+/// Writes a viewer's request.
 fn write_request(request: &ManifestRequest) -> String {
     let came = match &request.outcome {
         RequestOutcome::Answer(status) => status.to_string(),
@@ -202,6 +205,7 @@
     }
 }
 
+/// Reads a field in microseconds.
 fn read_duration(entry: &Section, name: &str) -> Duration {
     Duration::from_micros(entry.integer(name))
 }
@@ -244,7 +248,7 @@
                     &format!("has {} values for {} of from_us", until.len(), from.len()),
                 ));
             }
-            let to_duration = |x: &f64| Duration::from_micros(*x as u64);
+            let to_duration = |micros: &f64| Duration::from_micros(*micros as u64);
             let gaps = from
                 .iter()
                 .zip(&until)
@@ -326,12 +330,14 @@
     value_of(&fields.text(field), names).ok_or_else(|| fields.fault(field, &format!("is none of {}", all())))
 }
 
+/// Reads the key of a tune-in.
 fn read_key(fields: &Section) -> TuneInKey {
     let key = fields.section("key");
     let (manager, viewing_id) = (ManagerNo(key.count("manager") as u32), key.count("vw") as u32);
     TuneInKey { manager, incarnation: key.integer("birth"), viewing_id, n: key.count("n") as u16 }
 }
 
+/// Reads the parameters of the rules.
 fn read_terms(fields: &Section) -> Terms {
     let read_package = |package_fields: &Section| Package {
         name: package_fields.text("name"),
