--- a/crates/edge/src/clock_consensus.rs
+++ b/crates/edge/src/clock_consensus.rs
@@ -19,7 +19,7 @@
 
 /// The epoch of a clock that shows `date` at the time `now`.
 fn epoch(now: Duration, date: Duration) -> Epoch {
-    let ms = |max_age: Duration| i64::try_from(max_age.as_millis()).unwrap_or(i64::MAX / 4);
+    let ms = |span: Duration| i64::try_from(span.as_millis()).unwrap_or(i64::MAX / 4);
     ms(now) - ms(date)
 }
 
@@ -36,10 +36,10 @@
 }
 
 impl ClockConsensus {
-    /// `max_skew_ms` is set from `skew`, the allowed difference between two clocks.
-    pub fn new(max_skew_ms: Duration) -> Self {
+    /// `max_skew`: the allowed difference between two clocks.
+    pub fn new(max_skew: Duration) -> Self {
         ClockConsensus {
-            max_skew_ms: i64::try_from(max_skew_ms.as_millis()).unwrap_or(i64::MAX / 4),
+            max_skew_ms: i64::try_from(max_skew.as_millis()).unwrap_or(i64::MAX / 4),
             clocks: BTreeMap::new(),
             epochs: vec![],
             last_date: Duration::ZERO,
@@ -65,8 +65,8 @@
 
     /// Keeps only the servers that are in use.
     pub fn retain(&mut self, in_use: impl Fn(ServerId) -> bool) {
-        let gone: Vec<_> = self.clocks.keys().copied().filter(|server| !in_use(*server)).collect();
-        gone.into_iter().for_each(|server| self.forget(server));
+        let unused: Vec<_> = self.clocks.keys().copied().filter(|server| !in_use(*server)).collect();
+        unused.into_iter().for_each(|server| self.forget(server));
     }
 
     /// The number of servers whose clocks are known.
@@ -80,7 +80,7 @@
     }
 
     /// When a server last reported a date.
-    pub fn last_heard_at(&self, server: ServerId) -> Option<Duration> {
+    pub fn last_reported_at(&self, server: ServerId) -> Option<Duration> {
         self.clocks.get(&server).map(|(at, _)| *at)
     }
 
@@ -97,7 +97,7 @@
     /// constant until the clock catches up, so that switching between our clock and the servers' does not
     /// make it jump.
     pub fn date(&mut self, now: Duration, own_date: Duration) -> (Duration, bool) {
-        let (date, believed) = match self.median_epoch() {
+        let (date, is_own_clock_trusted) = match self.median_epoch() {
             Some(median_epoch)
                 if (epoch(now, own_date) - median_epoch).abs() > self.max_skew_ms + DATE_RESOLUTION_MS =>
             {
@@ -110,7 +110,7 @@
         if date + tolerance < self.last_date || date > self.last_date {
             self.last_date = date;
         }
-        (self.last_date, believed)
+        (self.last_date, is_own_clock_trusted)
     }
 
     /// Whether a server's clock differs so much from the others' that the server would reject its
--- a/crates/edge/src/connection_limits.rs
+++ b/crates/edge/src/connection_limits.rs
@@ -39,9 +39,9 @@
 #[derive(Default)]
 struct Pool {
     /// The number of slots in use.
-    held: usize,
+    used_slots: usize,
     /// The waiting requests with their deadlines, in order.
-    waiting: VecDeque<(WaiterId, Duration)>,
+    waiters: VecDeque<(WaiterId, Duration)>,
     /// How long the most recent slots were held.
     hold_times: VecDeque<Duration>,
 }
@@ -76,18 +76,18 @@
         self.last_waiter_id += 1;
         let waiter_id = WaiterId(self.last_waiter_id);
         let pool = self.pools.entry((server, purpose)).or_default();
-        if pool.held < slot_count {
-            pool.held += 1;
+        if pool.used_slots < slot_count {
+            pool.used_slots += 1;
             return (waiter_id, Admission::Granted);
         }
-        pool.waiting.retain(|(_, deadline)| *deadline > now);
+        pool.waiters.retain(|(_, deadline)| *deadline > now);
         // The requests ahead and this one are served in rounds of as many as there are slots.
-        let round_count = (pool.waiting.len() + 1).div_ceil(slot_count) as u32;
+        let round_count = (pool.waiters.len() + 1).div_ceil(slot_count) as u32;
         let wait = median(pool.hold_times.iter().copied()).unwrap_or_default() * round_count;
-        if pool.waiting.len() >= slot_count * MAX_WAITERS_PER_SLOT || now + wait >= deadline {
+        if pool.waiters.len() >= slot_count * MAX_WAITERS_PER_SLOT || now + wait >= deadline {
             return (waiter_id, Admission::Rejected);
         }
-        pool.waiting.push_back((waiter_id, deadline));
+        pool.waiters.push_back((waiter_id, deadline));
         (waiter_id, Admission::Queued)
     }
 
@@ -98,32 +98,33 @@
     ) -> Option<WaiterId> {
         let pool = self.pools.get_mut(&(server, purpose))?;
         push_sample(&mut pool.hold_times, held_for);
-        while let Some((waiter_id, deadline)) = pool.waiting.pop_front() {
+        while let Some((waiter_id, deadline)) = pool.waiters.pop_front() {
             // A request past its deadline is dropped; the requester handles its own timeout.
             if deadline > now {
                 return Some(waiter_id);
             }
         }
-        pool.held = pool.held.saturating_sub(1);
+        pool.used_slots = pool.used_slots.saturating_sub(1);
         None
     }
 
     /// Cancels a waiting request.
     pub fn cancel(&mut self, server: ServerId, purpose: Purpose, waiter_id: WaiterId) {
         if let Some(pool) = self.pools.get_mut(&(server, purpose)) {
-            pool.waiting.retain(|(other, _)| *other != waiter_id);
+            pool.waiters.retain(|(other, _)| *other != waiter_id);
         }
     }
 
     /// Forgets servers that are neither in use nor have slots in use or waiting requests.
     pub fn retain(&mut self, in_use: impl Fn(ServerId) -> bool) {
-        self.pools.retain(|(server, _), pool| in_use(*server) || pool.held > 0 || !pool.waiting.is_empty());
+        self.pools
+            .retain(|(server, _), pool| in_use(*server) || pool.used_slots > 0 || !pool.waiters.is_empty());
     }
 
     /// The total numbers of slots in use and of waiting requests.
     pub fn count(&self) -> (usize, usize) {
-        self.pools
-            .values()
-            .fold((0, 0), |(held, waiting), pool| (held + pool.held, waiting + pool.waiting.len()))
+        self.pools.values().fold((0, 0), |(used_slots, waiters), pool| {
+            (used_slots + pool.used_slots, waiters + pool.waiters.len())
+        })
     }
 }
--- a/crates/edge/src/log_rate_limiter.rs
+++ b/crates/edge/src/log_rate_limiter.rs
@@ -11,6 +11,7 @@
 #[derive(Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<&'static str, (Duration, u64)>,
+    /// The total over all kinds.
     suppressed: u64,
 }
 
@@ -19,15 +20,15 @@
     /// be written now, else `None`.
     pub fn check(&mut self, now: Duration, kind: &'static str) -> Option<u64> {
         match self.kinds.get_mut(kind) {
-            Some((last_written_at, left_out)) if now < *last_written_at + LOG_INTERVAL => {
-                *left_out += 1;
+            Some((last_written_at, suppressed_count)) if now < *last_written_at + LOG_INTERVAL => {
+                *suppressed_count += 1;
                 self.suppressed += 1;
                 None
             }
-            before => {
-                let left_out = before.map_or(0, |(_, left_out)| *left_out);
+            earlier_entry => {
+                let suppressed_count = earlier_entry.map_or(0, |(_, suppressed_count)| *suppressed_count);
                 self.kinds.insert(kind, (now, 0));
-                Some(left_out)
+                Some(suppressed_count)
             }
         }
     }
--- a/crates/edge/src/overload_gate.rs
+++ b/crates/edge/src/overload_gate.rs
@@ -28,8 +28,8 @@
     }
 
     /// Records how long an event waited for the core.
-    pub fn record_queue_delay(&mut self, now: Duration, waited: Duration) {
-        push_sample(&mut self.queue_delays, (now, waited));
+    pub fn record_queue_delay(&mut self, now: Duration, queue_delay: Duration) {
+        push_sample(&mut self.queue_delays, (now, queue_delay));
     }
 
     /// Records how long a viewing's answer took.
@@ -41,7 +41,7 @@
     /// that a flood that is over has no effect any more.
     fn lag(&self, now: Duration) -> Duration {
         let recent = self.queue_delays.iter().filter(|(at, _)| *at + self.shortest_patience > now);
-        recent.map(|(_, waited)| *waited).max().unwrap_or_default()
+        recent.map(|(_, queue_delay)| *queue_delay).max().unwrap_or_default()
     }
 
     /// Whether a viewing can be answered before its patience ends.
--- a/crates/edge/src/tests.rs
+++ b/crates/edge/src/tests.rs
@@ -71,11 +71,15 @@
 #[test]
 fn a_released_slot_passes_in_order_to_those_still_waiting() {
     let mut limits = ConnectionLimits::new(2);
-    let ask = |limits: &mut ConnectionLimits, until| {
+    let acquire = |limits: &mut ConnectionLimits, until| {
         limits.acquire_slot(ms(0), server(1), Purpose::SetUp, ms(until)).0
     };
-    let (_, second, third, fourth) =
-        (ask(&mut limits, 9000), ask(&mut limits, 50), ask(&mut limits, 9000), ask(&mut limits, 9000));
+    let (_, second, third, fourth) = (
+        acquire(&mut limits, 9000),
+        acquire(&mut limits, 50),
+        acquire(&mut limits, 9000),
+        acquire(&mut limits, 9000),
+    );
     limits.cancel(server(1), Purpose::SetUp, third);
     // The second request is past its deadline, and the third was cancelled.
     assert_ne!(second, fourth);
@@ -91,26 +95,26 @@
     #[test]
     fn no_slot_is_lost_or_granted_twice(steps in prop::collection::vec((0_u8..4, 0_u64..400), 0..300)) {
         let (mut limits, mut now) = (ConnectionLimits::new(4), ms(0));
-        let (mut held, mut waiting) = (0_usize, BTreeSet::<WaiterId>::new());
-        for (what, span) in steps {
+        let (mut used_slots, mut waiters) = (0_usize, BTreeSet::<WaiterId>::new());
+        for (operation, span) in steps {
             now += ms(span / 8);
-            match what {
+            match operation {
                 0 | 1 => match limits.acquire_slot(now, server(1), Purpose::SetUp, now + ms(span)) {
-                    (_, Admission::Granted) => held += 1,
-                    (waiter_id, Admission::Queued) => { waiting.insert(waiter_id); }
+                    (_, Admission::Granted) => used_slots += 1,
+                    (waiter_id, Admission::Queued) => { waiters.insert(waiter_id); }
                     (_, Admission::Rejected) => {}
                 },
-                2 if held > 0 => match limits.release_slot(now, server(1), Purpose::SetUp, ms(span)) {
-                    Some(waiter_id) => prop_assert!(waiting.remove(&waiter_id)),
-                    None => held -= 1,
+                2 if used_slots > 0 => match limits.release_slot(now, server(1), Purpose::SetUp, ms(span)) {
+                    Some(waiter_id) => prop_assert!(waiters.remove(&waiter_id)),
+                    None => used_slots -= 1,
                 },
-                _ => if let Some(waiter_id) = waiting.pop_first() {
+                _ => if let Some(waiter_id) = waiters.pop_first() {
                     limits.cancel(server(1), Purpose::SetUp, waiter_id);
                 },
             }
-            prop_assert!(held <= 3);
-            prop_assert_eq!(limits.count().0, held);
-            prop_assert!(limits.count().1 <= waiting.len());
+            prop_assert!(used_slots <= 3);
+            prop_assert_eq!(limits.count().0, used_slots);
+            prop_assert!(limits.count().1 <= waiters.len());
         }
     }
 }
@@ -227,9 +231,9 @@
     for (first, presented) in cases {
         let mut chain = TokenChain::new(first);
         chain.next_sequence();
-        for (i, (origin, taken)) in presented.iter().enumerate() {
-            assert_eq!(chain.accept(*origin), *taken, "{first:?}, step {i}: {origin:?}");
-            if *taken {
+        for (i, (origin, is_accepted)) in presented.iter().enumerate() {
+            assert_eq!(chain.accept(*origin), *is_accepted, "{first:?}, step {i}: {origin:?}");
+            if *is_accepted {
                 chain.next_sequence();
             }
         }
@@ -251,19 +255,19 @@
         let mut chain = TokenChain::new(app_token(5));
         let first = chain.next_sequence();
         let mut tokens = [first, first];
-        let mut taken = [0, 0];
-        let mut dead = [false, false];
+        let mut accepted_counts = [0, 0];
+        let mut is_rejected = [false, false];
         for player in order.into_iter().map(usize::from) {
             if chain.accept(manager_token(tokens[player])) {
-                prop_assert!(!dead[player], "an invalid copy was accepted");
+                prop_assert!(!is_rejected[player], "an invalid copy was accepted");
                 tokens[player] = chain.next_sequence();
-                taken[player] += 1;
+                accepted_counts[player] += 1;
             } else {
-                dead[player] = true;
+                is_rejected[player] = true;
             }
         }
-        prop_assert!(!(dead[0] && dead[1]), "both were rejected");
-        prop_assert!(taken[0] < 2 || taken[1] < 2 || dead[0] || dead[1]);
+        prop_assert!(!(is_rejected[0] && is_rejected[1]), "both were rejected");
+        prop_assert!(accepted_counts[0] < 2 || accepted_counts[1] < 2 || is_rejected[0] || is_rejected[1]);
     }
 }
 
@@ -333,20 +337,23 @@
     let mut consensus = ClockConsensus::new(ms(1000));
     let mut last = std::collections::BTreeMap::new();
     for i in 0..500_u64 {
-        let (at, of) = (server((i * 7 % 41) as u8), (i * 7919) % 10_000);
+        let (server_id, offset) = (server((i * 7 % 41) as u8), (i * 7919) % 10_000);
         if i % 5 == 4 {
-            consensus.forget(at);
-            last.remove(&at);
+            consensus.forget(server_id);
+            last.remove(&server_id);
         } else {
-            consensus.record(ms(0), at, ms(1_000_000 + of));
-            last.insert(at, 1_000_000 + of);
+            consensus.record(ms(0), server_id, ms(1_000_000 + offset));
+            last.insert(server_id, 1_000_000 + offset);
         }
         let mut dates: Vec<_> = last.values().copied().collect();
         dates.sort_unstable_by(|a, b| b.cmp(a));
         let date = consensus.date(ms(0), ms(900_000_000)).0;
         if dates.len() >= 3 {
-            let wanted = ms(dates[dates.len() / 2] + 500);
-            assert!(date == wanted || date.abs_diff(wanted) <= ms(2000), "event {i}: {date:?}, {wanted:?}");
+            let expected_date = ms(dates[dates.len() / 2] + 500);
+            assert!(
+                date == expected_date || date.abs_diff(expected_date) <= ms(2000),
+                "event {i}: {date:?}, {expected_date:?}"
+            );
         }
         assert_eq!(consensus.len(), last.len());
     }
@@ -388,7 +395,7 @@
     assert_eq!(consensus.stale_servers(ms(10_000), ms(5000)), [server(2), server(1)]);
     consensus.forget(server(2));
     assert_eq!(
-        (consensus.stale_servers(ms(10_000), ms(5000)), consensus.last_heard_at(server(2))),
+        (consensus.stale_servers(ms(10_000), ms(5000)), consensus.last_reported_at(server(2))),
         (vec![server(1)], None)
     );
 }
@@ -498,25 +505,23 @@
 
 #[test]
 fn which_upstream_connections_are_used_tested_and_closed() {
-    let upstreams = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(2000));
+    let policy = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(2000));
     let mut upstream = UpstreamState::new(ms(0));
-    assert!(upstreams.may_send(&upstream, 1) && !upstreams.may_send(&upstream, 2));
+    assert!(policy.may_send(&upstream, 1) && !policy.may_send(&upstream, 2));
     // A set-up timed out; when something last arrived, and whether the connection is still used.
     for (received_at, usable) in [(50, false), (150, true)] {
         upstream = UpstreamState { last_sent_at: ms(100), ..UpstreamState::new(ms(received_at)) };
         upstream.record_timeout();
-        assert_eq!(upstreams.may_send(&upstream, 0), usable, "received at {received_at}");
+        assert_eq!(policy.may_send(&upstream, 0), usable, "received at {received_at}");
         upstream.record_received(ms(200));
-        assert!(upstreams.may_send(&upstream, 0), "something has arrived since");
+        assert!(policy.may_send(&upstream, 0), "something has arrived since");
     }
     // An incomplete message since 100 ms, and its rest.
     upstream.set_partial(ms(100), true);
     upstream.set_partial(ms(300), true);
-    assert!(
-        !upstreams.is_partial_overdue(ms(349), &upstream) && upstreams.is_partial_overdue(ms(350), &upstream)
-    );
+    assert!(!policy.is_partial_overdue(ms(349), &upstream) && policy.is_partial_overdue(ms(350), &upstream));
     upstream.set_partial(ms(350), false);
-    assert!(!upstreams.is_partial_overdue(ms(900), &upstream));
+    assert!(!policy.is_partial_overdue(ms(900), &upstream));
     // Servers without unsolicited reports are tested once in this interval, not at every sweep.
     let without_reports = UpstreamPolicy::new(2, ms(250), ms(15_000), ms(0));
     let needs_test_at = |at| without_reports.needs_test(ms(at), ms(1000), &UpstreamState::new(ms(1000)));
@@ -528,24 +533,21 @@
     // A silent server: tested, then suspect, then another connection.
     let mut upstream = UpstreamState::new(ms(1000));
     assert!(
-        !upstreams.needs_test(ms(3399), ms(1000), &upstream)
-            && upstreams.needs_test(ms(3400), ms(1000), &upstream)
+        !policy.needs_test(ms(3399), ms(1000), &upstream) && policy.needs_test(ms(3400), ms(1000), &upstream)
     );
     upstream.test_sent_at = Some(ms(3400));
-    assert!(!upstreams.needs_test(ms(3500), ms(1000), &upstream));
-    upstreams.check_test(ms(3899), &mut upstream);
-    assert!(upstreams.may_send(&upstream, 0));
-    upstreams.check_test(ms(3900), &mut upstream);
-    assert!(!upstreams.may_send(&upstream, 0) && upstreams.is_idle(ms(3900), &upstream));
-    assert!(
-        !upstreams.is_server_silent(ms(3899), ms(1000)) && upstreams.is_server_silent(ms(3900), ms(1000))
-    );
+    assert!(!policy.needs_test(ms(3500), ms(1000), &upstream));
+    policy.check_test(ms(3899), &mut upstream);
+    assert!(policy.may_send(&upstream, 0));
+    policy.check_test(ms(3900), &mut upstream);
+    assert!(!policy.may_send(&upstream, 0) && policy.is_idle(ms(3900), &upstream));
+    assert!(!policy.is_server_silent(ms(3899), ms(1000)) && policy.is_server_silent(ms(3900), ms(1000)));
     // Failed attempts to reach a server, and since when it counts as unreachable.
-    for (before, since) in [(None, 9000), (Some((5000, 7500)), 5000), (Some((5000, 7000)), 9000)] {
-        let before = before.map(|(first, last)| (ms(first), ms(last)));
-        assert_eq!(upstreams.unreachable_since(ms(9000), before), ms(since), "{before:?}");
+    for (earlier_failures, since) in [(None, 9000), (Some((5000, 7500)), 5000), (Some((5000, 7000)), 9000)] {
+        let earlier_failures = earlier_failures.map(|(first, last)| (ms(first), ms(last)));
+        assert_eq!(policy.unreachable_since(ms(9000), earlier_failures), ms(since), "{earlier_failures:?}");
     }
-    assert!(!upstreams.is_server_lost(ms(1999)) && upstreams.is_server_lost(ms(2000)));
+    assert!(!policy.is_server_lost(ms(1999)) && policy.is_server_lost(ms(2000)));
     let idle = UpstreamState { last_sent_at: ms(1000), ..UpstreamState::new(ms(500)) };
-    assert!(!upstreams.is_idle(ms(8499), &idle) && upstreams.is_idle(ms(8500), &idle));
+    assert!(!policy.is_idle(ms(8499), &idle) && policy.is_idle(ms(8500), &idle));
 }
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -133,9 +133,14 @@
         now < last + self.connect_timeout * LOST_FACTOR
     }
 
-    /// Since when a server is unreachable, given that an attempt has failed now.
-    pub fn unreachable_since(&self, now: Duration, before: Option<(Duration, Duration)>) -> Duration {
-        before.filter(|before| self.is_recent_failure(now, *before)).map_or(now, |before| before.0)
+    /// Since when a server is unreachable, given that an attempt has failed now. `earlier_failures`: the
+    /// times of the first and the last failure before it.
+    pub fn unreachable_since(
+        &self, now: Duration, earlier_failures: Option<(Duration, Duration)>,
+    ) -> Duration {
+        earlier_failures
+            .filter(|earlier_failures| self.is_recent_failure(now, *earlier_failures))
+            .map_or(now, |earlier_failures| earlier_failures.0)
     }
 
     /// Whether a server that was unreachable for this long is lost.
