--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// What drives a core: its effects and its timers.
+/// The host of a core: carries out its effects and keeps its timers.
 pub trait Host: Effects {
     /// The timers that the core has set.
     fn timers(&mut self) -> &mut Timers;
@@ -88,12 +88,18 @@
 pub struct EventSender<H> {
     clock: Clock,
     events: mpsc::UnboundedSender<(Duration, Event<H>)>,
-    waiting: Rc<Cell<usize>>,
+    /// The number of queued events.
+    queued_count: Rc<Cell<usize>>,
 }
 
+// Derived, the implementation would require `H: Clone`.
 impl<H> Clone for EventSender<H> {
     fn clone(&self) -> Self {
-        EventSender { clock: self.clock, events: self.events.clone(), waiting: self.waiting.clone() }
+        EventSender {
+            clock: self.clock,
+            events: self.events.clone(),
+            queued_count: self.queued_count.clone(),
+        }
     }
 }
 
@@ -101,20 +107,23 @@
 pub struct EventLoop<H> {
     clock: Clock,
     events: mpsc::UnboundedReceiver<(Duration, Event<H>)>,
-    waiting: Rc<Cell<usize>>,
+    queued_count: Rc<Cell<usize>>,
 }
 
 /// Creates an event queue.
 pub fn channel<H: Host>(clock: Clock) -> (EventSender<H>, EventLoop<H>) {
     let (events, receiver) = mpsc::unbounded_channel();
-    let waiting = Rc::new(Cell::new(0));
-    (EventSender { clock, events, waiting: waiting.clone() }, EventLoop { clock, events: receiver, waiting })
+    let queued_count = Rc::new(Cell::new(0));
+    (
+        EventSender { clock, events, queued_count: queued_count.clone() },
+        EventLoop { clock, events: receiver, queued_count },
+    )
 }
 
 impl<H: Host> EventSender<H> {
     /// Queues an event.
     pub fn send(&self, event: impl FnOnce(&mut SessionCore, &mut H, Duration) + 'static) {
-        self.waiting.set(self.waiting.get() + 1);
+        self.queued_count.set(self.queued_count.get() + 1);
         self.events.send((self.clock.now(), Box::new(event))).ok();
     }
 
@@ -125,7 +134,7 @@
 
     /// The number of queued events.
     pub fn waiting(&self) -> usize {
-        self.waiting.get()
+        self.queued_count.get()
     }
 }
 
@@ -149,7 +158,7 @@
                 event = self.events.recv() => match event {
                     Some((queued_at, event)) => {
                         let now = self.clock.now();
-                        self.waiting.set(self.waiting.get().saturating_sub(1));
+                        self.queued_count.set(self.queued_count.get().saturating_sub(1));
                         on_dispatch(now, now.saturating_sub(queued_at));
                         event(core, host, now);
                     }
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -21,8 +21,8 @@
 
 /// The number at `key`.
 fn number(object: &Value, key: &str) -> Result<f64, String> {
-    let found = object.pointer(key).and_then(Value::as_f64);
-    found.ok_or_else(|| format!("options: {key} is missing or not a number"))
+    let number_at_key = object.pointer(key).and_then(Value::as_f64);
+    number_at_key.ok_or_else(|| format!("options: {key} is missing or not a number"))
 }
 
 /// The number at `key`, which must not be negative. An absent value means zero, as on the bench's wire.
@@ -127,7 +127,7 @@
         )?),
         report_delay: duration_from_micros(number_or_zero(options, "/specifics/seen-after-us")?),
     };
-    let pace = SlowStart::new(
+    let slow_start = SlowStart::new(
         siblings,
         &numbers(options, "/specifics/kind-streams")?,
         duration_from_micros(number(options, "/guarantees/cold-us")?),
@@ -154,7 +154,7 @@
         handshake: number_or_zero(options, "/prices/handshake")?,
     };
     let instance = (seed, siblings, ZoneId(number_or_zero(options, "/my-zone")? as u8), prices);
-    Ok(Manager::new(instance, ladder, network, pace, limits, retry_budget, packages(options)?))
+    Ok(Manager::new(instance, ladder, network, slow_start, limits, retry_budget, packages(options)?))
 }
 
 /// The retry budget: its window, the number of further tune-ins that are always allowed in a window, and
--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -13,7 +13,9 @@
 
 /// A received frame, without its length field.
 pub struct Frame<'a> {
+    /// The time of its events, on the caller's clock.
     pub clock: Duration,
+    /// Its number, which the reply repeats.
     pub batch: u32,
     records: &'a [u8],
     tail: &'a [u8],
@@ -28,6 +30,7 @@
 }
 
 impl<'a> Frame<'a> {
+    /// Splits a frame into its records and its tail.
     pub fn parse(body: &'a [u8]) -> Result<Self, String> {
         let clock = Duration::from_micros(u64::from_le_bytes(read_bytes(body, 0, "clock")?));
         let count = u32::from_le_bytes(read_bytes(body, 8, "record count")?) as usize;
@@ -39,6 +42,7 @@
         Ok(Frame { clock, batch, records, tail })
     }
 
+    /// The event records, in their order.
     pub fn records(&self) -> impl Iterator<Item = Record<'a>> + use<'a> {
         let tail = self.tail;
         self.records.chunks_exact(EVENT_BYTES).map(move |bytes| Record { bytes, tail })
@@ -52,26 +56,32 @@
 }
 
 impl<'a> Record<'a> {
+    /// The 8-bit integer at an offset.
     pub fn u8(&self, at: usize, field: &str) -> Result<u8, String> {
         Ok(u8::from_le_bytes(read_bytes(self.bytes, at, field)?))
     }
 
+    /// The 16-bit integer at an offset.
     pub fn u16(&self, at: usize, field: &str) -> Result<u16, String> {
         Ok(u16::from_le_bytes(read_bytes(self.bytes, at, field)?))
     }
 
+    /// The 32-bit integer at an offset.
     pub fn u32(&self, at: usize, field: &str) -> Result<u32, String> {
         Ok(u32::from_le_bytes(read_bytes(self.bytes, at, field)?))
     }
 
+    /// The 64-bit integer at an offset.
     pub fn u64(&self, at: usize, field: &str) -> Result<u64, String> {
         Ok(u64::from_le_bytes(read_bytes(self.bytes, at, field)?))
     }
 
+    /// The 32-bit floating-point number at an offset.
     pub fn f32(&self, at: usize, field: &str) -> Result<f64, String> {
         Ok(f64::from(f32::from_le_bytes(read_bytes(self.bytes, at, field)?)))
     }
 
+    /// The server id at an offset.
     pub fn server(&self, at: usize, field: &str) -> Result<[u8; 6], String> {
         read_bytes(self.bytes, at, field)
     }
@@ -114,6 +124,7 @@
         self.push_action(instance_id, code, &[&start.to_le_bytes(), &length.to_le_bytes()]);
     }
 
+    /// Appends a record, padded to its full size.
     fn push_record(&mut self, code: u16, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.extend_from_slice(&code.to_le_bytes());
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! The decision instances of this process, and the call that each event record stands for.
+//! The decision instances of this process, and the calls that event records make on them.
 
 use crate::frame::{self, Frame, Record, Reply};
 use ivyward::interface::*;
@@ -69,6 +69,7 @@
     }
 }
 
+/// The outcome of a tune-in by its code on the wire.
 fn parse_outcome(code: u16) -> Result<TuneInOutcome, String> {
     Ok(match code {
         0 => TuneInOutcome::Completed,
@@ -101,6 +102,7 @@
     Ok(load)
 }
 
+/// Reads an entry of a server list.
 fn parse_list_entry(entry: &[u8]) -> Result<ServerEntry, String> {
     let [zone, state, kind] = frame::read_bytes(entry, 12, "zone")?;
     let started_at = u64::from_le_bytes(frame::read_bytes(entry, 4, "born-us")?);
@@ -136,8 +138,8 @@
                     let event = AssertUnwindSafe(|| {
                         self.handle_event(instance_id, code, &record, frame.clock, &mut reply)
                     });
-                    let caught = catch_unwind(event);
-                    match caught {
+                    let result = catch_unwind(event);
+                    match result {
                         Ok(done) => done?,
                         Err(panic) => {
                             let text = panic.downcast_ref::<String>().map(String::as_str);
