--- a/crates/quality/src/blame.rs
+++ b/crates/quality/src/blame.rs
@@ -35,7 +35,9 @@
 /// A level that explains an excess of bad sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Blame {
+    /// The factor of the level.
     pub factor: Factor,
+    /// The level.
     pub level: Level,
     /// How much worse its sessions are than those of other levels, in badness.
     pub excess: f64,
@@ -55,29 +57,36 @@
     let overall_variance = total.variance(0.0, 0.0);
     let levels: Vec<Vec<(Level, Sum)>> =
         FACTORS.iter().map(|factor| table.by(*factor).into_iter().collect()).collect();
-    let position = |f: usize, level: &Level| {
-        levels[f].binary_search_by_key(level, |(level, _)| *level).unwrap_or_default()
+    let position = |factor_index: usize, level: &Level| {
+        levels[factor_index].binary_search_by_key(level, |(level, _)| *level).unwrap_or_default()
     };
-    let cells: Vec<([usize; FACTORS.len()], Sum)> =
-        table.cells().map(|(cell, sum)| (std::array::from_fn(|f| position(f, &cell[f])), *sum)).collect();
+    let cells: Vec<([usize; FACTORS.len()], Sum)> = table
+        .cells()
+        .map(|(cell, sum)| {
+            (std::array::from_fn(|factor_index| position(factor_index, &cell[factor_index])), *sum)
+        })
+        .collect();
     let mut effects: Vec<Vec<f64>> = levels.iter().map(|levels| vec![0.0; levels.len()]).collect();
     for _ in 0..FIT_PASS_COUNT {
-        for f in 0..FACTORS.len() {
-            let mut residuals = vec![0.0; effects[f].len()];
+        for factor_index in 0..FACTORS.len() {
+            let mut residuals = vec![0.0; effects[factor_index].len()];
             for (cell, sum) in &cells {
-                let others: f64 = (0..FACTORS.len()).filter(|g| *g != f).map(|g| effects[g][cell[g]]).sum();
-                residuals[cell[f]] += sum.badness_sum - sum.count * (total.mean() + others);
+                let others: f64 = (0..FACTORS.len())
+                    .filter(|other_index| *other_index != factor_index)
+                    .map(|other_index| effects[other_index][cell[other_index]])
+                    .sum();
+                residuals[cell[factor_index]] += sum.badness_sum - sum.count * (total.mean() + others);
             }
             let shrunk = residuals
                 .iter()
-                .zip(&levels[f])
+                .zip(&levels[factor_index])
                 .map(|(residual, (_, sum))| residual / (sum.count + SHRINKAGE_SESSION_COUNT));
-            effects[f] = shrunk.collect();
+            effects[factor_index] = shrunk.collect();
         }
     }
     let mut results = vec![];
-    for (f, factor) in FACTORS.into_iter().enumerate() {
-        for ((level, sum), effect) in levels[f].iter().zip(&effects[f]) {
+    for (factor_index, factor) in FACTORS.into_iter().enumerate() {
+        for ((level, sum), effect) in levels[factor_index].iter().zip(&effects[factor_index]) {
             let standard_errors =
                 effect / (overall_variance / (sum.count + SHRINKAGE_SESSION_COUNT)).sqrt().max(1e-9);
             results.push((factor, *level, *effect, standard_errors));
--- a/crates/quality/src/intake.rs
+++ b/crates/quality/src/intake.rs
@@ -133,28 +133,31 @@
     /// The badness of the session in a window: the stalled fraction, and that of the start if there was
     /// one. None without a report in the window.
     fn badness(&self, from: Duration, until: Duration) -> Option<(f64, Option<f64>)> {
-        let within: Vec<_> = self.reports.iter().filter(|r| from <= r.made_at && r.made_at < until).collect();
-        let (first, last) = (within.first()?, within.last()?);
-        let before = self.reports.iter().rfind(|r| r.made_at < from);
+        let reports_in_window: Vec<_> =
+            self.reports.iter().filter(|r| from <= r.made_at && r.made_at < until).collect();
+        let (first, last) = (reports_in_window.first()?, reports_in_window.last()?);
+        let previous = self.reports.iter().rfind(|r| r.made_at < from);
         let covered = (last.made_at.max(first.made_at)
-            - before.map_or(from, |b| b.made_at.max(from.saturating_sub(until - from))))
+            - previous.map_or(from, |earlier_report| {
+                earlier_report.made_at.max(from.saturating_sub(until - from))
+            }))
         .max((until - from) / 4)
         .as_secs_f64();
         let stalled_total = |r: &&&Report| r.figures.stalled_in_all;
-        let stalled = match within.iter().filter_map(|r| r.figures.stalled_in_all).max() {
+        let stalled = match reports_in_window.iter().filter_map(|r| r.figures.stalled_in_all).max() {
             Some(last) => {
-                let first = before
-                    .and_then(|b| b.figures.stalled_in_all)
-                    .or(within.iter().find_map(|r| stalled_total(&r)));
+                let first = previous
+                    .and_then(|earlier_report| earlier_report.figures.stalled_in_all)
+                    .or(reports_in_window.iter().find_map(|r| stalled_total(&r)));
                 last.saturating_sub(first.unwrap_or_default())
             }
-            None => within.iter().filter_map(|r| r.figures.stalled).sum(),
+            None => reports_in_window.iter().filter_map(|r| r.figures.stalled).sum(),
         };
         let worst_start_s = (until - from).as_secs_f64() * WORST_START_FRACTION;
         // A start of up to half the duration of the worst start has badness 0.
         let start_badness =
             |start: Duration| ((start.as_secs_f64() / worst_start_s - 0.5) * 2.0).clamp(0.0, 1.0);
-        let start = within.iter().filter_map(|r| r.figures.start_up).max().map(start_badness);
+        let start = reports_in_window.iter().filter_map(|r| r.figures.start_up).max().map(start_badness);
         Some(((stalled.as_secs_f64() / covered.max(1e-3)).min(1.0), start))
     }
 }
--- a/crates/quality/src/table.rs
+++ b/crates/quality/src/table.rs
@@ -5,10 +5,13 @@
 /// A property by which sessions are grouped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Factor {
+    /// The rack of the session's server.
     Rack,
     /// A server is part of its rack.
     Server,
+    /// The title that is played.
     Title,
+    /// The tenant that the session belongs to.
     Tenant,
     /// The network that the player is in.
     Network,
@@ -26,25 +29,31 @@
 /// and 1 a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
+    /// The number of sessions.
     pub count: f64,
+    /// The sum of their badness.
     pub badness_sum: f64,
-    pub squares: f64,
+    /// The sum of the squares of their badness.
+    pub square_sum: f64,
 }
 
 impl Sum {
     /// Adds other sessions.
     pub fn add(&mut self, other: &Sum) {
-        (self.count, self.badness_sum, self.squares) =
-            (self.count + other.count, self.badness_sum + other.badness_sum, self.squares + other.squares);
+        (self.count, self.badness_sum, self.square_sum) = (
+            self.count + other.count,
+            self.badness_sum + other.badness_sum,
+            self.square_sum + other.square_sum,
+        );
     }
 
     /// These sessions without some of them. Rounding errors don't make a part negative.
     pub fn without(&self, other: &Sum) -> Sum {
-        let at_least_zero = |x: f64| x.max(0.0);
+        let at_least_zero = |value: f64| value.max(0.0);
         Sum {
             count: at_least_zero(self.count - other.count),
             badness_sum: at_least_zero(self.badness_sum - other.badness_sum),
-            squares: at_least_zero(self.squares - other.squares),
+            square_sum: at_least_zero(self.square_sum - other.square_sum),
         }
     }
 
@@ -56,7 +65,7 @@
     /// The variance of a session's badness, estimated with a prior: `prior_sessions` sessions of variance
     /// `prior_variance` are added to those that were observed.
     pub fn variance(&self, prior_variance: f64, prior_sessions: f64) -> f64 {
-        let observed = self.squares - self.badness_sum * self.mean();
+        let observed = self.square_sum - self.badness_sum * self.mean();
         (observed.max(0.0) + prior_sessions * prior_variance) / (self.count - 1.0 + prior_sessions).max(1.0)
     }
 }
@@ -70,9 +79,13 @@
 
 impl Table {
     /// Adds a session with its badness, which is limited to 0 to 1; a badness that is not finite counts as 0.
-    pub fn add(&mut self, levels: [Level; FACTORS.len()], bad: f64) {
-        let bad = if bad.is_finite() { bad.clamp(0.0, 1.0) } else { 0.0 };
-        self.cells.entry(levels).or_default().add(&Sum { count: 1.0, badness_sum: bad, squares: bad * bad });
+    pub fn add(&mut self, levels: [Level; FACTORS.len()], badness: f64) {
+        let badness = if badness.is_finite() { badness.clamp(0.0, 1.0) } else { 0.0 };
+        self.cells.entry(levels).or_default().add(&Sum {
+            count: 1.0,
+            badness_sum: badness,
+            square_sum: badness * badness,
+        });
     }
 
     /// Each combination of levels with the sum of its sessions.
--- a/crates/quality/src/tests.rs
+++ b/crates/quality/src/tests.rs
@@ -103,9 +103,9 @@
     Intake::new(secs(1000), (secs(30), secs(30)), 40, 100)
 }
 
-fn figures(sequence: u64, sent: u64, stalled_in_all_ms: u64) -> Figures {
+fn figures(sequence: u64, sent_s: u64, stalled_in_all_ms: u64) -> Figures {
     let stalled_in_all = Some(Duration::from_millis(stalled_in_all_ms));
-    Figures { sequence: Some(sequence), sent: Some(secs(sent)), stalled_in_all, ..Default::default() }
+    Figures { sequence: Some(sequence), sent: Some(secs(sent_s)), stalled_in_all, ..Default::default() }
 }
 
 #[test]
@@ -126,8 +126,8 @@
         (1041, 5, 41, 3000, ReportOutcome::Kept),
         (1042, 5, 41, 9000, ReportOutcome::Doubled),
     ];
-    for (now, sequence, sent, stalled, outcome) in cases {
-        assert_eq!(report(now, 1, figures(sequence, sent, stalled)), outcome, "report {sequence} at {now}");
+    for (now, sequence, sent_s, stalled, outcome) in cases {
+        assert_eq!(report(now, 1, figures(sequence, sent_s, stalled)), outcome, "report {sequence} at {now}");
     }
     assert_eq!(report(1041, 2, Figures::default()), ReportOutcome::Empty);
     assert!(intake.close(secs(1059)).is_none(), "late reports are still accepted");
@@ -167,16 +167,20 @@
         let mut intake = intake();
         for i in 0..10 {
             let at = 1001 + i * 3;
-            let sent = (at as i64 + offset) * 1000 + drift * (i as i64) * 3;
+            let sent_ms = (at as i64 + offset) * 1000 + drift * (i as i64) * 3;
             let mut report_figures = figures(i + 1, 0, 300 * i);
-            report_figures.sent = Some(Duration::from_millis(sent as u64));
+            report_figures.sent = Some(Duration::from_millis(sent_ms as u64));
             assert_eq!(
                 intake.report(secs(at), SessionId(1), ClientId(1), levels([0; 5]), report_figures),
                 ReportOutcome::Kept
             );
         }
-        let bad = intake.close(secs(1060)).expect("the window can be closed").stalls.whole().badness_sum;
-        assert!((bad - 2.7 / 28.0).abs() < 0.02, "off by {offset} s, drift {drift}: {bad}");
+        let stall_badness =
+            intake.close(secs(1060)).expect("the window can be closed").stalls.whole().badness_sum;
+        assert!(
+            (stall_badness - 2.7 / 28.0).abs() < 0.02,
+            "off by {offset} s, drift {drift}: {stall_badness}"
+        );
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,9 @@
 /// An error in a text. The line and the column count from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// The line.
     pub line: usize,
+    /// The column.
     pub column: usize,
     /// The path of the field, such as `title[2].spread`.
     pub field: String,
@@ -27,16 +29,16 @@
 }
 
 impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
-            f,
+            formatter,
             "{}:{}: {}{}",
             self.line,
             self.column,
             self.field,
             if self.field.is_empty() { "" } else { ": " }
         )?;
-        f.write_str(&self.what)
+        formatter.write_str(&self.what)
     }
 }
 
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -58,7 +58,8 @@
 /// The spans of the tokens: words, quoted strings and single punctuation marks. Comments are left out.
 fn tokens(text: &str) -> Vec<Range<usize>> {
     let (bytes, mut tokens, mut at) = (text.as_bytes(), vec![], 0);
-    let word = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-' | b'+') || b >= 0x80;
+    let is_word_byte =
+        |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-' | b'+') || b >= 0x80;
     while at < bytes.len() {
         let start = at;
         match bytes[at] {
@@ -72,8 +73,8 @@
                 at = (at + 1).min(bytes.len());
                 tokens.push(start..at);
             }
-            b if word(b) => {
-                at += bytes[at..].iter().position(|b| !word(*b)).unwrap_or(bytes.len() - at);
+            b if is_word_byte(b) => {
+                at += bytes[at..].iter().position(|b| !is_word_byte(*b)).unwrap_or(bytes.len() - at);
                 tokens.push(start..at);
             }
             _ => {
--- a/crates/signal/src/lib.rs
+++ b/crates/signal/src/lib.rs
@@ -59,10 +59,13 @@
 /// A field of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
+    /// The package that the viewer requests.
     Package,
     /// How much longer the viewer waits for an answer, in milliseconds.
     TimeLeft,
+    /// The tenant that the session belongs to.
     Tenant,
+    /// The title that the viewer requests.
     Title,
     /// Further parameters as `name:value` pairs, separated by semicolons.
     Extras,
@@ -70,6 +73,7 @@
     Note,
     /// A load report.
     Report,
+    /// The rung of the session.
     Rung,
     /// The value that a notification reports.
     NoteValue,
@@ -92,10 +96,13 @@
 /// A decoded message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Signal<'a> {
+    /// Its kind.
     pub kind: Kind,
     /// The session that the message concerns.
     pub session: SessionRef,
+    /// The cause of a release, or the argument of a heartbeat.
     pub cause: Option<u8>,
+    /// The description of the session.
     pub description: Option<Cow<'a, [u8]>>,
     fields: Vec<(Field, Cow<'a, str>)>,
 }
