--- a/crates/session/src/tests/harness.rs
+++ b/crates/session/src/tests/harness.rs
@@ -45,6 +45,7 @@
     ReportViolation(Violation),
 }
 
+/// Collects the effects of one call.
 #[derive(Default)]
 struct EffectLog {
     recorded: Vec<RecordedEffect>,
@@ -158,9 +159,10 @@
         harness
     }
 
-    fn handle<T>(&mut self, act: impl FnOnce(&mut SessionCore, &mut dyn Effects, Duration) -> T) -> T {
+    /// Calls the core, and records the effects that it emits.
+    fn handle<T>(&mut self, call: impl FnOnce(&mut SessionCore, &mut dyn Effects, Duration) -> T) -> T {
         let mut effects = EffectLog::default();
-        let output = act(&mut self.core, &mut effects, self.now);
+        let output = call(&mut self.core, &mut effects, self.now);
         self.recorded.extend(effects.recorded);
         for (after, timer) in effects.timers {
             self.order += 1;
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -36,10 +36,10 @@
             current.inner.iter().position(|field| field.span.start <= at && at < field.span.end)
         {
             let field = &current.inner[i];
-            let before = current.inner[..i].iter().filter(|other| other.name == field.name).count();
+            let earlier_count = current.inner[..i].iter().filter(|other| other.name == field.name).count();
             path = format!("{path}{}{}", if path.is_empty() { "" } else { "." }, field.name);
-            if before > 0 {
-                path = format!("{path}[{before}]");
+            if earlier_count > 0 {
+                path = format!("{path}[{earlier_count}]");
             }
             (span, current) = (Some(field.span.clone()), field);
         }
@@ -49,10 +49,10 @@
 
 /// The line and column of a byte, counted from 1. Columns count characters.
 pub(crate) fn line_column(text: &str, at: usize) -> (usize, usize) {
-    let before = &text.as_bytes()[..at.min(text.len())];
-    let line = before.iter().filter(|b| **b == b'\n').count() + 1;
-    let start = before.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
-    (line, String::from_utf8_lossy(&before[start..]).chars().count() + 1)
+    let preceding_bytes = &text.as_bytes()[..at.min(text.len())];
+    let line = preceding_bytes.iter().filter(|b| **b == b'\n').count() + 1;
+    let start = preceding_bytes.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
+    (line, String::from_utf8_lossy(&preceding_bytes[start..]).chars().count() + 1)
 }
 
 /// The spans of the tokens: words, quoted strings and single punctuation marks. Comments are left out.
@@ -91,40 +91,40 @@
 /// A field is `name: value`, `name { fields }` or `name: [value, value]`. The result is the fields and the
 /// index of the token at which the scan ended.
 fn fields(text: &str, tokens: &[Range<usize>], mut at: usize) -> (Vec<Place>, usize) {
-    let mark = |at: usize| tokens.get(at).map_or("", |span| &text[span.clone()]);
+    let token_text = |at: usize| tokens.get(at).map_or("", |span| &text[span.clone()]);
     let mut places = vec![];
-    while at < tokens.len() && !matches!(mark(at), "}" | ">") {
-        let (start, name) = (tokens[at].start, mark(at).to_string());
+    while at < tokens.len() && !matches!(token_text(at), "}" | ">") {
+        let (start, name) = (tokens[at].start, token_text(at).to_string());
         at += 1;
         if matches!(name.as_str(), "," | ";") {
             continue;
         }
-        if mark(at) == ":" {
+        if token_text(at) == ":" {
             at += 1;
         }
-        let is_list = mark(at) == "[";
+        let is_list = token_text(at) == "[";
         at += usize::from(is_list);
         loop {
             let from = if is_list && at < tokens.len() { tokens[at].start } else { start };
             let mut inner = vec![];
-            if matches!(mark(at), "{" | "<") {
+            if matches!(token_text(at), "{" | "<") {
                 (inner, at) = fields(text, tokens, at + 1);
                 at += 1;
-            } else if at < tokens.len() && !matches!(mark(at), "}" | ">" | "]") {
+            } else if at < tokens.len() && !matches!(token_text(at), "}" | ">" | "]") {
                 at += 1;
                 // Adjacent strings form one value.
-                while mark(at).starts_with(['"', '\'']) {
+                while token_text(at).starts_with(['"', '\'']) {
                     at += 1;
                 }
             }
             let end = tokens.get(at.min(tokens.len()).wrapping_sub(1)).map_or(start, |span| span.end);
             places.push(Place { name: name.clone(), span: from..end, inner });
-            if !is_list || mark(at) != "," {
+            if !is_list || token_text(at) != "," {
                 break;
             }
             at += 1;
         }
-        at += usize::from(is_list && mark(at) == "]");
+        at += usize::from(is_list && token_text(at) == "]");
     }
     (places, at)
 }
--- a/src/tests/outage.rs
+++ b/src/tests/outage.rs
@@ -7,8 +7,10 @@
 const COLD_DURATION: Duration = Duration::from_secs(10);
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
+/// How tune-ins fail during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FailureMode {
+    /// The connection is refused.
     Refuses,
     /// No connection is established in time.
     Silent,
@@ -19,6 +21,7 @@
 /// Managers, streams of a server, and requests per second of all managers.
 type Load = (u32, f64, f64);
 
+/// An outage of all servers.
 struct Outage {
     failure_mode: FailureMode,
     length: Duration,
@@ -41,8 +44,11 @@
     max_set_ups: usize,
 }
 
+/// An event of the simulation.
 enum Event {
+    /// A viewer requests a title from one of the managers.
     Request,
+    /// All managers replan their rungs.
     Replan,
     /// A tune-in of a manager's viewing, or the viewing that came of it, ends at a server.
     TuneInEnds(usize, u32, u16, u8, TuneInOutcome),
@@ -59,6 +65,7 @@
     }
 }
 
+/// A manager under the load.
 fn harness(seed: u64, (managers, streams, _): Load, at_start: bool) -> Harness {
     let mut harness = Harness::new(Some(RetryBudget::new(ms(5000), 5.0, 0.2)));
     let manager = &mut harness.manager;
@@ -77,7 +84,8 @@
     harness
 }
 
-fn play(load: Load, outage: &Outage, seed: u64) -> OutageResult {
+/// Simulates an outage and measures the recovery.
+fn simulate(load: Load, outage: &Outage, seed: u64) -> OutageResult {
     let (managers, rate) = (load.0 as usize, load.2);
     let mut harnesses: Vec<_> = (0..managers as u64)
         .map(|manager_index| harness(seed * 1000 + manager_index + 1, load, outage.at_start))
@@ -216,7 +224,7 @@
         let bearable_count = 2.0 * 0.4 * load.1 / 10.0;
         let overload_count = bearable_count + 2.0 * f64::sqrt(bearable_count) + 2.0;
         for outage in &outages {
-            let result = play(load, outage, 1);
+            let result = simulate(load, outage, 1);
             let Outage { failure_mode, length, recovery_gap, at_start } = outage;
             let summary = format!(
                 "{load:?}, {failure_mode:?} for {length:?}, gap {recovery_gap:?}, at start {at_start}: \
