--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -17,7 +17,7 @@
 /// The stand-in servers, as a `Fleet` message.
 const FLEET: &str = "servers: 12 link_kb: 4300 uplink_kb: 21000 places: 34 list_late_s: 0.2";
 
-/// The embedded settings, with the server list at address `list`.
+/// The embedded settings, with the server list at `list_address`.
 ///
 /// # Errors
 /// Faults in the embedded text; the tests make sure that there are none.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -92,15 +92,16 @@
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
 }
 
-/// Runs one manager until `ended` completes. It then accepts no new requests and answers each pending one.
-/// `ready` gets the address where viewers connect.
+/// Runs one manager until `end_signal` completes. It then accepts no new requests and answers each pending
+/// one. `ready` is called with the address where viewers connect.
 ///
 /// # Errors
 /// The manager could not start, or some viewings were left without an answer.
 pub async fn run_manager(
-    settings: &Section, ready: impl FnOnce(SocketAddr), ended: impl Future<Output = ()>, outside: Environment,
+    settings: &Section, ready: impl FnOnce(SocketAddr), end_signal: impl Future<Output = ()>,
+    environment: Environment,
 ) -> Result<Ended, String> {
-    run_manager_with_policy(settings, Box::new(setup::policy(settings)), ready, ended, outside).await
+    run_manager_with_policy(settings, Box::new(setup::policy(settings)), ready, end_signal, environment).await
 }
 
 /// Runs one manager with another decision policy, for comparisons.
@@ -109,7 +110,7 @@
 /// The manager could not start, or some viewings were left without an answer.
 pub async fn run_manager_with_policy(
     settings: &Section, policy: Box<dyn Policy>, ready: impl FnOnce(SocketAddr),
-    ended: impl Future<Output = ()>, outside: Environment,
+    end_signal: impl Future<Output = ()>, environment: Environment,
 ) -> Result<Ended, String> {
     let manager = settings.section("manager");
     let listen_address = manager.text("listen");
@@ -117,8 +118,8 @@
         .await
         .map_err(|e| format!("manager.listen: cannot listen on {listen_address}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("{listen_address}: {e}"))?;
-    let incarnation = incarnation::next(&manager.text("state_dir"), (outside.clock)())?;
-    let paid_log = paid::PaidSessionLog::open(&manager.text("state_dir"), (outside.clock)())?;
+    let incarnation = incarnation::next(&manager.text("state_dir"), (environment.clock)())?;
+    let paid_log = paid::PaidSessionLog::open(&manager.text("state_dir"), (environment.clock)())?;
     let local = LocalSet::new();
     local
         .run_until(async {
@@ -126,7 +127,7 @@
                 Some(config) => Some(ivyward_peers::Peers::start(config, ivyward_session::Incarnation(incarnation)).await?),
                 None => None,
             };
-            let clock_and_dropped = (outside.clock, outside.dropped_log_lines);
+            let clock_and_dropped = (environment.clock, environment.dropped_log_lines);
             let shell = Shell::start(settings, policy, (incarnation, paid_log), peers, address, clock_and_dropped)?;
             tracing::info!(manager = manager.text("name"), %address, birth = incarnation, "the manager accepts viewers");
             let quality = quality::Quality::start(shell.clone(), settings);
@@ -140,11 +141,11 @@
                 shell.clone(),
                 listener,
                 settings.clone(),
-                outside.settings_texts,
+                environment.settings_texts,
                 quality,
             ));
             ready(address);
-            ended.await;
+            end_signal.await;
             viewer_task.abort();
             tracing::info!("the manager is shutting down and accepts no new requests");
             shell.shut_down(manager.duration("end_within_s")).await
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -227,7 +227,7 @@
 struct ControlResponse {
     /// The load of the server.
     load_report: LoadReport,
-    /// How long ago a player last fetched, if the request asked for that.
+    /// How long ago a player last fetched, if the request was a query for that.
     since_last_fetch: Option<Duration>,
 }
 
@@ -303,7 +303,7 @@
     }
 }
 
-/// Asks a server for its load; no load means that it did not respond.
+/// Requests a server's load; the core gets `None` if the server did not respond.
 pub async fn probe(shell: Shell, server: ServerId) {
     let exchange =
         send_control_request(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect_timeout);
@@ -339,8 +339,8 @@
     }
 }
 
-/// Follows the notes of a server while it is listed. After a lost connection, the inventory that the server
-/// then reports says which tune-ins are left; if the server is gone, none are.
+/// Follows the notes of a server while it is listed. After a lost connection, the server reports an
+/// inventory of the tune-ins that are left; if the server is gone, none are.
 pub async fn follow(shell: Shell, server: ServerId) {
     let ServerId(bytes) = server;
     let seed = bytes.iter().fold(shell.0.seed, |sum, b| sum.wrapping_mul(257).wrapping_add(u64::from(*b)));
@@ -407,7 +407,7 @@
     any_note
 }
 
-/// Tells the core what a note of a server says.
+/// Passes a note of a server to the core.
 fn handle_note(shell: &Shell, server: ServerId, note: &Value) {
     let tune_in = |value: &Value| {
         let viewing_id = u32::try_from(value["vw"].as_u64()?).ok()?;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -10,7 +10,7 @@
 const MAX_BUFFERED_LINE_COUNT: usize = 2048;
 
 /// Starts the log. Dropping the guard writes the lines that are still buffered; the returned function
-/// tells how many lines were dropped so far.
+/// returns how many lines were dropped so far.
 pub fn start(filter: EnvFilter, json: bool) -> (WorkerGuard, Rc<dyn Fn() -> u64>) {
     let (lines, guard) = NonBlockingBuilder::default()
         .lossy(true)
--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -215,7 +215,7 @@
         windows.push_back(window_figures);
     }
 
-    /// A blamed factor as the console shows it; `subject` says what it is blamed for.
+    /// A blamed factor as the console shows it. `subject`: what it is blamed for.
     fn blame_json(&self, subject: &str, blame: &Blame) -> Value {
         let names = self.0.names.borrow();
         let level_name = |factor: Factor, level| {
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -241,7 +241,7 @@
         let message = format!("is over the number of members, {}", members.len());
         faults.push(peers.fault("keepers", &message));
     }
-    // Guards against a keeper that loses its store at each restart: it could not become a keeper again
+    // Guards against an acceptor that loses its store at each restart: it could not accept claims again
     // while another member is away.
     if manager.text("state_dir").is_empty() {
         faults.push(
@@ -312,10 +312,13 @@
 /// A title of the settings.
 #[derive(Clone)]
 pub struct Title {
+    /// Its position in the settings.
     pub id: TitleId,
+    /// Its name in the settings and in requests.
     pub name: String,
     /// The cells whose servers hold the title.
     pub cells: Cells,
+    /// How long it plays.
     pub length: Duration,
 }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -27,7 +27,7 @@
 
 /// How often idle connections, server clocks and servers that are gone are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// A server that has sent no date for this many sweeps is asked for it.
+/// A server that has sent no date for this many sweeps gets a request for it.
 const STALE_SWEEP_COUNT: u32 = 2;
 /// How long after the viewer's patience an answer still counts as in time.
 const ANSWER_SLACK: Duration = Duration::from_millis(40);
@@ -40,9 +40,9 @@
 
 /// The state that the tasks of one manager share.
 pub struct ShellState {
-    /// The manager's name, as its settings say.
+    /// The manager's name from its settings.
     pub name: String,
-    /// Which start of this manager runs.
+    /// The incarnation: the number of this start of the manager.
     pub incarnation: u64,
     /// Where viewers connect.
     pub address: SocketAddr,
@@ -68,7 +68,7 @@
     pub paid_retained_for: Duration,
     /// The other managers of the group, if there is one.
     pub peers: Option<Peers>,
-    /// When a viewer may come back after no majority of keepers could be reached.
+    /// When a viewer may come back after a claim reached no majority of acceptors.
     pub come_back_after: Option<Duration>,
     /// Sheds new viewings when the core's queue grows.
     pub overload_gate: RefCell<OverloadGate>,
@@ -90,8 +90,8 @@
     server_entries: RefCell<BTreeMap<ServerId, ServerEntry>>,
     /// The servers whose clocks are wrong.
     skewed_servers: RefCell<BTreeSet<ServerId>>,
-    /// When each session's playback began, so that all its manifests say the same, and when that was last
-    /// looked up.
+    /// When each session's playback began, so that all its manifests have the same start, and when that was
+    /// last looked up.
     playback_starts: RefCell<BTreeMap<SessionId, (Duration, Duration)>>,
     /// How long the start of playback is kept after the last look-up.
     playback_start_retained_for: Duration,
@@ -204,11 +204,11 @@
                 sweeper.sweep();
             }
         });
-        let gate_shell = shell.clone();
+        let dispatch_shell = shell.clone();
         spawn_local(async move {
             event_loop
-                .run(&mut core, &mut host, |turn_at, queue_delay| {
-                    gate_shell.0.overload_gate.borrow_mut().record_queue_delay(turn_at, queue_delay)
+                .run(&mut core, &mut host, |dispatched_at, queue_delay| {
+                    dispatch_shell.0.overload_gate.borrow_mut().record_queue_delay(dispatched_at, queue_delay)
                 })
                 .await;
         });
@@ -278,14 +278,15 @@
 
     /// The date by this machine's clock, corrected if most servers' clocks disagree with it.
     pub fn trusted_date(&self) -> Duration {
-        let (date, believed) = self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)());
-        if !believed {
+        let (date, is_local_clock_trusted) =
+            self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)());
+        if !is_local_clock_trusted {
             tracing::debug!("this machine's clock disagrees with most servers; using the servers' date");
         }
         date
     }
 
-    /// When a session's playback began, in whole seconds, as its manifests say. This is the value given
+    /// When a session's playback began, in whole seconds, as its manifests state it. This is the value given
     /// before, by this start of the manager or by an earlier one (`reported`), otherwise the present date.
     pub fn playback_start(&self, session: SessionId, reported: Option<Duration>) -> Duration {
         let (mut starts, now, date) = (self.0.playback_starts.borrow_mut(), self.now(), self.trusted_date());
@@ -304,22 +305,22 @@
         self.update_clock_skew(server);
     }
 
-    /// Checks a server's clock, and tells the core if it became wrong or right. A server with a wrong clock
+    /// Checks a server's clock, and notifies the core if it became wrong or right. A server with a wrong clock
     /// rejects its players' tokens: it gets no new viewings, and those that play there have ended.
     fn update_clock_skew(&self, server: ServerId) {
-        let off = self.0.clock_consensus.borrow().is_skewed(server);
-        let changed = if off {
+        let is_skewed = self.0.clock_consensus.borrow().is_skewed(server);
+        let has_changed = if is_skewed {
             self.0.skewed_servers.borrow_mut().insert(server)
         } else {
             self.0.skewed_servers.borrow_mut().remove(&server)
         };
         let server_entry = self.0.server_entries.borrow().get(&server).copied();
-        let Some(server_entry) = server_entry.filter(|_| changed) else { return };
-        tracing::warn!(server = %setup::server_address(server), off, "a server's clock became wrong or right again");
+        let Some(server_entry) = server_entry.filter(|_| has_changed) else { return };
+        tracing::warn!(server = %setup::server_address(server), off = is_skewed, "a server's clock became wrong or right again");
         let server_entry = self.effective_entry(server_entry);
         self.enqueue(move |core, host, now| {
             core.on_server_list(now, &[server_entry], ListScope::Changes);
-            if off {
+            if is_skewed {
                 core.on_clock_skew(host, now, server);
             }
         });
@@ -339,29 +340,30 @@
     fn sweep(&self) {
         self.0.pool.close_expired();
         if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
-            let (floods, log, notes) = self.drop_counts();
+            let (suppressed_lines, dropped_lines, dropped_notes) = self.drop_counts();
             tracing::info!(
                 answers,
-                floods,
-                log,
-                notes,
+                floods = suppressed_lines,
+                log = dropped_lines,
+                notes = dropped_notes,
                 "requests answered since the last line; log lines and notes left out so far"
             );
         }
-        let (now, (_, believed)) =
+        let (now, (_, is_local_clock_trusted)) =
             (self.now(), self.0.clock_consensus.borrow_mut().date(self.now(), (self.0.local_date)()));
-        if !believed {
+        if !is_local_clock_trusted {
             tracing::error!(
                 "this machine's clock is far from the servers' clocks; using the servers' date: check the time service"
             );
         }
         self.forget_gone_servers();
-        let silent = self.0.clock_consensus.borrow().stale_servers(now, SWEEP_INTERVAL * STALE_SWEEP_COUNT);
-        for server in silent {
+        let stale_servers =
+            self.0.clock_consensus.borrow().stale_servers(now, SWEEP_INTERVAL * STALE_SWEEP_COUNT);
+        for server in stale_servers {
             spawn_local(link::ask_date(self.clone(), server));
         }
-        let all: Vec<_> = self.0.server_entries.borrow().keys().copied().collect();
-        all.into_iter().for_each(|server| self.update_clock_skew(server));
+        let all_servers: Vec<_> = self.0.server_entries.borrow().keys().copied().collect();
+        all_servers.into_iter().for_each(|server| self.update_clock_skew(server));
     }
 
     /// Drops the state of servers that are gone and can't be reached. Guards against growth without limit
@@ -431,7 +433,7 @@
         RequestId(self.0.last_request_id.get())
     }
 
-    /// Takes over a server list and returns its entries as the core gets them. The notes of a server are
+    /// Applies a server list and returns its entries as the core gets them. The notes of a server are
     /// followed from when it is listed until it is gone and can't be reached.
     pub fn apply_server_list(&self, list: &[ServerEntry], scope: ListScope) -> Vec<ServerEntry> {
         if scope != ListScope::Changes {
@@ -462,12 +464,12 @@
 
     /// The cell at which a server is listed.
     pub fn server_cell(&self, server: ServerId) -> Option<u32> {
-        self.0.server_entries.borrow().get(&server).map(|row| row.cell)
+        self.0.server_entries.borrow().get(&server).map(|entry| entry.cell)
     }
 
     /// Whether a server is listed as gone or not listed at all.
     pub fn is_gone(&self, server: ServerId) -> bool {
-        self.0.server_entries.borrow().get(&server).is_none_or(|row| row.state == ServerState::Gone)
+        self.0.server_entries.borrow().get(&server).is_none_or(|entry| entry.state == ServerState::Gone)
     }
 
     /// Stops the core, which answers all pending requests, and waits until answers and releases have left.
@@ -575,11 +577,19 @@
     }
 
     fn set_up(
-        &mut self, who: (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn, server: ServerId,
-        rung: usize, about: (PackageId, TitleId), limit: Duration,
+        &mut self, session_and_top: (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
+        server: ServerId, rung: usize, package_and_title: (PackageId, TitleId), time_limit: Duration,
     ) {
-        let until = self.shell.now() + limit;
-        let set_up = link::set_up(self.shell.clone(), who, (viewing_id, tune_in), server, rung, about, until);
+        let until = self.shell.now() + time_limit;
+        let set_up = link::set_up(
+            self.shell.clone(),
+            session_and_top,
+            (viewing_id, tune_in),
+            server,
+            rung,
+            package_and_title,
+            until,
+        );
         self.set_up_tasks.insert((viewing_id, tune_in), spawn_local(set_up).abort_handle());
     }
 
--- a/crates/daemon/src/tally.rs
+++ b/crates/daemon/src/tally.rs
@@ -35,6 +35,7 @@
 /// How often one answer was given.
 #[derive(Clone, Copy, Default)]
 struct Count {
+    /// How often it was given since the start.
     total: u64,
     /// How many of them log lines have already reported.
     logged: u64,
--- a/crates/daemon/src/viewers.rs
+++ b/crates/daemon/src/viewers.rs
@@ -259,17 +259,17 @@
 }
 
 /// A request that waits for the core's answer. Dropping it first means that the viewer closed the
-/// connection, and tells the core so.
+/// connection, and notifies the core of that.
 struct PendingRequest {
     shell: Shell,
     session: SessionId,
     request: RequestId,
-    answered: Cell<bool>,
+    is_answered: Cell<bool>,
 }
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if !self.answered.get() {
+        if !self.is_answered.get() {
             let (session, request) = (self.session, self.request);
             self.shell.count_answer(("closed", "the viewer left before its answer"));
             self.shell.enqueue(move |core, host, now| {
@@ -317,7 +317,7 @@
     /// Exchanges revoked sessions with the other managers.
     async fn share_revocations(self: Rc<Self>, peers: Peers) {
         let mut remote_revocations = peers.subscribe_revocations();
-        // Revocations expire after `Peers::span`. Those that the settings here still contain are repeated
+        // Revocations expire after `Peers::retention`. Those that the settings here still contain are repeated
         // before that.
         let mut repeat_timer = interval(peers.retention() / 2);
         loop {
@@ -463,12 +463,12 @@
             core.on_request(host, now, request, session, viewing_terms, origin, now + valid_for);
         });
         let pending_request =
-            PendingRequest { shell: self.shell.clone(), session, request, answered: Cell::new(false) };
+            PendingRequest { shell: self.shell.clone(), session, request, is_answered: Cell::new(false) };
         let Ok(answer) = answer_receiver.await else {
             let response = text_response(StatusCode::BAD_GATEWAY, "the manager ends\n");
             return labelled(response, "aborted", "the manager ends");
         };
-        pending_request.answered.set(true);
+        pending_request.is_answered.set(true);
         tracing::debug!(session = %format_args!("{:032x}", token_claims.session), title = name, ?answer, "answered");
         if origin.is_none() {
             let answered_after = self.shell.now().saturating_sub(begun_at);
