--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -75,12 +75,12 @@
             }
         }
         // Reconnects at once after the first break. A service that answers and closes at once, or that
-        // sends unreadable events, is asked less and less often: the pause is only reset if events
-        // arrived or the connection lasted.
+        // sends unreadable events, is contacted less and less often: the pause is only reset if
+        // events arrived or the connection lasted.
         if position.last_number > number_before || started_at.elapsed() >= SILENCE_TIMEOUT {
             pause = Duration::ZERO;
         }
-        tracing::debug!(at = %address, last = position.last_number, "the event bus broke off");
+        tracing::debug!(at = %address, last = position.last_number, "connection to the discovery service ended");
         tokio::select! {
             () = sleep(pause.mul_f64(0.5 + 0.5 * rng.random::<f64>())) => {}
             changed = addresses.changed() => if changed.is_err() { return },
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -26,6 +26,7 @@
 /// A session that plays at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveSession {
+    /// The server at which it plays.
     pub server: ServerId,
     /// The incarnation, viewing and tune-in that set the session up.
     pub key: (Incarnation, ViewingId, TuneIn),
@@ -121,12 +122,19 @@
 
 /// The state of the manager that the event loop passes to each event.
 pub struct NodeHost {
+    /// The queue of the event loop.
     pub events: EventSender<NodeHost>,
+    /// The timers that the core has set.
     pub timers: Timers,
+    /// The servers that the discovery service reports.
     pub server_list: ServerList,
+    /// Viewer connections and their requests.
     pub viewers: Viewers,
+    /// Connections to servers and the attempts on them.
     pub servers: Servers,
+    /// The sessions that play.
     pub sessions: ActiveSessions,
+    /// Limits the rate of log lines that outside parties can cause.
     pub log_limiter: LogRateLimiter,
     /// The answer line for the viewer, set while the core handles the server's answer.
     pub answer_line: Option<Vec<u8>>,
@@ -225,7 +233,7 @@
 
     fn report_violation(&mut self, violation: Violation, viewing_id: ViewingId) {
         if let Some(left_out) = self.log_limiter.check(self.events.now(), "a rule") {
-            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule is broken");
+            tracing::error!(breach = ?violation, viewing = viewing_id.0, left_out, "a rule was violated");
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -42,13 +42,14 @@
 const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which a start waits until a previous process has released the listen address.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-/// A server that is gone is forgotten after this many times the span in which a start counts as cold.
-const FORGET_AFTER_COLD_TIMES: u32 = 2;
+/// A server that is gone is forgotten after this many times the span for which a started server counts as
+/// cold.
+const FORGET_AFTER_COLD_FACTOR: u32 = 2;
 /// The incarnation of every start. This manager keeps no state, so there is nothing of an earlier start
 /// to distinguish.
 const INCARNATION: Incarnation = Incarnation(1);
 
-/// Runs a viewing manager until it is asked to stop and no work is left.
+/// Runs a viewing manager until a signal stops it and no work is left.
 ///
 /// # Errors
 /// Returns an error if the configuration is unusable (the message names the file and the field), or if a
@@ -127,7 +128,7 @@
             sleep(SWEEP_INTERVAL).await;
             let shutdown = sweep_shutdown.clone();
             sweep_events.send(move |core, host, now| {
-                host.sweep(core, now, cold_time * FORGET_AFTER_COLD_TIMES);
+                host.sweep(core, now, cold_time * FORGET_AFTER_COLD_FACTOR);
                 shutdown.sweep(core, host, now);
             });
         }
--- a/crates/node/src/server_list.rs
+++ b/crates/node/src/server_list.rs
@@ -14,8 +14,11 @@
 
 /// A server of the list.
 pub struct ServerRow {
+    /// Its name at the discovery service.
     pub name: String,
+    /// Where it accepts connections.
     pub address: SocketAddr,
+    /// The entry that the core gets.
     pub entry: ServerEntry,
     /// Since when the server is gone.
     gone_since: Option<Duration>,
@@ -23,6 +26,7 @@
 
 /// All known servers, including those that are gone and not yet forgotten.
 pub struct ServerList {
+    /// The names of zones and of kinds of servers; their positions are the ids.
     zones: Vec<String>,
     kinds: Vec<String>,
     ids: BTreeMap<String, ServerId>,
@@ -38,6 +42,8 @@
 }
 
 impl ServerList {
+    /// Creates an empty list. `zones`, `kinds`: the names of zones and of kinds of servers, in the order of
+    /// their ids.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> ServerList {
         ServerList { zones, kinds, ids: BTreeMap::new(), rows: BTreeMap::new(), last_id: 0 }
     }
@@ -79,7 +85,7 @@
             |names: &[String], field: &str| names.iter().position(|name| member[field] == name.as_str());
         let previous_entry = previous.map(|(_, entry)| entry);
         let address = member["host_port"].as_str().and_then(|text| text.parse().ok());
-        let address: SocketAddr = address.or(previous.map(|b| b.0)).ok_or("host_port")?;
+        let address: SocketAddr = address.or(previous.map(|known| known.0)).ok_or("host_port")?;
         let zone = position_of(&self.zones, "locality").and_then(|zone| u8::try_from(zone).ok()).map(ZoneId);
         let kind = position_of(&self.kinds, "flavor").map(KindId);
         let cell = member["cell"].as_u64().and_then(|cell| u32::try_from(cell).ok());
@@ -166,12 +172,12 @@
     pub fn apply_topology(
         &mut self, core: &mut SessionCore, now: Duration, event: &Value, full_scope: ListScope,
     ) -> bool {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let members = event["topology"]["members"].as_array().ok_or("members");
         let parsed = members.and_then(|members| {
             members
                 .iter()
-                .map(|member| self.server_list.parse_member(member, unix, now))
+                .map(|member| self.server_list.parse_member(member, unix_now, now))
                 .collect::<Result<Vec<_>, _>>()
         });
         let parsed = match parsed {
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -30,6 +30,7 @@
     server: ServerId,
     rung: usize,
     deadline: Duration,
+    /// `None` until the set-up is written.
     link_id: Option<u64>,
 }
 
@@ -37,6 +38,7 @@
 struct ServerLink {
     server: ServerId,
     writer: Writer,
+    /// `None` until the connection is established.
     stream: Option<SharedStream>,
     task: AbortHandle,
     messages: Messages,
@@ -58,6 +60,7 @@
 /// A server to which no connection could be established.
 #[derive(Clone, Copy)]
 struct Unreachable {
+    /// When the first of the attempts to connect failed.
     since: Duration,
     last_tried_at: Duration,
     /// The server refused a connection while no other one was established: no process listens there, so
--- a/crates/node/src/servers/messages.rs
+++ b/crates/node/src/servers/messages.rs
@@ -250,7 +250,7 @@
         self.end_session(core, now, server, session_ref, cause, reason);
     }
 
-    /// Handles a notification about a session that plays or is being set up.
+    /// Handles a note about a session that plays or is being set up.
     fn handle_note(
         &mut self, core: &mut SessionCore, now: Duration, (link_id, server): (u64, ServerId), signal: &Signal,
     ) {
@@ -275,7 +275,7 @@
             server = self.server_name(server),
             news = ?update,
             fresh = pending_viewing.is_some(),
-            "notification received"
+            "note received"
         );
         viewing_id.into_iter().for_each(|viewing_id| core.on_server_update(now, server, viewing_id, update));
     }
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -48,8 +48,11 @@
 pub struct PendingSetUp {
     client_id: u64,
     request: RequestId,
+    /// The name of the package.
     pub package: String,
+    /// The title's id, as the viewer wrote it.
     pub title: String,
+    /// The session description, which is passed on to the server.
     pub description: Vec<u8>,
 }
 
@@ -196,7 +199,7 @@
     }
 }
 
-/// Accepts a connection from the listener's queue, if there is one. It asks the socket itself, since the
+/// Accepts a connection from the listener's queue, if there is one. It polls the socket itself, since the
 /// runtime may not have noticed the connection yet.
 pub fn accept_queued(listener: &TcpListener) -> Option<(TcpStream, IpAddr)> {
     let (stream, address) = SockRef::from(listener).accept().ok()?;
@@ -324,7 +327,7 @@
         !more
     }
 
-    /// Whether a viewer's connection is closed, judged by all input that its socket holds.
+    /// Whether a viewer's connection is closed, according to all input that its socket holds.
     fn has_disconnected(&mut self, core: &mut SessionCore, now: Duration, client_id: u64) -> bool {
         let Some(connection) = self.viewers.connections.get(&client_id) else { return true };
         let input = read_available(&connection.stream);
@@ -426,7 +429,7 @@
         };
         if let Some((reason, cause)) = rejection {
             if let Some(left_out) = self.log_limiter.check(now, "a set-up") {
-                tracing::info!(wrong = reason, left_out, "a set-up is turned away");
+                tracing::info!(wrong = reason, left_out, "a set-up is refused");
             }
             return self.viewers.refuse(client_id, session_ref, cause);
         }
@@ -483,7 +486,7 @@
             );
         };
         let (package, title, top) = self.target(signal);
-        // The session's rung arrives later in a notification.
+        // The session's rung arrives later in a note.
         let session = SessionId(signal.session.0.into());
         if let Some(key) = core.adopt_viewing(self, now, server, session, (package, title, (0, top))) {
             self.sessions.insert(
