--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -49,9 +49,10 @@
     /// For each ring, all other members, starting with the next one.
     rings: Vec<Vec<Member>>,
     tick_interval: Duration,
+    /// Members that have sent no message since a request to them, or since a connection to them failed.
     unresponsive: BTreeMap<Member, PeerState>,
     tick_count: usize,
-    /// Number of neighbours asked so far.
+    /// Number of comparisons started with neighbours, not counting retries; it selects the next neighbour.
     request_count: usize,
 }
 
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -38,6 +38,7 @@
     revoked: Revoked,
     /// Receives the sessions that become revoked.
     subscriber: Option<mpsc::UnboundedSender<SessionId>>,
+    /// Whether a batch is being written to the store.
     is_writing: bool,
 }
 
@@ -146,8 +147,8 @@
         let (core, paths) = (&self.core, &self.paths);
         let group = core.group();
         let describe = |member: Member| {
-            let heard_ago = core.time_since_heard(now, member).map(|ago| ago.as_millis() as u64);
-            json!({"name": group.name(member), "here": member == core.me(), "heard_ms_ago": heard_ago})
+            let last_frame_ago = core.time_since_last_frame(now, member).map(|ago| ago.as_millis() as u64);
+            json!({"name": group.name(member), "here": member == core.me(), "heard_ms_ago": last_frame_ago})
         };
         let members: Vec<_> = group.members().map(describe).collect();
         let neighbours = core.overlay.neighbours();
@@ -156,7 +157,7 @@
         let sent = &paths.context().sent;
         json!({
             "members": members, "birth": core.incarnation.0, "catching_up": core.acceptor.is_recovering(),
-            "neighbours": neighbours, "passed_over": core.overlay.unreachable_count(), "paths": paths.open(),
+            "neighbours": neighbours, "passed_over": core.overlay.unreachable_count(), "paths": paths.open_count(),
             "paths_opened": sent.paths.get(), "frames_sent": sent.frames.get(), "bytes_sent": sent.bytes.get(),
             "sessions_kept": core.acceptor.len(), "asking": open_claims, "to_take_back": unconfirmed_withdrawals,
             "notes_to_disk": core.out.pending_writes.len(), "revoked": core.revoked.len(),
@@ -287,8 +288,8 @@
             }
         });
         let no = number.await.ok();
-        let claimed = ClaimGuard { peers: self.clone(), session, no };
-        (claimed, reply.await.unwrap_or(ClaimOutcome::NoMajority))
+        let claim_guard = ClaimGuard { peers: self.clone(), session, no };
+        (claim_guard, reply.await.unwrap_or(ClaimOutcome::NoMajority))
     }
 
     /// How long claims and records are held.
@@ -329,16 +330,19 @@
 pub struct ClaimGuard {
     peers: Peers,
     session: SessionId,
+    /// The claim that dropping the guard withdraws.
     no: Option<ClaimNo>,
 }
 
 impl ClaimGuard {
-    /// To be called just before the first byte of the set-up is sent: from then on it may have run.
+    /// Must be called just before the first byte of the set-up is sent: from then on it may have run, so
+    /// dropping the guard no longer withdraws the claim. Returns the claim's number for
+    /// [`ClaimGuard::mark_never_ran`].
     pub fn mark_sent(&mut self) -> Option<ClaimNo> {
         self.no.take()
     }
 
-    /// The set-up that was sent provably never ran; dropping the claim withdraws it again.
+    /// The set-up that was sent provably never ran: dropping the guard withdraws the claim again.
     pub fn mark_never_ran(&mut self, no: Option<ClaimNo>) {
         self.no = no;
     }
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -38,12 +38,12 @@
 pub const HEADS: u32 = 11;
 /// Records of one log.
 pub const RECORDS: u32 = 12;
-/// `IN_SYNC` replies to a digest: the same records are held here. `DIFFERS` replies to a hello: the
-/// group is configured differently here, and this is it.
+/// Reply to a digest: the same records are held here.
 pub const IN_SYNC: u32 = 13;
+/// Reply to a hello: the group is configured differently here; the frame carries the configuration.
 pub const DIFFERS: u32 = 14;
 
-/// Kinds of replicated records.
+/// The kind of record that revokes a session.
 pub const RECORD_KIND_REVOKED: u32 = 1;
 
 /// A frame; which fields are used depends on its kind.
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -26,8 +26,9 @@
     pub group: Group,
     /// Name of this member.
     pub name: String,
-    /// The address that this member listens on, and those of the other members.
+    /// The address that this member listens on.
     pub listen_address: SocketAddr,
+    /// The names and addresses of the members; this member's own entry is not used.
     pub others: Vec<(String, SocketAddr)>,
     /// How long a claim waits for a majority at most; also the interval between ticks.
     pub majority_timeout: Duration,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -66,7 +66,7 @@
     /// The first frame is not a hello.
     #[error("the first frame is not a hello: another program connects to this port")]
     NoHello,
-    /// The member speaks another protocol revision.
+    /// The member uses another protocol revision.
     #[error(
         "{0:?} uses protocol revision {1}, this manager {here}: run the same build on both",
         here = frame::REVISION
--- a/crates/peers/src/member_core.rs
+++ b/crates/peers/src/member_core.rs
@@ -20,10 +20,11 @@
 /// Ticks without a frame after which a path is closed. Paths to neighbours stay open through the
 /// exchange at each tick; a path to an acceptor stays open as long as it gets a claim every few seconds.
 pub const IDLE_TIMEOUT_TICKS: u32 = 16;
-/// Members asked for their claims at once at a start without stable storage; small enough for many
-/// members starting at the same time. Afterwards one member is asked every [`RECOVERY_RETRY_TICKS`], so
-/// that the cost of a recovery per second is the same in a group of any size.
+/// Recovery requests sent at once at a start without stable storage; small enough for many members
+/// starting at the same time.
 const RECOVERY_START_REQUEST_COUNT: usize = 3;
+/// Ticks between the later recovery requests, each to one member, so that the cost of a recovery per
+/// second is the same in a group of any size.
 const RECOVERY_RETRY_TICKS: u64 = 2;
 /// Ticks after a start for which revocations from the settings wait for the other members' records,
 /// which mostly contain them already.
@@ -209,7 +210,7 @@
     /// records, or the first [`DEFERRED_PUBLISH_TICKS`] have passed.
     deferred: Option<Vec<SessionId>>,
     /// When a frame from each member was last received.
-    last_heard_at: BTreeMap<Member, Duration>,
+    last_frame_at: BTreeMap<Member, Duration>,
     /// The requested actions.
     pub out: Outbox,
 }
@@ -254,7 +255,7 @@
             tick_count: 0,
             retention,
             deferred: Some(vec![]),
-            last_heard_at: BTreeMap::new(),
+            last_frame_at: BTreeMap::new(),
             out,
         }
     }
@@ -270,12 +271,12 @@
     }
 
     /// How long ago a frame from a member was received.
-    pub fn time_since_heard(&self, now: Duration, member: Member) -> Option<Duration> {
-        self.last_heard_at.get(&member).map(|at| now.saturating_sub(*at))
+    pub fn time_since_last_frame(&self, now: Duration, member: Member) -> Option<Duration> {
+        self.last_frame_at.get(&member).map(|at| now.saturating_sub(*at))
     }
 
-    /// Starts the member. Only one neighbour is asked for its records, since each would send all of
-    /// them; if it is away, the first tick finds out.
+    /// Starts the member. Only one neighbour gets a request for its records, since each would send all of
+    /// them; if it is away, the first tick detects that.
     pub fn start(&mut self, now: Duration) {
         let first_neighbour = self.overlay.tick(now);
         self.revoked.start(&mut self.out, first_neighbour.as_slice());
@@ -317,7 +318,7 @@
 
     /// Handles a frame from another member; none if the frame is invalid.
     pub fn on_frame(&mut self, now: Duration, from: Member, frame: &Frame) -> Option<()> {
-        self.last_heard_at.insert(from, now);
+        self.last_frame_at.insert(from, now);
         self.overlay.on_message(from);
         let handled = self.handle_frame(now, from, frame);
         self.handle_self_frames(now);
--- a/crates/peers/src/path.rs
+++ b/crates/peers/src/path.rs
@@ -30,8 +30,11 @@
 /// Frames and bytes sent on all paths, and connections opened.
 #[derive(Default)]
 pub struct SendCounters {
+    /// Frames sent, including the first frame of each connection.
     pub frames: Cell<u64>,
+    /// Bytes of these frames with their headers.
     pub bytes: Cell<u64>,
+    /// Connections opened.
     pub paths: Cell<u64>,
 }
 
@@ -81,7 +84,7 @@
     }
 
     /// Number of paths that are open or being opened.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.values().filter(|path| !path.frames.is_closed()).count()
     }
 
@@ -187,8 +190,8 @@
                 Some(frame) => Some(frame),
                 None => tokio::select! {
                     frame = self.next_frame() => frame,
-                    // The only frame received here tells how the group is configured there if it
-                    // differs; the connection is of no further use then.
+                    // The only frame received here reports that the group is configured differently
+                    // there; the connection is of no further use then.
                     received = out.next() => {
                         if let Some(Ok(received)) = received {
                             log_group_mismatch(&self.context.group, &received);
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -106,8 +106,9 @@
         let claims = (1..=SESSION_COUNT).map(|session| {
             let peers = peers[0].clone();
             async move {
-                let (mut claimed, outcome) = peers.claim(SessionId(session), Duration::from_secs(5)).await;
-                claimed.mark_sent();
+                let (mut claim_guard, outcome) =
+                    peers.claim(SessionId(session), Duration::from_secs(5)).await;
+                claim_guard.mark_sent();
                 outcome
             }
         });
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -42,7 +42,9 @@
 /// What the acceptor sends once a write is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum AfterStore {
+    /// Report the claim as accepted.
     Accepted(SessionId, Claim),
+    /// Confirm the withdrawal of the claim.
     Withdrawn(SessionId, Claim),
     /// Send the stored claims to a member in recovery.
     RecoveryEntries(Member, Incarnation),
@@ -53,8 +55,9 @@
 /// Progress of the recovery after a loss of stable storage.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Recovery {
-    /// Sessions received from each member, and the members that have sent all of theirs.
+    /// Sessions received from each member that has not sent all of its entries.
     entries: BTreeMap<Member, BTreeSet<SessionId>>,
+    /// The members that have sent all of their entries.
     completed_by: BTreeSet<Member>,
     /// The member requested last; the next request goes to the one after it.
     last_requested: Option<Member>,
@@ -69,10 +72,13 @@
     me: Member,
     incarnation: Incarnation,
     retention: Duration,
+    /// The claims of each session, and when they expire.
     sessions: BTreeMap<SessionId, (ClaimSet, Duration)>,
+    /// The sessions in the order in which they expire.
     expiries: BTreeSet<(Duration, SessionId)>,
     /// For each member that lost its stable storage, its latest incarnation that started without it.
     starts: BTreeMap<Member, Incarnation>,
+    /// `None` if the stored claims are complete.
     recovery: Option<Recovery>,
     /// For each write that is not on disk yet, the action that follows it.
     pending_actions: VecDeque<Option<AfterStore>>,
@@ -214,12 +220,13 @@
         self.update_claim_set(out, now, session, |claim_set| claim_set.claims.extend([claim]), Some(action));
     }
 
+    /// Reports a claim as accepted to its manager.
     fn send_accepted(&self, out: &mut impl Effects, session: SessionId, claim: Claim) {
         // Only acceptors of this session matter to a manager that claims it, so the other starts are
         // left out.
         let acceptors = self.group.acceptors(session);
-        let of = |member: &Member| Some((*member, *self.starts.get(member)?));
-        let starts: Vec<_> = acceptors.iter().filter_map(of).collect();
+        let known_start = |member: &Member| Some((*member, *self.starts.get(member)?));
+        let starts: Vec<_> = acceptors.iter().filter_map(known_start).collect();
         out.accepted(claim.proposer, session, claim, self.incarnation, &starts);
     }
 
@@ -342,6 +349,7 @@
         }
     }
 
+    /// Sends a member in recovery the claims of the sessions that both members are acceptors of.
     fn send_recovery_entries(&self, out: &mut impl Effects, to: Member, incarnation: Incarnation) {
         let shared_sessions =
             self.sessions.iter().filter(|(session, _)| self.group.acceptors(**session).contains(&to));
--- a/crates/replica/src/proposer.rs
+++ b/crates/replica/src/proposer.rs
@@ -30,9 +30,9 @@
 struct Proposal {
     session: SessionId,
     acceptors: BTreeSet<Member>,
-    /// Acceptors that accepted it, each with the incarnation that said so.
+    /// Acceptors that accepted it, each with the incarnation that accepted it.
     accepted: BTreeMap<Member, Incarnation>,
-    /// Acceptors that rejected it, and whether they did since another claim is accepted there.
+    /// Acceptors that rejected it, and whether they did because another claim is accepted there.
     rejected: BTreeMap<Member, bool>,
     deadline: Duration,
 }
@@ -74,6 +74,7 @@
         (self.proposals.len(), self.unconfirmed.len())
     }
 
+    /// The claim of a number, as made by this start.
     fn claim(&self, no: ClaimNo) -> Claim {
         Claim { proposer: self.me, incarnation: self.incarnation, no }
     }
--- a/crates/replica/src/replicated_set.rs
+++ b/crates/replica/src/replicated_set.rs
@@ -18,10 +18,11 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Records in one message.
-const MESSAGE_RECORD_COUNT: usize = 256;
-/// Records in the reply to one `heads` message; a copy that lacks more asks again.
-const ANSWER_RECORD_COUNT: usize = 16 * MESSAGE_RECORD_COUNT;
+/// Most records in one message.
+const MAX_MESSAGE_RECORD_COUNT: usize = 256;
+/// Most records in the reply to one `heads` message; a copy that lacks more requests them again.
+const MAX_REPLY_RECORD_COUNT: usize = 16 * MAX_MESSAGE_RECORD_COUNT;
+
 /// Identifies the log of records that one start of a member adds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogId {
@@ -187,14 +188,14 @@
         their_heads: &BTreeMap<LogId, u64>, is_reply: bool,
     ) {
         self.expire(out, now);
-        let mut record_budget = ANSWER_RECORD_COUNT;
+        let mut record_budget = MAX_REPLY_RECORD_COUNT;
         for (log, records) in &self.logs {
             let mut first = their_heads.get(log).copied().unwrap_or(0);
             while first < records.head && !records.entries.is_empty() && record_budget > 0 {
                 let numbers = records.entries.range(first..).map(|(no, _)| *no);
                 let end = numbers
-                    .take(MESSAGE_RECORD_COUNT.min(record_budget) + 1)
-                    .nth(MESSAGE_RECORD_COUNT.min(record_budget))
+                    .take(MAX_MESSAGE_RECORD_COUNT.min(record_budget) + 1)
+                    .nth(MAX_MESSAGE_RECORD_COUNT.min(record_budget))
                     .unwrap_or(records.head);
                 let batch = records.records_in(now, &(first..end));
                 record_budget -= batch.len().max(1);
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -573,7 +573,7 @@
 impl Cluster {
     fn new(members: u16, seed: u64) -> Cluster {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |of| (ReplicatedSet::new(of, Incarnation(1), RETENTION), CopyEffects::default());
+        let copy = |member| (ReplicatedSet::new(member, Incarnation(1), RETENTION), CopyEffects::default());
         let copies = group.members().map(copy).collect();
         let (delayed, rng) = (vec![], Pcg64Mcg::seed_from_u64(seed));
         Cluster {
@@ -655,7 +655,7 @@
         });
     }
 
-    /// One tick of each copy, with the neighbours taken in turn.
+    /// One tick of each copy, with its neighbours in round-robin order.
     fn tick_all(&mut self, loss_percent: u32, is_cut: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(500);
         for index in 0..self.copies.len() {
