--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -118,7 +118,7 @@
 }
 
 /// Claims a paid session, asks the core for permission, and sends the set-up. The result is `None` if the
-/// claim or the permission was denied: the core already knows.
+/// claim or the permission was denied, in which case the core is already notified.
 async fn attempt_set_up(
     shell: &Shell, (session, top): (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
     server: ServerId, rung: usize, (package, title): (PackageId, TitleId), until: Duration,
@@ -428,7 +428,7 @@
             // A title that this manager's settings no longer have gets a package number that no package
             // has, so that the core releases the tune-in.
             let package = title.and(value["package"].as_u64()).map_or(usize::MAX, |package| package as usize);
-            // Guards against a timeline that jumps when a player comes with a new token of the application.
+            // Guards against a timeline that jumps when a player presents a new token of the application.
             shell.playback_start(SessionId(session), value["began"].as_u64().map(Duration::from_secs));
             Some((
                 tune_in(value)?,
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -71,7 +71,7 @@
         let list: Option<Vec<_>> =
             json_entries.iter().map(|json_entry| parse_entry(json_entry, now, known_incarnations)).collect();
         // If one entry can't be read, the whole event is ignored: otherwise servers that a full list names
-        // in unreadable entries would be taken for gone.
+        // in unreadable entries would count as gone.
         let Some(list) = list else {
             if let Some(left_out) = shell.allow_log_line("malformed list entry") {
                 tracing::warn!(%address, data = truncate_for_log(&event.data), left_out, "an entry of the server list is malformed: the whole event was ignored");
--- a/crates/daemon/src/paid.rs
+++ b/crates/daemon/src/paid.rs
@@ -1,5 +1,5 @@
 //! The log of paid sessions, which survives a crash. A session is on disk before any byte of its set-up is
-//! sent, so that no later start of the manager sets it up again, whichever token comes with it.
+//! sent, so that no later start of the manager sets it up again, whichever token the viewer presents.
 
 use ivyward::interface::ServerId;
 use ivyward_session::SessionId;
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -251,7 +251,7 @@
     faults
 }
 
-/// The group of managers as each of them knows it.
+/// The group of managers; every member must have the same configuration of it.
 pub fn group(settings: &Section) -> Group {
     let peers = settings.section("peers");
     let name_and_zone = |member: &Section| (member.text("name"), member.count("zone") as u8);
@@ -272,7 +272,7 @@
         group: group(settings),
         name: manager.text("name"),
         listen_address: peers.text("listen").parse().ok()?,
-        others: peers.sections("member").iter().filter_map(name_and_address).collect(),
+        member_addresses: peers.sections("member").iter().filter_map(name_and_address).collect(),
         majority_timeout: peers.duration("word_s"),
         // A viewing lasts at most as long as the longest title. The last token of it lives for `life_s`
         // after that, and the session is remembered for `paid_for_s` after that.
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -308,25 +308,25 @@
     /// Checks a server's clock, and notifies the core if it became wrong or right. A server with a wrong clock
     /// rejects its players' tokens: it gets no new viewings, and those that play there have ended.
     fn update_clock_skew(&self, server: ServerId) {
-        let is_skewed = self.0.clock_consensus.borrow().is_skewed(server);
-        let has_changed = if is_skewed {
+        let is_clock_wrong = self.0.clock_consensus.borrow().is_skewed(server);
+        let has_changed = if is_clock_wrong {
             self.0.skewed_servers.borrow_mut().insert(server)
         } else {
             self.0.skewed_servers.borrow_mut().remove(&server)
         };
         let server_entry = self.0.server_entries.borrow().get(&server).copied();
         let Some(server_entry) = server_entry.filter(|_| has_changed) else { return };
-        tracing::warn!(server = %setup::server_address(server), off = is_skewed, "a server's clock became wrong or right again");
+        tracing::warn!(server = %setup::server_address(server), off = is_clock_wrong, "a server's clock became wrong or right again");
         let server_entry = self.effective_entry(server_entry);
         self.enqueue(move |core, host, now| {
             core.on_server_list(now, &[server_entry], ListScope::Changes);
-            if is_skewed {
+            if is_clock_wrong {
                 core.on_clock_skew(host, now, server);
             }
         });
     }
 
-    /// The entry of a server as the core gets it: a ready server with a wrong clock counts as draining.
+    /// The entry of a server that is passed to the core: a ready server with a wrong clock counts as draining.
     fn effective_entry(&self, mut server_entry: ServerEntry) -> ServerEntry {
         if server_entry.state == ServerState::Ready
             && self.0.skewed_servers.borrow().contains(&server_entry.server)
@@ -357,9 +357,9 @@
             );
         }
         self.forget_gone_servers();
-        let stale_servers =
+        let overdue_servers =
             self.0.clock_consensus.borrow().stale_servers(now, SWEEP_INTERVAL * STALE_SWEEP_COUNT);
-        for server in stale_servers {
+        for server in overdue_servers {
             spawn_local(link::ask_date(self.clone(), server));
         }
         let all_servers: Vec<_> = self.0.server_entries.borrow().keys().copied().collect();
@@ -433,7 +433,7 @@
         RequestId(self.0.last_request_id.get())
     }
 
-    /// Applies a server list and returns its entries as the core gets them. The notes of a server are
+    /// Applies a server list and returns the entries to pass to the core. The notes of a server are
     /// followed from when it is listed until it is gone and can't be reached.
     pub fn apply_server_list(&self, list: &[ServerEntry], scope: ListScope) -> Vec<ServerEntry> {
         if scope != ListScope::Changes {
@@ -464,15 +464,19 @@
 
     /// The cell at which a server is listed.
     pub fn server_cell(&self, server: ServerId) -> Option<u32> {
-        self.0.server_entries.borrow().get(&server).map(|entry| entry.cell)
+        self.0.server_entries.borrow().get(&server).map(|current_entry| current_entry.cell)
     }
 
     /// Whether a server is listed as gone or not listed at all.
     pub fn is_gone(&self, server: ServerId) -> bool {
-        self.0.server_entries.borrow().get(&server).is_none_or(|entry| entry.state == ServerState::Gone)
+        self.0
+            .server_entries
+            .borrow()
+            .get(&server)
+            .is_none_or(|current_entry| current_entry.state == ServerState::Gone)
     }
 
-    /// Stops the core, which answers all pending requests, and waits until answers and releases have left.
+    /// Stops the core, which answers all pending requests, and waits until answers and releases are sent.
     ///
     /// # Errors
     /// Some viewings were left without an answer.
@@ -492,7 +496,7 @@
         let (summary, unanswered_count, violation_counts) = summary_receiver
             .await
             .map_err(|_| "the session core ended before the shutdown finished".to_string())?;
-        // Answers and releases are still on their way out.
+        // Answers and releases are still being sent.
         sleep((within / 10).min(deadline.saturating_duration_since(Instant::now()))).await;
         if let Some(answers) = self.0.tally.borrow_mut().unlogged_counts() {
             tracing::info!(answers, "requests answered since the last line");
@@ -515,7 +519,7 @@
     waiter_id: WaiterId,
     /// `None` while it waits in the queue.
     acquired_at: Option<Duration>,
-    /// Whether the connection limits know of it; not so if they rejected it.
+    /// Whether the connection limits count it; false if they rejected it.
     is_registered: bool,
 }
 
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -72,10 +72,11 @@
 
 /// Creates a writer and its queue.
 pub fn new_writer() -> (Writer, WriteQueue) {
-    let (send, commands) = mpsc::unbounded_channel();
-    let unsent = Rc::new(Cell::new(0));
-    let writer = Writer { commands: send, stream: RefCell::default(), unsent_bytes: unsent.clone() };
-    (writer, WriteQueue { commands, bytes: vec![], end: None, unsent_bytes: unsent })
+    let (command_sender, commands) = mpsc::unbounded_channel();
+    let unsent_counter = Rc::new(Cell::new(0));
+    let writer =
+        Writer { commands: command_sender, stream: RefCell::default(), unsent_bytes: unsent_counter.clone() };
+    (writer, WriteQueue { commands, bytes: vec![], end: None, unsent_bytes: unsent_counter })
 }
 
 impl Writer {
@@ -209,8 +210,8 @@
 
 /// Whether a socket holds unread bytes.
 fn has_unread(stream: &TcpStream) -> bool {
-    let mut one = [std::mem::MaybeUninit::uninit()];
-    SockRef::from(stream).peek(&mut one).is_ok_and(|unread| unread > 0)
+    let mut peeked_byte = [std::mem::MaybeUninit::uninit()];
+    SockRef::from(stream).peek(&mut peeked_byte).is_ok_and(|unread| unread > 0)
 }
 
 /// Reads one chunk, as far as the runtime knows of available input.
--- a/crates/node/src/server_list.rs
+++ b/crates/node/src/server_list.rs
@@ -172,12 +172,12 @@
     pub fn apply_topology(
         &mut self, core: &mut SessionCore, now: Duration, event: &Value, full_scope: ListScope,
     ) -> bool {
-        let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let members = event["topology"]["members"].as_array().ok_or("members");
         let parsed = members.and_then(|members| {
             members
                 .iter()
-                .map(|member| self.server_list.parse_member(member, unix_now, now))
+                .map(|member| self.server_list.parse_member(member, unix_time, now))
                 .collect::<Result<Vec<_>, _>>()
         });
         let parsed = match parsed {
--- a/crates/node/src/servers/attempts.rs
+++ b/crates/node/src/servers/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: dispatching, abandoning, and releasing what they left there.
+//! Attempts at servers: dispatching and abandoning them, and releasing the sessions that they set up.
 
 use super::{AttemptKey, encode_release};
 use crate::host::NodeHost;
--- a/crates/node/src/servers/connections.rs
+++ b/crates/node/src/servers/connections.rs
@@ -198,7 +198,10 @@
         }
         self.fail_probes(core, now, server, link.pending_probes);
         let before = self.servers.unreachable.get(&server).copied();
-        let since = self.servers.policy.unreachable_since(now, before.map(|b| (b.since, b.last_tried_at)));
+        let since = self
+            .servers
+            .policy
+            .unreachable_since(now, before.map(|failure| (failure.since, failure.last_tried_at)));
         let no_other_link = !self.servers.links_to(server).any(|(_, link)| link.established);
         let refused_before = before.is_some_and(|before| before.refused && before.since == since);
         let unreachable =
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -406,12 +406,12 @@
     /// Handles a set-up: checks it and passes it to the core, or adopts a session that already plays.
     fn handle_set_up(&mut self, core: &mut SessionCore, now: Duration, client_id: u64, signal: &Signal) {
         let session_ref = signal.session;
-        let invalid = self.viewers.invalid_field(signal);
-        let known =
+        let first_invalid = self.viewers.invalid_field(signal);
+        let is_known =
             self.viewers.pending.contains_key(&session_ref) || self.sessions.get(session_ref).is_some();
         if let Some(server_name) = signal.extra("at") {
-            // An adoption gets no answer. It may name a session that is known already; that one stays.
-            if invalid.is_none() && !known {
+            // An adoption gets no answer. It may name a session that is known already, which stays unchanged.
+            if first_invalid.is_none() && !is_known {
                 self.adopt_session(core, now, client_id, signal, server_name);
             }
             return;
@@ -421,7 +421,7 @@
             .connections
             .get(&client_id)
             .is_some_and(|c| self.viewers.limits.may_open(&c.state, self.viewers.pending.len()));
-        let rejection = match (invalid, known, within_limits) {
+        let rejection = match (first_invalid, is_known, within_limits) {
             (None, false, true) => None,
             (None, false, false) => Some(("too many set-ups are open", CAUSE_REFUSED)),
             (None, true, _) => Some(("session number is in use", CAUSE_INVALID)),
@@ -525,8 +525,9 @@
         let Some(session_ref) = self.viewers.requests.remove(&request) else { return };
         let Some(set_up) = self.viewers.pending.remove(&session_ref) else { return };
         let connection = self.viewers.connections.get_mut(&set_up.client_id);
-        connection.into_iter().for_each(|c| {
-            (c.state.open_set_ups, c.state.answered) = (c.state.open_set_ups.saturating_sub(1), true)
+        connection.into_iter().for_each(|viewer_connection| {
+            (viewer_connection.state.open_set_ups, viewer_connection.state.answered) =
+                (viewer_connection.state.open_set_ups.saturating_sub(1), true)
         });
         match (answer, self.answer_line.take()) {
             (Answer::Plays { .. }, Some(line)) => {
--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -190,7 +190,7 @@
             group,
             name,
             listen_address,
-            others,
+            member_addresses,
             majority_timeout,
             retention,
             connect_timeout,
@@ -210,7 +210,7 @@
         let peers =
             Peers { jobs, started_at, majority_timeout, retention, revoked: revoked.clone(), refusal_log };
         let addresses =
-            others.into_iter().filter_map(|(name, address)| Some((group.member(&name)?, address)));
+            member_addresses.into_iter().filter_map(|(name, address)| Some((group.member(&name)?, address)));
         let hello = link::hello_frame(&group, me, incarnation);
         let idle_timeout = majority_timeout * IDLE_TIMEOUT_TICKS;
         let context = PathContext {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -29,7 +29,7 @@
     /// The address that this member listens on.
     pub listen_address: SocketAddr,
     /// The names and addresses of the members; this member's own entry is not used.
-    pub others: Vec<(String, SocketAddr)>,
+    pub member_addresses: Vec<(String, SocketAddr)>,
     /// How long a claim waits for a majority at most; also the interval between ticks.
     pub majority_timeout: Duration,
     /// How long claims and replicated records are held.
--- a/crates/peers/src/path.rs
+++ b/crates/peers/src/path.rs
@@ -20,8 +20,8 @@
 
 /// Frames queued for one member. Further frames are dropped and requested again by whoever needs them.
 pub const QUEUE_FRAME_COUNT: usize = 1024;
-/// Frames written with one flush. Guards against a path that always has more to write being taken for a
-/// stalled one.
+/// Frames written with one flush. Guards against a path that always has more to write being counted as
+/// stalled.
 pub const MAX_FLUSH_FRAME_COUNT: usize = 64;
 /// A path that failed is reopened after the connection timeout, then after twice that, up to this many
 /// times the timeout. Bounds what an unreachable zone costs the members that have frames for it.
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor of one member: stores the claims of other members durably and answers for them.
+//! The acceptor of one member: stores claims durably and reports whether it has accepted them.
 
 use crate::{Claim, Effects, Group, Member};
 use ivyward_session::{Incarnation, SessionId};
@@ -225,8 +225,8 @@
         // Only acceptors of this session matter to a manager that claims it, so the other starts are
         // left out.
         let acceptors = self.group.acceptors(session);
-        let known_start = |member: &Member| Some((*member, *self.starts.get(member)?));
-        let starts: Vec<_> = acceptors.iter().filter_map(known_start).collect();
+        let start_of = |member: &Member| Some((*member, *self.starts.get(member)?));
+        let starts: Vec<_> = acceptors.iter().filter_map(start_of).collect();
         out.accepted(claim.proposer, session, claim, self.incarnation, &starts);
     }
 
--- a/crates/replica/src/tests.rs
+++ b/crates/replica/src/tests.rs
@@ -78,7 +78,7 @@
     None,
     /// Replies are sent before the write is on disk.
     ReplyBeforeSync,
-    /// A member that lost its storage is taken for one that never stored anything.
+    /// A member that lost its storage counts as one that never stored anything.
     LostStorageCountsAsComplete,
     /// Starts without storage are not reported to proposers.
     StartsNotReported,
@@ -573,7 +573,7 @@
 impl Cluster {
     fn new(members: u16, seed: u64) -> Cluster {
         let group = Group::new((0..members).map(|i| (format!("m{i:03}"), 0)).collect(), 3);
-        let copy = |member| (ReplicatedSet::new(member, Incarnation(1), RETENTION), CopyEffects::default());
+        let copy = |owner| (ReplicatedSet::new(owner, Incarnation(1), RETENTION), CopyEffects::default());
         let copies = group.members().map(copy).collect();
         let (delayed, rng) = (vec![], Pcg64Mcg::seed_from_u64(seed));
         Cluster {
