--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -118,7 +118,7 @@
 }
 
 /// Claims a paid session, asks the core for permission, and sends the set-up. The result is `None` if the
-/// claim or the permission was denied: the core already knows.
+/// claim or the permission was denied, in which case the core is already notified.
 async fn attempt_set_up(
     shell: &Shell, (session, top): (SessionId, usize), viewing_id: ViewingId, tune_in: TuneIn,
     server: ServerId, rung: usize, (package, title): (PackageId, TitleId), until: Duration,
@@ -227,7 +227,7 @@
 struct ControlResponse {
     /// The load of the server.
     load_report: LoadReport,
-    /// How long ago a player last fetched, if the request asked for that.
+    /// How long ago a player last fetched, if the request was a query for that.
     since_last_fetch: Option<Duration>,
 }
 
@@ -303,7 +303,7 @@
     }
 }
 
-/// Asks a server for its load; no load means that it did not respond.
+/// Requests a server's load; the core gets `None` if the server did not respond.
 pub async fn probe(shell: Shell, server: ServerId) {
     let exchange =
         send_control_request(&shell, server, Method::GET, "/load", &Value::Null, shell.0.connect_timeout);
@@ -339,8 +339,8 @@
     }
 }
 
-/// Follows the notes of a server while it is listed. After a lost connection, the inventory that the server
-/// then reports says which tune-ins are left; if the server is gone, none are.
+/// Follows the notes of a server while it is listed. After a lost connection, the server reports an
+/// inventory of the tune-ins that are left; if the server is gone, none are.
 pub async fn follow(shell: Shell, server: ServerId) {
     let ServerId(bytes) = server;
     let seed = bytes.iter().fold(shell.0.seed, |sum, b| sum.wrapping_mul(257).wrapping_add(u64::from(*b)));
@@ -407,7 +407,7 @@
     any_note
 }
 
-/// Tells the core what a note of a server says.
+/// Passes a note of a server to the core.
 fn handle_note(shell: &Shell, server: ServerId, note: &Value) {
     let tune_in = |value: &Value| {
         let viewing_id = u32::try_from(value["vw"].as_u64()?).ok()?;
@@ -428,7 +428,7 @@
             // A title that this manager's settings no longer have gets a package number that no package
             // has, so that the core releases the tune-in.
             let package = title.and(value["package"].as_u64()).map_or(usize::MAX, |package| package as usize);
-            // Guards against a timeline that jumps when a player comes with a new token of the application.
+            // Guards against a timeline that jumps when a player presents a new token of the application.
             shell.playback_start(SessionId(session), value["began"].as_u64().map(Duration::from_secs));
             Some((
                 tune_in(value)?,
--- a/crates/daemon/src/setup.rs
+++ b/crates/daemon/src/setup.rs
@@ -241,7 +241,7 @@
         let message = format!("is over the number of members, {}", members.len());
         faults.push(peers.fault("keepers", &message));
     }
-    // Guards against a keeper that loses its store at each restart: it could not become a keeper again
+    // Guards against an acceptor that loses its store at each restart: it could not accept claims again
     // while another member is away.
     if manager.text("state_dir").is_empty() {
         faults.push(
@@ -251,7 +251,7 @@
     faults
 }
 
-/// The group of managers as each of them knows it.
+/// The group of managers; every member must have the same configuration of it.
 pub fn group(settings: &Section) -> Group {
     let peers = settings.section("peers");
     let name_and_zone = |member: &Section| (member.text("name"), member.count("zone") as u8);
@@ -272,7 +272,7 @@
         group: group(settings),
         name: manager.text("name"),
         listen_address: peers.text("listen").parse().ok()?,
-        others: peers.sections("member").iter().filter_map(name_and_address).collect(),
+        member_addresses: peers.sections("member").iter().filter_map(name_and_address).collect(),
         majority_timeout: peers.duration("word_s"),
         // A viewing lasts at most as long as the longest title. The last token of it lives for `life_s`
         // after that, and the session is remembered for `paid_for_s` after that.
@@ -312,10 +312,13 @@
 /// A title of the settings.
 #[derive(Clone)]
 pub struct Title {
+    /// Its position in the settings.
     pub id: TitleId,
+    /// Its name in the settings and in requests.
     pub name: String,
     /// The cells whose servers hold the title.
     pub cells: Cells,
+    /// How long it plays.
     pub length: Duration,
 }
 
--- a/crates/node/src/viewers.rs
+++ b/crates/node/src/viewers.rs
@@ -48,8 +48,11 @@
 pub struct PendingSetUp {
     client_id: u64,
     request: RequestId,
+    /// The name of the package.
     pub package: String,
+    /// The title's id, as the viewer wrote it.
     pub title: String,
+    /// The session description, which is passed on to the server.
     pub description: Vec<u8>,
 }
 
@@ -196,7 +199,7 @@
     }
 }
 
-/// Accepts a connection from the listener's queue, if there is one. It asks the socket itself, since the
+/// Accepts a connection from the listener's queue, if there is one. It polls the socket itself, since the
 /// runtime may not have noticed the connection yet.
 pub fn accept_queued(listener: &TcpListener) -> Option<(TcpStream, IpAddr)> {
     let (stream, address) = SockRef::from(listener).accept().ok()?;
@@ -324,7 +327,7 @@
         !more
     }
 
-    /// Whether a viewer's connection is closed, judged by all input that its socket holds.
+    /// Whether a viewer's connection is closed, according to all input that its socket holds.
     fn has_disconnected(&mut self, core: &mut SessionCore, now: Duration, client_id: u64) -> bool {
         let Some(connection) = self.viewers.connections.get(&client_id) else { return true };
         let input = read_available(&connection.stream);
@@ -403,12 +406,12 @@
     /// Handles a set-up: checks it and passes it to the core, or adopts a session that already plays.
     fn handle_set_up(&mut self, core: &mut SessionCore, now: Duration, client_id: u64, signal: &Signal) {
         let session_ref = signal.session;
-        let invalid = self.viewers.invalid_field(signal);
-        let known =
+        let first_invalid = self.viewers.invalid_field(signal);
+        let is_known =
             self.viewers.pending.contains_key(&session_ref) || self.sessions.get(session_ref).is_some();
         if let Some(server_name) = signal.extra("at") {
-            // An adoption gets no answer. It may name a session that is known already; that one stays.
-            if invalid.is_none() && !known {
+            // An adoption gets no answer. It may name a session that is known already, which stays unchanged.
+            if first_invalid.is_none() && !is_known {
                 self.adopt_session(core, now, client_id, signal, server_name);
             }
             return;
@@ -418,7 +421,7 @@
             .connections
             .get(&client_id)
             .is_some_and(|c| self.viewers.limits.may_open(&c.state, self.viewers.pending.len()));
-        let rejection = match (invalid, known, within_limits) {
+        let rejection = match (first_invalid, is_known, within_limits) {
             (None, false, true) => None,
             (None, false, false) => Some(("too many set-ups are open", CAUSE_REFUSED)),
             (None, true, _) => Some(("session number is in use", CAUSE_INVALID)),
@@ -426,7 +429,7 @@
         };
         if let Some((reason, cause)) = rejection {
             if let Some(left_out) = self.log_limiter.check(now, "a set-up") {
-                tracing::info!(wrong = reason, left_out, "a set-up is turned away");
+                tracing::info!(wrong = reason, left_out, "a set-up is refused");
             }
             return self.viewers.refuse(client_id, session_ref, cause);
         }
@@ -483,7 +486,7 @@
             );
         };
         let (package, title, top) = self.target(signal);
-        // The session's rung arrives later in a notification.
+        // The session's rung arrives later in a note.
         let session = SessionId(signal.session.0.into());
         if let Some(key) = core.adopt_viewing(self, now, server, session, (package, title, (0, top))) {
             self.sessions.insert(
@@ -522,8 +525,9 @@
         let Some(session_ref) = self.viewers.requests.remove(&request) else { return };
         let Some(set_up) = self.viewers.pending.remove(&session_ref) else { return };
         let connection = self.viewers.connections.get_mut(&set_up.client_id);
-        connection.into_iter().for_each(|c| {
-            (c.state.open_set_ups, c.state.answered) = (c.state.open_set_ups.saturating_sub(1), true)
+        connection.into_iter().for_each(|viewer_connection| {
+            (viewer_connection.state.open_set_ups, viewer_connection.state.answered) =
+                (viewer_connection.state.open_set_ups.saturating_sub(1), true)
         });
         match (answer, self.answer_line.take()) {
             (Answer::Plays { .. }, Some(line)) => {
--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -89,7 +89,7 @@
         group: group(&names),
         name: names[i].into(),
         listen_address: address(i),
-        others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
+        member_addresses: (0..3).map(|member| (names[member].to_string(), address(member))).collect(),
         majority_timeout: Duration::from_secs(5),
         retention: Duration::from_secs(600),
         connect_timeout: Duration::from_millis(250),
@@ -106,8 +106,9 @@
         let claims = (1..=SESSION_COUNT).map(|session| {
             let peers = peers[0].clone();
             async move {
-                let (mut claimed, outcome) = peers.claim(SessionId(session), Duration::from_secs(5)).await;
-                claimed.mark_sent();
+                let (mut claim_guard, outcome) =
+                    peers.claim(SessionId(session), Duration::from_secs(5)).await;
+                claim_guard.mark_sent();
                 outcome
             }
         });
@@ -156,7 +157,7 @@
         group: group(&names),
         name: names[i].into(),
         listen_address: address(i),
-        others: (0..3).map(|other| (names[other].to_string(), address(other))).collect(),
+        member_addresses: (0..3).map(|member| (names[member].to_string(), address(member))).collect(),
         majority_timeout: Duration::from_millis(500),
         retention: Duration::from_secs(600),
         connect_timeout: Duration::from_millis(250),
