--- a/crates/daemon/src/quality.rs
+++ b/crates/daemon/src/quality.rs
@@ -170,7 +170,7 @@
             let mut figures = Figures::default();
             let mut add_item = |item: ReportItem| match item {
                 ReportItem::Sequence(sequence) => figures.sequence = Some(sequence),
-                ReportItem::Sent(sent) => figures.sent = Some(sent),
+                ReportItem::Sent(sent) => figures.sent_at = Some(sent),
                 ReportItem::StartUp(span) => figures.start_up = Some(span),
                 ReportItem::Stalled(span) => figures.stalled = Some(span),
                 ReportItem::StalledInAll(span) => figures.stalled_in_all = Some(span),
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -230,7 +230,7 @@
     pub fn enqueue_droppable(
         &self, event: impl FnOnce(&mut SessionCore, &mut DaemonHost, Duration) + 'static,
     ) {
-        if self.0.events.waiting() < MAX_QUEUED_EVENT_COUNT {
+        if self.0.events.queued_count() < MAX_QUEUED_EVENT_COUNT {
             return self.enqueue(event);
         }
         self.0.dropped_event_count.set(self.0.dropped_event_count.get().saturating_add(1));
@@ -271,7 +271,7 @@
             "held": {
                 "servers": self.0.server_entries.borrow().len(), "links": self.0.note_streams.borrow().len(),
                 "clocks": self.0.clock_consensus.borrow().len(), "connections": self.0.pool.idle_count(),
-                "places": slots + waiters, "queue": self.0.events.waiting(),
+                "places": slots + waiters, "queue": self.0.events.queued_count(),
             },
         })
     }
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -3,8 +3,8 @@
 
 use ivyward_fleet::{ManagerNo, ServerNo, SlowStartModel, TuneInKey};
 use ivyward_rules::{
-    Event, History, ManagerLifetime, ManifestRequest, Package, Record, RequestOutcome, Terms, judge,
-    judge_closed_requests, table,
+    Event, History, ManagerLifetime, ManifestRequest, Package, Record, RequestOutcome, Terms,
+    check_closed_requests, check_rules, table,
 };
 use ivyward_signal::{Field, Kind, SessionRef, line};
 use ivyward_standin::platform::{Behavior, EventBus, Server, Viewer, answer, own_address};
@@ -931,7 +931,7 @@
             viewer_requests,
             managers: vec![ManagerLifetime { manager_number: Some(ManagerNo(0)), downtimes: vec![] }],
         };
-        let closed_requests = judge_closed_requests(ms(100), &history);
+        let closed_requests = check_closed_requests(ms(100), &history);
         println!(
             "{} set-ups of viewers that left, {:?}",
             closed_requests.check_count, closed_requests.violations
@@ -941,7 +941,7 @@
             "{:?}",
             closed_requests.violations
         );
-        let rule_results = judge(&terms, &history);
+        let rule_results = check_rules(&terms, &history);
         assert!(rule_results.iter().all(|rule| rule.violations.is_empty()), "{}", table(&rule_results));
         let [lost_count, repeated_count, _, _, _, retry_budget] =
             rule_results.each_ref().map(|rule| rule.check_count);
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -339,7 +339,7 @@
     with_manager(plain, |harness| async move {
         (0..3).for_each(|server| harness.standins.drain(ServerNo(server)));
         let drained =
-            |what: &Event| matches!(what, Event::ServerNotified { standing: ServerStatus::Draining, .. });
+            |what: &Event| matches!(what, Event::ServerNotified { status: ServerStatus::Draining, .. });
         harness
             .wait_until("the list reports the drains", |harness| {
                 harness.standins.records().count(drained) == 3
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -133,7 +133,7 @@
     }
 
     /// The number of queued events.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.queued_count.get()
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -866,7 +866,7 @@
         self.record(Event::ServerNotified {
             manager: ManagerNo(manager as u32),
             server: server_no,
-            standing: server_status,
+            status: server_status,
             incarnation,
         });
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -289,7 +289,7 @@
         let lines = faults.iter().map(|fault| format!("{}:{fault}", file.display()));
         lines.collect::<Vec<_>>().join("\n")
     })?;
-    let rules = ivyward_rules::judge(&terms, &history);
+    let rules = ivyward_rules::check_rules(&terms, &history);
     print!("{}", ivyward_rules::table(&rules));
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
@@ -311,7 +311,7 @@
         let text = ivyward_rules::write(&played.terms, &played.history);
         fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    let rules = ivyward_rules::judge(&played.terms, &played.history);
+    let rules = ivyward_rules::check_rules(&played.terms, &played.history);
     print!("{}", ivyward_rules::table(&rules));
     println!("left {}, assertions that failed in managers {}", played.leftover_count, played.violation_count);
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
--- a/crates/lab/src/quality.rs
+++ b/crates/lab/src/quality.rs
@@ -147,7 +147,7 @@
             let sent_at = window_start + Duration::from_millis(first_report_ms + report_index * 6000);
             let figures = Figures {
                 sequence: Some(report_index + 1),
-                sent: Some(
+                sent_at: Some(
                     sent_at
                         + Duration::from_millis(if disturbed && has_wrong_clock {
                             clock_error_ms
@@ -178,7 +178,7 @@
                 let stalled_in_all = Some(Duration::from_secs(report_index));
                 let figures = Figures {
                     sequence: Some(report_index + 6),
-                    sent: Some(sent_at),
+                    sent_at: Some(sent_at),
                     stalled_in_all,
                     ..Default::default()
                 };
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -102,7 +102,7 @@
 ) -> Verdict {
     let History { records, viewer_requests, managers } = history;
     let mut verdict = Verdict {
-        rules: ivyward_rules::judge(terms, history),
+        rules: ivyward_rules::check_rules(terms, history),
         set_ups: records.iter().filter(|r| matches!(r.what, Event::SetUp { .. })).count() as u64,
         viewers: viewer_records.len(),
         stalls: viewer_records.iter().map(|w| w.stalls).sum(),
--- a/crates/lab/tests/histories.rs
+++ b/crates/lab/tests/histories.rs
@@ -2,14 +2,14 @@
 //! that must be rejected: the same code with one defect injected at its edge.
 
 use ivyward_lab::history::{InjectedDefect, Played, play};
-use ivyward_rules::{judge, read, table, write};
+use ivyward_rules::{check_rules, read, table, write};
 
 /// Number of histories played. A failure prints the command that replays its history.
 const SEED_COUNT: u64 = 240;
 
 /// Returns the numbers, from 1, of the rules that a history violates, and the table of all rules.
 fn violated_rules(played: &Played) -> (Vec<usize>, String) {
-    let rules = judge(&played.terms, &played.history);
+    let rules = check_rules(&played.terms, &played.history);
     ((1..=6).filter(|rule| !rules[rule - 1].violations.is_empty()).collect(), table(&rules))
 }
 
@@ -25,7 +25,7 @@
             played.leftover_count, 0,
             "streams, viewings or requests left after the last viewer: {replay_command}"
         );
-        let rules = judge(&played.terms, &played.history);
+        let rules = check_rules(&played.terms, &played.history);
         checked_histories
             .iter_mut()
             .zip(&rules)
@@ -79,6 +79,6 @@
         assert!(text == write(&second.terms, &second.history), "seed {seed}");
         // The history gets the same verdict after it is written and read back.
         let (terms, history) = read(&text).expect("a history that was written");
-        assert_eq!(judge(&terms, &history), judge(&first.terms, &first.history), "seed {seed}");
+        assert_eq!(check_rules(&terms, &history), check_rules(&first.terms, &first.history), "seed {seed}");
     }
 }
--- a/crates/quality/src/intake.rs
+++ b/crates/quality/src/intake.rs
@@ -46,7 +46,7 @@
     /// The sequence number within the session.
     pub sequence: Option<u64>,
     /// When the report was made, by the player's clock.
-    pub sent: Option<Duration>,
+    pub sent_at: Option<Duration>,
     /// The delay from the request to play to the first picture.
     pub start_up: Option<Duration>,
     /// How long playback stalled since the report before.
@@ -210,7 +210,7 @@
         if client_reports.1 > self.max_reports {
             return ReportOutcome::Flood;
         }
-        let Figures { sequence, sent, start_up, stalled, stalled_in_all, rate } = figures;
+        let Figures { sequence, sent_at, start_up, stalled, stalled_in_all, rate } = figures;
         if start_up.is_none() && stalled.is_none() && stalled_in_all.is_none() && rate.is_none() {
             return ReportOutcome::Empty;
         }
@@ -224,7 +224,7 @@
             clock_offsets_ms: VecDeque::new(),
             last_report_at: now,
         });
-        let made_at = player.made_at(now, sent);
+        let made_at = player.made_at(now, sent_at);
         // A report without a sequence number follows the last one stored.
         let sequence = sequence.unwrap_or_else(|| player.reports.back().map_or(1, |last| last.sequence + 1));
         if player.discarded_up_to.is_some_and(|discarded| sequence <= discarded) {
--- a/crates/quality/src/tests.rs
+++ b/crates/quality/src/tests.rs
@@ -105,7 +105,7 @@
 
 fn figures(sequence: u64, sent_s: u64, stalled_in_all_ms: u64) -> Figures {
     let stalled_in_all = Some(Duration::from_millis(stalled_in_all_ms));
-    Figures { sequence: Some(sequence), sent: Some(secs(sent_s)), stalled_in_all, ..Default::default() }
+    Figures { sequence: Some(sequence), sent_at: Some(secs(sent_s)), stalled_in_all, ..Default::default() }
 }
 
 #[test]
@@ -169,7 +169,7 @@
             let at = 1001 + i * 3;
             let sent_ms = (at as i64 + offset) * 1000 + drift * (i as i64) * 3;
             let mut report_figures = figures(i + 1, 0, 300 * i);
-            report_figures.sent = Some(Duration::from_millis(sent_ms as u64));
+            report_figures.sent_at = Some(Duration::from_millis(sent_ms as u64));
             assert_eq!(
                 intake.report(secs(at), SessionId(1), ClientId(1), levels([0; 5]), report_figures),
                 ReportOutcome::Kept
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -115,7 +115,7 @@
 }
 
 /// Checks a history against each of the rules.
-pub fn judge(terms: &Terms, history: &History) -> [RuleVerdict; 6] {
+pub fn check_rules(terms: &Terms, history: &History) -> [RuleVerdict; 6] {
     let History { records, viewer_requests: requests, managers } = history;
     let verdicts = [
         check_answers(terms, requests, managers),
@@ -132,7 +132,7 @@
 ///
 /// After a viewer has closed its request, no set-up for its session is read later than `after`, unless
 /// another request of the session is waiting then.
-pub fn judge_closed_requests(after: Duration, history: &History) -> RuleVerdict {
+pub fn check_closed_requests(after: Duration, history: &History) -> RuleVerdict {
     let mut verdict = RuleVerdict::default();
     let mut requests_by_session: BTreeMap<u128, Vec<&ManifestRequest>> = BTreeMap::new();
     history
@@ -321,7 +321,7 @@
             notified_at.retain(|(manager, _), _| *manager != number);
         }
         match &record.what {
-            Event::ServerNotified { manager, server, standing: ServerStatus::Ready, .. } => {
+            Event::ServerNotified { manager, server, status: ServerStatus::Ready, .. } => {
                 notified_at.remove(&(*manager, *server));
             }
             Event::ServerNotified { manager, server, .. } => {
--- a/crates/rules/src/record.rs
+++ b/crates/rules/src/record.rs
@@ -81,7 +81,7 @@
     /// A stream ended.
     StreamEnded { server: ServerNo, key: TuneInKey, why: StreamEnd },
     /// The list notified a manager of a server's state. `incarnation`: of the server's process.
-    ServerNotified { manager: ManagerNo, server: ServerNo, standing: ServerStatus, incarnation: u64 },
+    ServerNotified { manager: ManagerNo, server: ServerNo, status: ServerStatus, incarnation: u64 },
     /// A server started.
     ServerStarted { server: ServerNo },
     /// A server died on which these managers had streams.
--- a/crates/rules/src/tests.rs
+++ b/crates/rules/src/tests.rs
@@ -63,7 +63,12 @@
 fn server_notified(at: u64, standing: ServerStatus, incarnation: u64) -> Record {
     Record {
         at: ms(at),
-        what: Event::ServerNotified { manager: ManagerNo(0), server: ServerNo(0), standing, incarnation },
+        what: Event::ServerNotified {
+            manager: ManagerNo(0),
+            server: ServerNo(0),
+            status: standing,
+            incarnation,
+        },
     }
 }
 
@@ -94,7 +99,7 @@
     records: &[Record], requests: &[ManifestRequest], managers: &[ManagerLifetime],
 ) -> (Vec<usize>, String) {
     let (records, requests, managers) = (records.to_vec(), requests.to_vec(), managers.to_vec());
-    let verdicts = judge(&terms(), &History { records, viewer_requests: requests, managers });
+    let verdicts = check_rules(&terms(), &History { records, viewer_requests: requests, managers });
     ((0..6).filter(|rule| !verdicts[*rule].violations.is_empty()).collect(), table(&verdicts))
 }
 
@@ -150,7 +155,7 @@
             viewer_requests: session_requests,
             managers: vec![],
         };
-        let verdict = judge_closed_requests(ms(100), &history);
+        let verdict = check_closed_requests(ms(100), &history);
         assert_eq!(
             (verdict.check_count, verdict.violations.len()),
             (checked_count, violation_count),
@@ -413,7 +418,7 @@
         let mut terms = terms();
         terms.packages.push(Package { paid_once: false, ..terms.packages[TICKET].clone() });
         let history = History { records, viewer_requests: vec![], managers: vec![lifetime(&[])] };
-        let seats = &judge(&terms, &history)[4];
+        let seats = &check_rules(&terms, &history)[4];
         assert_eq!(!seats.violations.is_empty(), counts, "{name}: {:?}", seats.violations);
     }
 }
@@ -468,10 +473,11 @@
 
 #[test]
 fn a_rule_without_checks_is_reported_as_not_exercised() {
-    let verdicts = judge(&terms(), &History::default());
+    let verdicts = check_rules(&terms(), &History::default());
     assert!(verdicts.iter().all(|rule| rule.verdict() == "not exercised"), "{}", table(&verdicts));
     let answered_requests = vec![request(1, CLIP, 0, 10, RequestOutcome::Answer(200))];
-    let verdicts = judge(&terms(), &History { viewer_requests: answered_requests, ..Default::default() });
+    let verdicts =
+        check_rules(&terms(), &History { viewer_requests: answered_requests, ..Default::default() });
     assert_eq!(verdicts.each_ref().map(RuleVerdict::verdict)[..2], ["kept", "not exercised"]);
 }
 
@@ -504,7 +510,7 @@
     let (terms, read) = read(&text).expect("a history");
     assert_eq!(read, full_history());
     assert_eq!(write(&terms, &read), text);
-    assert_eq!(judge(&terms, &read), judge(&terms, &full_history()));
+    assert_eq!(check_rules(&terms, &read), check_rules(&terms, &full_history()));
 }
 
 #[test]
--- a/crates/rules/src/text.rs
+++ b/crates/rules/src/text.rs
@@ -147,8 +147,8 @@
                 name_of(why, &STREAM_ENDS)
             )
         }
-        Event::ServerNotified { manager, server, standing, incarnation } => {
-            let standing = name_of(standing, &SERVER_STATES);
+        Event::ServerNotified { manager, server, status, incarnation } => {
+            let standing = name_of(status, &SERVER_STATES);
             format!(
                 "told {{ manager: {} server: {} standing: {standing:?} birth: {incarnation} }}",
                 manager.0, server.0
@@ -305,7 +305,7 @@
             history.records.push(record(Event::ServerNotified {
                 manager,
                 server,
-                standing,
+                status: standing,
                 incarnation: fields.integer("birth"),
             }));
         }
--- a/crates/standin/src/server_list.rs
+++ b/crates/standin/src/server_list.rs
@@ -82,12 +82,8 @@
             let row = standins.row(server_no);
             let mut subscribers = list.subscribers.borrow_mut();
             subscribers.retain_mut(|(manager, sender)| {
-                let notified = Event::ServerNotified {
-                    manager: *manager,
-                    server: server_no,
-                    standing: status,
-                    incarnation,
-                };
+                let notified =
+                    Event::ServerNotified { manager: *manager, server: server_no, status, incarnation };
                 standins.record(notified);
                 sender.try_send(sse_frame(json!({"changes": [row]}))).is_ok()
             });
@@ -125,7 +121,7 @@
             self.record(Event::ServerNotified {
                 manager,
                 server: *server_no,
-                standing: row.status,
+                status: row.status,
                 incarnation: row.incarnation,
             });
         }
