--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -70,10 +70,10 @@
             .map(|(size, value)| ((*size as f64).ln(), value.ln()))
             .collect();
         let count = points.len() as f64;
-        let (x, y) = points.iter().fold((0.0, 0.0), |sum, point| (sum.0 + point.0, sum.1 + point.1));
-        let (x, y) = (x / count, y / count);
-        let covariance: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
-        let variance: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+        let (sum_x, sum_y) = points.iter().fold((0.0, 0.0), |sum, point| (sum.0 + point.0, sum.1 + point.1));
+        let (mean_x, mean_y) = (sum_x / count, sum_y / count);
+        let covariance: f64 = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum();
+        let variance: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
         (points.len() > 1 && variance > 0.0).then(|| covariance / variance)
     }
 
@@ -259,7 +259,7 @@
     pub other_program: Option<&'a Path>,
     /// Runs shorter simulated scenarios; their counts are the same in each run.
     pub short_scenarios: bool,
-    /// Planted defect: simulated managers send to all members what they should send to neighbours.
+    /// Injected defect: simulated managers send to all members what they should send to neighbours.
     pub all_by_all: bool,
 }
 
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -35,13 +35,15 @@
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(270);
 /// A part that has begun by then is aborted after this further time.
 const ABORT_AFTER: Duration = Duration::from_secs(15);
-/// Durations of the idle measurement and of the measurement of one change.
+/// Duration of the idle measurement.
 const IDLE_MEASURE_FOR: Duration = Duration::from_secs(4);
+/// Duration of the measurement of one change.
 const CHANGE_MEASURE_FOR: Duration = Duration::from_secs(3);
 /// Time for which a zone is down.
 const OUTAGE_FOR: Duration = Duration::from_secs(2);
-/// Time limits for a fleet to settle, and for a change to be everywhere.
+/// Time limit for a fleet to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time limit for a change to reach all managers.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between polls of the traffic. A fleet has settled after two intervals in a row in which it
 /// sends less than half of the budget.
@@ -54,8 +56,9 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 /// Assumed memory of a process in kilobytes. A fleet whose processes don't fit is refused.
 const PROCESS_MEMORY_KB: u64 = 32_000;
-/// Zones among which managers are spread, and the step by which processes are selected for a restart.
+/// Zones among which managers are spread.
 const ZONE_COUNT: usize = 6;
+/// One process in this many is selected for a restart.
 const RESTART_STEP: usize = 10;
 
 /// Counters of what managers have sent, by connection and end: payload bytes and segments.
@@ -80,10 +83,11 @@
 fn parse_ss_output(text: &str) -> TrafficCounters {
     let parse_line = |line: &str| {
         let fields: Vec<_> = line.split_whitespace().collect();
-        let of = |name: &str| fields.iter().find_map(|word| word.strip_prefix(name)?.parse::<f64>().ok());
+        let value_of =
+            |name: &str| fields.iter().find_map(|field| field.strip_prefix(name)?.parse::<f64>().ok());
         // Columns: state, two queues, this end and the other end.
         let key = format!("{} {}", fields.get(3)?, fields.get(4)?);
-        Some((key, (of("bytes_sent:").unwrap_or_default(), of("segs_out:")?)))
+        Some((key, (value_of("bytes_sent:").unwrap_or_default(), value_of("segs_out:")?)))
     };
     TrafficCounters(text.lines().filter_map(parse_line).collect())
 }
@@ -91,12 +95,12 @@
 /// Returns the machine's total and available memory in kilobytes.
 fn memory() -> Result<(u64, u64), String> {
     let text = fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
-    let of = |name: &str| {
+    let value_of = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name))?;
         line.trim().trim_end_matches(" kB").parse().ok()
     };
-    of("MemTotal:")
-        .zip(of("MemAvailable:"))
+    value_of("MemTotal:")
+        .zip(value_of("MemAvailable:"))
         .ok_or_else(|| "/proc/meminfo: MemTotal or MemAvailable is missing".to_string())
 }
 
@@ -135,35 +139,36 @@
 struct Fleet {
     program: PathBuf,
     managers: Vec<ManagedProcess>,
-    /// Sessions that the first manager's settings revoke, and those settings without any revoked
-    /// session.
+    /// Sessions that the first manager's settings revoke.
     revoked: Vec<String>,
+    /// The first manager's settings without any revoked session.
     settings: Section,
     /// Subnet of their addresses.
     peer_subnet: String,
-    _folder: TempDirectory,
+    /// The directory of all managers' files; dropping it deletes the directory.
+    _directory: TempDirectory,
 }
 
 /// Runs tasks, a few at once, and returns their results in order, or the first error.
-async fn run_concurrently<T: 'static, F>(all: impl Iterator<Item = F>) -> Result<Vec<T>, String>
+async fn run_concurrently<T: 'static, F>(tasks: impl Iterator<Item = F>) -> Result<Vec<T>, String>
 where
     F: Future<Output = Result<T, String>> + 'static,
 {
     let (permits, mut set) = (Rc::new(Semaphore::new(CONCURRENT_TASK_COUNT)), JoinSet::new());
-    for (i, task) in all.enumerate() {
+    for (index, task) in tasks.enumerate() {
         let permits = permits.clone();
         set.spawn_local(async move {
             let _permit = permits.acquire().await;
-            (i, task.await)
+            (index, task.await)
         });
     }
-    let mut done = vec![];
-    while let Some(one) = set.join_next().await {
-        let (i, one) = one.map_err(|e| e.to_string())?;
-        done.push((i, one?));
+    let mut results = vec![];
+    while let Some(finished_task) = set.join_next().await {
+        let (index, result) = finished_task.map_err(|e| e.to_string())?;
+        results.push((index, result?));
     }
-    done.sort_by_key(|(i, _)| *i);
-    Ok(done.into_iter().map(|(_, one)| one).collect())
+    results.sort_by_key(|(index, _)| *index);
+    Ok(results.into_iter().map(|(_, result)| result).collect())
 }
 
 /// Reads the peers page of a manager's console.
@@ -176,7 +181,7 @@
     /// process its own addresses.
     fn new(program: &Path, count: usize, seed: u64, block: u8) -> Result<Fleet, String> {
         let name = format!("ivyward-scale-{}-{block}", process::id());
-        let folder = TempDirectory(env::temp_dir().join(name));
+        let directory = TempDirectory(env::temp_dir().join(name));
         // A subnet of its own, so that no other connection holds these ports.
         let subnet_byte = 2 + (process::id() % 60) as u8;
         let address_of = |i: usize, port| SocketAddr::from(([127, subnet_byte, block, i as u8 + 1], port));
@@ -191,7 +196,7 @@
         base.clear("list_address");
         let (mut managers, mut first_settings) = (vec![], None);
         for i in 0..count {
-            let dir = folder.0.join(format!("m{}", i + 1));
+            let dir = directory.0.join(format!("m{}", i + 1));
             fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
             let (settings_file, state_dir, console) =
                 (dir.join("settings.txtpb"), dir.join("state"), address_of(i, 9002));
@@ -222,7 +227,7 @@
             revoked: vec![],
             settings,
             peer_subnet,
-            _folder: folder,
+            _directory: directory,
         })
     }
 
@@ -233,12 +238,20 @@
 
     /// Initializes the state of all managers as new members of the group.
     async fn initialize_state(&self) -> Result<(), String> {
-        let initialize = |one: &ManagedProcess| {
+        let initialize = |managed_process: &ManagedProcess| {
             let mut command = Command::new(&self.program);
-            command.arg("begin").arg(&one.settings_file).stdout(Stdio::null()).stderr(Stdio::piped());
+            command
+                .arg("begin")
+                .arg(&managed_process.settings_file)
+                .stdout(Stdio::null())
+                .stderr(Stdio::piped());
             async move {
-                let done = command.kill_on_drop(true).output().await.map_err(|e| e.to_string())?;
-                if done.status.success() { Ok(()) } else { Err(String::from_utf8_lossy(&done.stderr).into()) }
+                let command_output = command.kill_on_drop(true).output().await.map_err(|e| e.to_string())?;
+                if command_output.status.success() {
+                    Ok(())
+                } else {
+                    Err(String::from_utf8_lossy(&command_output.stderr).into())
+                }
             }
         };
         run_concurrently(self.managers.iter().map(initialize)).await.map(drop)
@@ -246,37 +259,37 @@
 
     /// Starts some of the managers.
     async fn start(&mut self, which: &[usize]) -> Result<(), String> {
-        let started = |i: &usize| {
+        let start_process = |index: &usize| {
             let mut command = Command::new(&self.program);
             command
                 .arg("run")
-                .arg(&self.managers[*i].settings_file)
+                .arg(&self.managers[*index].settings_file)
                 .env("IVYWARD_LOG", "error")
                 .stderr(Stdio::null());
             async move { start_listening_process(command).await.map(|(process, _)| process) }
         };
-        let all = run_concurrently(which.iter().map(started)).await?;
-        for (i, process) in which.iter().zip(all) {
-            self.managers[*i].process = Some(process);
+        let processes = run_concurrently(which.iter().map(start_process)).await?;
+        for (index, process) in which.iter().zip(processes) {
+            self.managers[*index].process = Some(process);
         }
         Ok(())
     }
 
     /// Kills managers; with `delete_state` their state directories are deleted.
     async fn kill(&mut self, which: &[usize], delete_state: bool) -> Result<(), String> {
-        for i in which {
-            if let Some((process, _)) = &mut self.managers[*i].process {
+        for index in which {
+            if let Some((process, _)) = &mut self.managers[*index].process {
                 process.start_kill().map_err(|e| e.to_string())?;
             }
         }
-        for i in which {
-            let killed = &mut self.managers[*i];
-            if let Some((mut process, _)) = killed.process.take() {
+        for index in which {
+            let killed_manager = &mut self.managers[*index];
+            if let Some((mut process, _)) = killed_manager.process.take() {
                 process.wait().await.map_err(|e| e.to_string())?;
             }
             if delete_state {
-                fs::remove_dir_all(&killed.state_dir)
-                    .map_err(|e| format!("{}: {e}", killed.state_dir.display()))?;
+                fs::remove_dir_all(&killed_manager.state_dir)
+                    .map_err(|e| format!("{}: {e}", killed_manager.state_dir.display()))?;
             }
         }
         Ok(())
@@ -284,23 +297,23 @@
 
     /// Returns the process ids of the running managers.
     fn ids(&self) -> impl Iterator<Item = u32> {
-        self.managers.iter().filter_map(|one| one.process.as_ref()?.0.id())
+        self.managers.iter().filter_map(|managed_process| managed_process.process.as_ref()?.0.id())
     }
 
     /// Returns the processor time of all processes in seconds.
     fn cpu_seconds(&self) -> f64 {
-        let of = |id: u32| {
+        let ticks_of = |id: u32| {
             let text = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
             // The program name in brackets may hold any character; the counters come after it.
-            let after: Vec<_> = text.rsplit_once(')')?.1.split_whitespace().collect();
-            Some(after.get(11)?.parse::<f64>().ok()? + after.get(12)?.parse::<f64>().ok()?)
+            let counters: Vec<_> = text.rsplit_once(')')?.1.split_whitespace().collect();
+            Some(counters.get(11)?.parse::<f64>().ok()? + counters.get(12)?.parse::<f64>().ok()?)
         };
-        self.ids().filter_map(of).sum::<f64>() / TICKS_PER_SECOND
+        self.ids().filter_map(ticks_of).sum::<f64>() / TICKS_PER_SECOND
     }
 
     /// Returns the average and the greatest memory in megabytes, and the same of descriptors.
     fn memory_and_descriptors(&self) -> Result<[(f64, f64); 2], String> {
-        let kb = |id: u32| {
+        let memory_kb = |id: u32| {
             let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
             let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
             line.trim().trim_end_matches(" kB").parse::<f64>().ok()
@@ -309,11 +322,11 @@
         let average_and_max = |values: Vec<f64>| {
             (values.iter().sum::<f64>() / values.len().max(1) as f64, values.into_iter().fold(0.0, f64::max))
         };
-        let memory_mb: Vec<_> = self.ids().filter_map(kb).map(|kb| kb / 1000.0).collect();
-        let half = memory()?.0 as f64 / 2000.0;
-        if memory_mb.iter().sum::<f64>() > half {
+        let memory_mb: Vec<_> = self.ids().filter_map(memory_kb).map(|kb| kb / 1000.0).collect();
+        let half_of_memory_mb = memory()?.0 as f64 / 2000.0;
+        if memory_mb.iter().sum::<f64>() > half_of_memory_mb {
             return Err(format!(
-                "the managers use more than half of the machine's memory ({half:.0} MB); ask for fewer"
+                "the managers use more than half of the machine's memory ({half_of_memory_mb:.0} MB); ask for fewer"
             ));
         }
         Ok([average_and_max(memory_mb), average_and_max(self.ids().filter_map(descriptors).collect())])
@@ -326,12 +339,13 @@
         let filter = format!("( {filter} ) and ( sport = :{PEER_PORT} or dport = :{PEER_PORT} )");
         let mut command = Command::new("ss");
         command.args(["-tinHO", "state", "connected", "exclude", "time-wait"]).arg(filter).kill_on_drop(true);
-        let done = command.output().await;
-        let done = done.map_err(|e| format!("ss: {e}; install it (iproute2): bytes are read from it"))?;
-        if !done.status.success() {
-            return Err(format!("ss: {}", String::from_utf8_lossy(&done.stderr).trim()));
+        let command_output = command.output().await;
+        let command_output =
+            command_output.map_err(|e| format!("ss: {e}; install it (iproute2): bytes are read from it"))?;
+        if !command_output.status.success() {
+            return Err(format!("ss: {}", String::from_utf8_lossy(&command_output.stderr).trim()));
         }
-        Ok(parse_ss_output(&String::from_utf8_lossy(&done.stdout)))
+        Ok(parse_ss_output(&String::from_utf8_lossy(&command_output.stdout)))
     }
 
     /// Waits until the fleet has settled. Returns how long that took, and whether it settled in time.
@@ -354,8 +368,9 @@
     /// Makes the first manager revoke one more session.
     async fn revoke_session(&mut self) -> Result<(), String> {
         self.revoked.push(format!("{:032x}", self.revoked.len() + 1));
-        let all: String = self.revoked.iter().map(|session| format!("revoked: \"{session}\"\n")).collect();
-        let tokens = self.settings.section("tokens").to_text() + "\n" + &all;
+        let revoked_entries: String =
+            self.revoked.iter().map(|session| format!("revoked: \"{session}\"\n")).collect();
+        let tokens = self.settings.section("tokens").to_text() + "\n" + &revoked_entries;
         let tokens = ivyward_settings::read("Tokens", &tokens).map_err(|faults| format!("{faults:?}"))?;
         let mut settings = self.settings.clone();
         settings.put("tokens", tokens);
@@ -375,11 +390,11 @@
         // The interval grows with the fleet, so that answering polls does not take up the machine.
         let poll_interval = Duration::from_millis(self.managers.len() as u64).max(Duration::from_millis(20));
         let mut set = JoinSet::new();
-        for console in self.managers.iter().map(|one| one.console) {
+        for console in self.managers.iter().map(|managed_process| managed_process.console) {
             set.spawn_local(async move {
                 while begun_at.elapsed() < PROPAGATION_TIMEOUT {
-                    let answer = peers_page(console).await.unwrap_or_default();
-                    if answer["revoked"].as_u64().is_some_and(|revoked| revoked >= expected_count) {
+                    let page = peers_page(console).await.unwrap_or_default();
+                    if page["revoked"].as_u64().is_some_and(|revoked| revoked >= expected_count) {
                         return Some(begun_at.elapsed().as_secs_f64());
                     }
                     sleep(poll_interval).await;
@@ -387,18 +402,18 @@
                 None
             });
         }
-        let mut all = vec![];
-        while let Some(one) = set.join_next().await {
-            all.extend(one.map_err(|e| e.to_string())?);
+        let mut delays = vec![];
+        while let Some(finished_task) = set.join_next().await {
+            delays.extend(finished_task.map_err(|e| e.to_string())?);
         }
-        all.sort_by(f64::total_cmp);
-        Ok(all)
+        delays.sort_by(f64::total_cmp);
+        Ok(delays)
     }
 
     /// Kills all managers.
     async fn end(mut self) -> Result<(), String> {
-        let all: Vec<_> = (0..self.managers.len()).collect();
-        self.kill(&all, false).await
+        let all_indices: Vec<_> = (0..self.managers.len()).collect();
+        self.kill(&all_indices, false).await
     }
 }
 
@@ -417,7 +432,7 @@
 /// Measures one build at one fleet size.
 async fn run_fleet(table: &mut Table, mut fleet: Fleet, deadline: Instant) -> Result<(), String> {
     let (count, size) = (fleet.count(), fleet.managers.len());
-    let (all, run_begun_at): (Vec<_>, _) = ((0..size).collect(), Instant::now());
+    let (all_managers, run_begun_at): (Vec<_>, _) = ((0..size).collect(), Instant::now());
     let out_of_time = |label: &str, table: &mut Table| {
         let is_late = Instant::now() >= deadline;
         if is_late {
@@ -431,12 +446,12 @@
     fleet.initialize_state().await?;
 
     let begun_at = Instant::now();
-    fleet.start(&all).await?;
+    fleet.start(&all_managers).await?;
     let settled = fleet.wait_until_settled().await?;
     if !settled.1 {
         table.notes.push(format!("{size} managers: did not settle within {SETTLE_TIMEOUT:?} of the start"));
     }
-    let (started, start_s) =
+    let (start_traffic, start_s) =
         (fleet.traffic().await?.since(&TrafficCounters::default()), begun_at.elapsed().as_secs_f64());
     let idle = rate(&fleet, IDLE_MEASURE_FOR).await?;
     let kb_over_idle = |bytes: f64, elapsed_s: f64| (bytes - idle.0 * count * elapsed_s).max(0.0) / 1000.0;
@@ -451,10 +466,10 @@
         "kB",
         Some(START_KB_BUDGET),
         size,
-        kb_over_idle(started.0, start_s) / count,
+        kb_over_idle(start_traffic.0, start_s) / count,
     );
     table.put("start of all: segments", "", None, size, {
-        (started.1 - idle.1 * count * start_s).max(0.0) / count
+        (start_traffic.1 - idle.1 * count * start_s).max(0.0) / count
     });
     table.put("start of all: until it rests", "s", None, size, start_s);
 
@@ -489,7 +504,7 @@
     }
 
     if !out_of_time("a tenth restarted without memory", table) {
-        let tenth: Vec<_> = all.iter().copied().skip(1).step_by(RESTART_STEP).collect();
+        let tenth: Vec<_> = all_managers.iter().copied().skip(1).step_by(RESTART_STEP).collect();
         let (before, begun_at) = (fleet.traffic().await?, Instant::now());
         fleet.kill(&tenth, true).await?;
         fleet.start(&tenth).await?;
@@ -499,22 +514,23 @@
         table.put("a tenth without memory: bytes of one", "kB", Some(START_KB_BUDGET), size, kb);
         let seconds = if settled.1 { elapsed_s } else { f64::INFINITY };
         table.put("a tenth without memory: until it rests", "s", None, size, seconds);
-        let consoles: Vec<_> = tenth.iter().map(|i| fleet.managers[*i].console).collect();
+        let consoles: Vec<_> = tenth.iter().map(|index| fleet.managers[*index].console).collect();
         let pages = run_concurrently(consoles.into_iter().map(peers_page)).await?;
-        let recovering_count = pages.iter().filter(|answer| answer["catching_up"] == true).count();
+        let recovering_count = pages.iter().filter(|page| page["catching_up"] == true).count();
         table.put("a tenth without memory: still catching up then", "", None, size, recovering_count as f64);
         let expected_count = fleet.revoked.len() as u64;
         let lacking_count = pages
             .iter()
-            .filter(|answer| {
-                answer["revoked"].as_u64().is_none_or(|revoked_count| revoked_count < expected_count)
+            .filter(|page| {
+                page["revoked"].as_u64().is_none_or(|revoked_count| revoked_count < expected_count)
             })
             .count();
         table.put("a tenth without memory: lacking a change then", "", None, size, lacking_count as f64);
     }
 
     if !out_of_time("a zone killed", table) {
-        let zone: Vec<_> = all.iter().copied().filter(|i| i % ZONE_COUNT == ZONE_COUNT - 1).collect();
+        let zone: Vec<_> =
+            all_managers.iter().copied().filter(|i| i % ZONE_COUNT == ZONE_COUNT - 1).collect();
         fleet.kill(&zone, false).await?;
         fleet.revoke_session().await?;
         sleep(POLL_INTERVAL).await;
@@ -557,8 +573,8 @@
     }
 
     if !out_of_time("all without memory", table) {
-        fleet.kill(&all, true).await?;
-        fleet.start(&all).await?;
+        fleet.kill(&all_managers, true).await?;
+        fleet.start(&all_managers).await?;
         let settled = fleet.wait_until_settled().await?;
         if !settled.1 {
             table.notes.push(format!(
@@ -591,7 +607,7 @@
     fleet.end().await
 }
 
-/// Measures this build, and another beside it if given, taking turns at each size.
+/// Measures this build, and another beside it if given, alternately at each size.
 ///
 /// # Errors
 /// Returns an error when the measurement can't run here or a manager did not start; no process is left
@@ -612,7 +628,7 @@
         let deadline = Instant::now() + TOTAL_TIMEOUT;
         let mut term = unix_signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut int = unix_signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
-        let all = async {
+        let measurements = async {
             let mut block = 0;
             for size in sizes {
                 let builds = other_build
@@ -630,7 +646,7 @@
         };
         // On a termination signal its own processes end first: dropping them kills them.
         tokio::select! {
-            done = all => done.map(|()| false),
+            outcome = measurements => outcome.map(|()| false),
             () = sleep_until(deadline + ABORT_AFTER) => Ok(true),
             _ = term.recv() => Err("stopped by a signal".to_string()),
             _ = int.recv() => Err("stopped by a signal".to_string()),
--- a/crates/lab/src/scale/scenarios.rs
+++ b/crates/lab/src/scale/scenarios.rs
@@ -9,8 +9,9 @@
 use rand_pcg::rand_core::SeedableRng;
 use std::time::{Duration, Instant};
 
-/// Members of a fleet start spread over this time; the fleet then settles before anything is measured.
+/// Members of a fleet start spread over this time.
 const START_SPREAD: Duration = Duration::from_secs(2);
+/// A fleet settles for this long after its start, before anything is measured.
 const SETTLE_FOR: Duration = Duration::from_secs(10);
 /// Traffic after a change, a start or a failure is counted for this long.
 const OBSERVE_FOR: Duration = Duration::from_secs(10);
@@ -18,9 +19,9 @@
 const OUTAGE_FOR: Duration = Duration::from_secs(30);
 /// A change that is not everywhere after this time counts as lost.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(120);
-/// Number of changes measured one by one, and of those published during an hour's partition, at the
-/// rate of 750 a day.
+/// Number of changes measured one by one.
 const CHANGE_COUNT: usize = 3;
+/// Number of changes published during an hour's partition, at the rate of 750 a day.
 const PARTITION_CHANGE_COUNT: u32 = 31;
 /// Members in a rack.
 const RACK_SIZE: usize = 20;
@@ -39,6 +40,7 @@
 }
 
 impl ScenarioDurations {
+    /// For a whole measurement, with the rarer faults.
     pub const FULL: ScenarioDurations =
         ScenarioDurations { idle: Duration::from_secs(60), partition: Duration::from_secs(3600), rare: true };
     /// For a check that runs with each change of the code.
@@ -49,10 +51,12 @@
 /// Counts what each member sends from a point in time on.
 struct TrafficWindow {
     begun_at: Duration,
+    /// What each member had sent at the start of the window.
     before: Vec<Traffic>,
 }
 
 impl TrafficWindow {
+    /// Begins a window at the current time.
     fn new(simulation: &Simulation) -> TrafficWindow {
         TrafficWindow {
             begun_at: simulation.now,
@@ -87,23 +91,29 @@
     size: usize,
     /// Bytes, segments and frames that a member sends in a second while idle.
     idle: [f64; 3],
+    /// Wall time at which the current scenario began.
     begun_at: Instant,
+    /// Wall times of the scenarios, as text.
     timings: Vec<String>,
 }
 
+/// Returns the bytes of some traffic.
 fn bytes(sent: &Traffic) -> u64 {
     sent.bytes
 }
 
 impl ScenarioRun<'_> {
+    /// Sets the value of a figure at this fleet size.
     fn put(&mut self, label: &str, unit: &'static str, budget: Option<f64>, value: f64) {
         self.table.put(label, unit, budget, self.size, value);
     }
 
+    /// Returns the indices of all members.
     fn all_members(&self) -> Vec<usize> {
         (0..self.size).collect()
     }
 
+    /// Draws a member.
     fn random_member(&mut self) -> usize {
         self.rng.random_range(0..self.size)
     }
@@ -349,7 +359,7 @@
     }
 
     /// Restarts a tenth of the members without their stores. They can't confirm to each other that
-    /// nothing is missing, so they go on asking.
+    /// nothing is missing, so they keep sending requests for it.
     fn restart_tenth_without_stores(&mut self) {
         let tenth_members: Vec<_> = self.all_members().into_iter().skip(1).step_by(10).collect();
         let own_kb = self.restart(&tenth_members, false);
--- a/crates/lab/src/scale/simulated.rs
+++ b/crates/lab/src/scale/simulated.rs
@@ -26,9 +26,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Default of `peers.word_s`, the interval between ticks of a member.
+/// Interval between ticks of a member: the default of the setting `peers.word_s`.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Default of `limits.connect_s`, the time limit of a connection attempt.
+/// Timeout of a connection attempt: the default of the setting `limits.connect_s`.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Acceptors of each session.
 const ACCEPTOR_COUNT: usize = 3;
@@ -45,24 +45,29 @@
 pub const SEGMENT_HEADER_BYTES: usize = 52;
 /// Most payload bytes of a segment.
 const SEGMENT_PAYLOAD_BYTES: usize = 1448;
-/// Segments of opening and of closing a connection: of the member that opens it, and of the other.
+/// Segments of opening a connection: of the member that opens it, and of the other.
 const HANDSHAKE_SEGMENT_COUNTS: [u64; 2] = [2, 1];
+/// Segments of closing a connection: of the member that opened it, and of the other.
 const CLOSE_SEGMENT_COUNTS: [u64; 2] = [2, 2];
 /// Zones among which members are spread.
 pub const ZONE_COUNT: usize = 6;
 /// Regions among which zones are spread.
 const REGION_COUNT: usize = 2;
-/// Ranges of the delay of a message in microseconds: within a zone, within a region, across regions;
-/// and of a sync of the disk.
+/// Delay of a message within a zone, in microseconds.
 const SAME_ZONE_DELAY_US: Range<u64> = 200..1_000;
+/// Delay of a message between zones of a region, in microseconds.
 const SAME_REGION_DELAY_US: Range<u64> = 1_000..3_000;
+/// Delay of a message between regions, in microseconds.
 const CROSS_REGION_DELAY_US: Range<u64> = 25_000..45_000;
+/// Duration of a sync of the disk, in microseconds.
 const DISK_SYNC_US: Range<u64> = 2_000..8_000;
 
 /// Counts of what one member has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
+    /// Frames of the protocol between members.
     pub frames: u64,
+    /// TCP segments.
     pub segments: u64,
     /// Bytes of frames with their length headers, and of segment headers.
     pub bytes: u64,
@@ -91,9 +96,11 @@
 /// Options of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationOptions {
+    /// Number of members.
     pub members: usize,
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Planted defect: records for neighbours go to all members.
+    /// Injected defect: records for neighbours go to all members.
     pub all_by_all: bool,
     /// Fraction of messages that are lost.
     pub loss_fraction: f64,
@@ -102,6 +109,7 @@
 /// State of a connection as its opener sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
+    /// A connection attempt is in progress.
     Opening,
     /// Open since this time.
     Open(Duration),
@@ -116,10 +124,13 @@
     /// Separates events of this connection from those of an earlier one between the same members.
     connection_id: u64,
     state: ConnectionState,
+    /// Frames to send once the connection is open.
     queue: VecDeque<Frame>,
+    /// Delay before the next attempt if this one fails.
     retry_delay: Duration,
-    /// When the last frame was sent, and when it arrives.
+    /// When the last frame was sent.
     last_sent_at: Duration,
+    /// When the last frame arrives at the other member.
     last_arrival_at: Duration,
     /// Generation of the other member at which the connection opened.
     generation: u64,
@@ -137,11 +148,13 @@
     Republish(usize, u64),
     /// A frame arrives at a member.
     FrameArrives(usize, usize, u64, Box<Frame>),
-    /// Events of a connection: the outcome of an attempt, the end of a retry delay, a check for
-    /// idleness, a close by the other end.
+    /// A connection attempt has an outcome.
     ConnectDone(usize, usize, u64),
+    /// The retry delay is over.
     RetryDue(usize, usize, u64),
+    /// The connection is closed if it has been idle.
     IdleCheck(usize, usize, u64),
+    /// The other end has closed the connection.
     ConnectionBroke(usize, usize, u64),
     /// Writes to a member's store are on disk.
     StoreWritten(usize, u64, Vec<(StoreChange, bool)>),
@@ -150,24 +163,33 @@
 /// Contents of a member's store.
 #[derive(Default)]
 struct Disk {
+    /// Whether the store is marked as complete, so that nothing stored has been lost.
     is_store_complete: bool,
+    /// The last known incarnation of each member.
     starts: BTreeMap<Member, Incarnation>,
 }
 
 /// One member over all its starts.
 #[derive(Default)]
 pub struct SimulatedMember {
+    /// The core, while the member runs.
     core: Option<MemberCore>,
+    /// Separates events of this start from those of earlier ones.
     generation: u64,
+    /// Number of starts, from which incarnations are numbered.
     start_count: u64,
     disk: Disk,
+    /// Whether a write to the store is in progress.
     is_writing: bool,
+    /// Connections that the member opened, by the other member.
     connections: BTreeMap<usize, Connection>,
+    /// What the member has sent, over all its starts.
     pub sent: Traffic,
     /// Sessions that its settings revoke.
     revoked_sessions: Vec<SessionId>,
     /// Number of records that revoke each known session.
     record_counts: BTreeMap<SessionId, usize>,
+    /// When a frozen member resumes.
     frozen_until: Option<Duration>,
 }
 
@@ -176,12 +198,15 @@
     options: SimulationOptions,
     group: Group,
     rng: Pcg64Mcg,
+    /// The current virtual time.
     pub now: Duration,
+    /// Scheduled events, by time and order of scheduling.
     queue: BTreeMap<(Duration, u64), Event>,
     event_count: u64,
     connection_count: u64,
     /// Number of times that outputs of members were flushed.
     flush_count: u64,
+    /// All members, by index.
     pub members: Vec<SimulatedMember>,
     /// Start of the current partition between regions, if any.
     cut_since: Option<Duration>,
@@ -203,6 +228,7 @@
     zone(member) * REGION_COUNT / ZONE_COUNT
 }
 
+/// Returns the index of a member in the simulation.
 fn index_of(member: Member) -> usize {
     usize::from(member.0)
 }
@@ -238,6 +264,7 @@
         self.queue.insert((due_at, self.event_count), event);
     }
 
+    /// Draws a delay from a range of microseconds.
     fn random_delay(&mut self, range: Range<u64>) -> Duration {
         Duration::from_micros(self.rng.random_range(range))
     }
@@ -410,6 +437,7 @@
         None
     }
 
+    /// Handles an event, or postpones it while its member is frozen.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick(member, generation) => {
@@ -542,7 +570,7 @@
         frames.into_iter().for_each(|(to, frame)| self.send(member, index_of(to), frame));
     }
 
-    /// Applies the planted defect: sends records to all members.
+    /// Applies the injected defect: sends records to all members.
     fn broadcast_records(&self, member: usize, frames: Vec<(Member, Frame)>) -> Vec<(Member, Frame)> {
         let (records, mut all): (Vec<_>, Vec<_>) =
             frames.into_iter().partition(|(_, frame)| !frame.records.is_empty());
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_planted_broadcast_from_all_to_all_exceeds_the_budget() {
+fn an_injected_broadcast_from_all_to_all_exceeds_the_budget() {
     let (child_output, report) = scale(&["--managers", "--hollow", "20", "40", "--small", "--all-by-all"]);
     assert_eq!(child_output.status.code(), Some(1), "{report}");
     let verdict = report.lines().last().unwrap_or_default();
