--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -40,7 +40,9 @@
 /// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// When the rule was violated.
     pub at: Duration,
+    /// Which rule was violated, and by what.
     pub text: String,
     /// Whether it concerns a time limit that can't be checked, as the machine ran late.
     pub is_void: bool,
@@ -50,6 +52,7 @@
 struct Checker<'a> {
     plan: &'a Plan,
     observations: &'a Observations,
+    /// The attempts of each viewing.
     by_viewing: BTreeMap<SessionRef, Vec<&'a Attempt>>,
     violations: Vec<Violation>,
 }
@@ -341,11 +344,11 @@
             .iter()
             .filter(|change| change.server == attempt.server && change.at <= at);
         let Some(last_ready_at) =
-            changes.clone().rfind(|change| change.ready).map(|change| change.at).or(Some(Duration::ZERO))
+            changes.clone().rfind(|change| change.is_ready).map(|change| change.at).or(Some(Duration::ZERO))
         else {
             return;
         };
-        let withdrawals = changes.filter(|change| !change.ready && change.at >= last_ready_at);
+        let withdrawals = changes.filter(|change| !change.is_ready && change.at >= last_ready_at);
         let notified_at = withdrawals
             .filter_map(|change| change.notified_at.get(&(attempt.manager, attempt.incarnation)))
             .min()
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -54,7 +54,9 @@
 
 /// A published event.
 struct Event {
+    /// Its number in the sequence of events.
     number: u64,
+    /// The event as a server-sent event.
     text: String,
     /// Indexes of the phase changes that it carries.
     changes: Vec<usize>,
@@ -64,8 +66,10 @@
 pub struct Discovery {
     manager: usize,
     context: SharedContext,
+    /// The current address.
     pub address: Cell<SocketAddr>,
     availability: watch::Sender<Availability>,
+    /// All events since the manager's last start.
     events: RefCell<Vec<Event>>,
     watches: RefCell<Vec<Watch>>,
     /// When an open watch last broke off; `None` again after an outage.
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -58,6 +58,7 @@
 
 /// Result of a trial.
 pub struct Trial {
+    /// The seed of its plan.
     pub seed: u64,
     /// Viewings requested.
     pub viewing_count: usize,
@@ -67,7 +68,7 @@
     pub attempt_count: usize,
     /// Manager processes started.
     pub process_count: usize,
-    /// In the order of time.
+    /// The violations, in the order of time.
     pub violations: Vec<Violation>,
 }
 
@@ -78,7 +79,9 @@
 
 /// A server's entry in the server list.
 struct ListEntry {
+    /// The server's id.
     id: String,
+    /// The published phase: ready, draining or gone.
     phase: &'static str,
 }
 
@@ -87,6 +90,7 @@
     context: SharedContext,
     servers: Vec<Rc<Server>>,
     processes: Vec<Rc<Process>>,
+    /// The server list that is published, by server.
     entries: RefCell<Vec<ListEntry>>,
     /// Servers whose process, phase or paths a fault is changing; further such faults skip them.
     busy_servers: RefCell<BTreeSet<usize>>,
@@ -118,7 +122,12 @@
         let change_index = {
             let mut observations = self.context.observations.borrow_mut();
             let notified_at = Default::default();
-            observations.phase_changes.push(PhaseChange { at, server, ready: phase == "ready", notified_at });
+            observations.phase_changes.push(PhaseChange {
+                at,
+                server,
+                is_ready: phase == "ready",
+                notified_at,
+            });
             observations.phase_changes.len() - 1
         };
         for process in &self.processes {
@@ -346,17 +355,19 @@
 /// Runs the trial of a seed.
 ///
 /// # Errors
-/// No socket is available, or the folder for the managers' files can't be created.
+/// No socket is available, or the directory for the managers' files can't be created.
 pub fn run_seed(seed: u64, program: &Path, keep: Option<&Path>) -> Result<Trial, String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let folder = keep.map_or_else(std::env::temp_dir, PathBuf::from);
-    fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    LocalSet::new().block_on(&runtime, run_trial(Plan::draw(seed), program, (&folder, keep.is_some())))
+    let directory = keep.map_or_else(std::env::temp_dir, PathBuf::from);
+    fs::create_dir_all(&directory).map_err(|e| format!("{}: {e}", directory.display()))?;
+    LocalSet::new().block_on(&runtime, run_trial(Plan::draw(seed), program, (&directory, keep.is_some())))
 }
 
-/// Runs the trial of a plan. The managers' files go to `folder`; their logs are kept there if `keep`.
-async fn run_trial(plan: Plan, program: &Path, (folder, keep): (&Path, bool)) -> Result<Trial, String> {
+/// Runs the trial of a plan. The managers' files go to `directory`; their logs are kept there if `keep_logs`.
+async fn run_trial(
+    plan: Plan, program: &Path, (directory, keep_logs): (&Path, bool),
+) -> Result<Trial, String> {
     let incarnations = vec![vec![]; plan.managers];
     let observations = RefCell::new(Observations { incarnations, ..Observations::default() });
     let context: SharedContext =
@@ -368,7 +379,7 @@
         servers.push(Server::start(&context, index, chance).await.map_err(|e| e.to_string())?);
     }
     for manager in 0..plan.managers {
-        let process = Process::new(&context, manager, program, (folder, keep)).await;
+        let process = Process::new(&context, manager, program, (directory, keep_logs)).await;
         processes.push(process.map_err(|e| e.to_string())?);
     }
     let entries =
@@ -425,10 +436,10 @@
     loop {
         let due = Instant::now() + HARNESS_DELAY_INTERVAL;
         sleep_until(due).await;
-        let late = due.elapsed();
-        if late >= MIN_RECORDED_DELAY {
+        let delay = due.elapsed();
+        if delay >= MIN_RECORDED_DELAY {
             let now = context.now();
-            context.observations.borrow_mut().harness_delays.push((now, late));
+            context.observations.borrow_mut().harness_delays.push((now, delay));
         }
     }
 }
@@ -460,8 +471,8 @@
     }
 }
 
-/// Runs the trials of all seeds, some concurrently, and reports each. Returns whether no rule was broken and
-/// few enough trials were void.
+/// Runs the trials of all seeds, some concurrently, and reports each. Returns whether no rule was violated
+/// and few enough trials were void.
 ///
 /// # Errors
 /// A trial can't be run.
@@ -503,13 +514,13 @@
 /// Formats the result of a trial, with its first violations.
 fn format_trial(trial: &Trial) -> String {
     let Trial { seed, viewing_count, served_count, attempt_count, process_count, violations, .. } = trial;
-    let word = match violations.iter().partition::<Vec<_>, _>(|violation| violation.is_void) {
+    let verdict = match violations.iter().partition::<Vec<_>, _>(|violation| violation.is_void) {
         (_, conclusive) if !conclusive.is_empty() => "BROKEN",
         (void, _) if !void.is_empty() => "void",
         _ => "kept",
     };
     let head = format!(
-        "seed {seed:<6} {word:<7} {viewing_count} requests, {served_count} served, {attempt_count} attempts, {process_count} processes"
+        "seed {seed:<6} {verdict:<7} {viewing_count} requests, {served_count} served, {attempt_count} attempts, {process_count} processes"
     );
     let format_violation = |violation: &Violation| {
         let void_mark = if violation.is_void { " (void)" } else { "" };
--- a/crates/lab/src/soak/observations.rs
+++ b/crates/lab/src/soak/observations.rs
@@ -23,15 +23,19 @@
 /// One request of a viewer and the session that comes of it, as the viewer observes it.
 #[derive(Clone, Debug)]
 pub struct Viewing {
+    /// The index of the manager.
     pub manager: usize,
     /// The incarnation of the manager that received the request, counted from 0.
     pub incarnation: usize,
+    /// The index of its class in the plan.
     pub class: usize,
+    /// How long the viewer waits for an answer.
     pub patience: Duration,
     /// When the last byte of the request was written to an open connection.
     pub sent_at: Duration,
     /// When the viewer gave the request up or disconnected.
     pub abandoned_at: Option<Duration>,
+    /// Final answers, with the times at which they arrived.
     pub answers: Vec<(Duration, FinalAnswer)>,
     /// When the connection ended while the request was unanswered.
     pub connection_lost_at: Option<Duration>,
@@ -59,12 +63,19 @@
 /// A set-up that arrived whole at the manager's end of the path to a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
+    /// The viewing that the attempt is for.
     pub viewing_id: SessionRef,
+    /// The index of the manager.
     pub manager: usize,
+    /// The incarnation of the manager that sent the set-up.
     pub incarnation: usize,
+    /// The index of the server.
     pub server: usize,
+    /// The number of the connection at the server.
     pub connection: usize,
+    /// When the first byte of the set-up arrived.
     pub first_byte_at: Duration,
+    /// When the last byte of the set-up arrived.
     pub last_byte_at: Duration,
     /// When the manager's release, or the close of its connection, arrived at the manager's end of the path.
     pub withdrawn_at: Option<Duration>,
@@ -74,6 +85,7 @@
     pub answered_at: Option<Duration>,
     /// The description in the answer.
     pub description: Vec<u8>,
+    /// When and how the attempt ended.
     pub end: Option<(Duration, AttemptEnd)>,
     /// When the end of the session was first written towards the manager.
     pub end_written_at: Option<Duration>,
@@ -82,10 +94,12 @@
 /// A change of a server's phase that discovery published.
 #[derive(Clone, Debug)]
 pub struct PhaseChange {
+    /// When the phase changed.
     pub at: Duration,
+    /// The index of the server.
     pub server: usize,
     /// The server became ready, so managers may send it new set-ups again.
-    pub ready: bool,
+    pub is_ready: bool,
     /// When a manager counts as notified, by manager and incarnation.
     pub notified_at: BTreeMap<(usize, usize), Duration>,
 }
@@ -93,6 +107,7 @@
 /// One run of a manager's process.
 #[derive(Clone, Debug, Default)]
 pub struct Incarnation {
+    /// When the process was started.
     pub started_at: Duration,
     /// When it first passed the readiness check.
     pub ready_at: Option<Duration>,
@@ -107,10 +122,13 @@
 /// Everything that was recorded in a trial.
 #[derive(Default)]
 pub struct Observations {
+    /// All viewings.
     pub viewings: BTreeMap<SessionRef, Viewing>,
+    /// All attempts, in the order of arrival.
     pub attempts: Vec<Attempt>,
+    /// All phase changes, in the order of publication.
     pub phase_changes: Vec<PhaseChange>,
-    /// By manager, in the order of starts.
+    /// All runs of the managers' processes: by manager, in the order of starts.
     pub incarnations: Vec<Vec<Incarnation>>,
     /// When a server's process started, after the start of the trial: server and time.
     pub server_starts: Vec<(usize, Duration)>,
@@ -135,8 +153,11 @@
 
 /// The state that all parts of a trial share.
 pub struct TrialContext {
+    /// The plan of the trial.
     pub plan: Plan,
+    /// When the trial started.
     pub trial_started_at: Instant,
+    /// What was recorded so far.
     pub observations: RefCell<Observations>,
 }
 
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -37,7 +37,9 @@
 /// A class of requests, which the settings call a profile.
 #[derive(Clone, Debug)]
 pub struct Class {
+    /// Name of the profile.
     pub name: &'static str,
+    /// Whether a set-up may be repeated, in the words of the settings.
     pub semantics: &'static str,
     /// How long viewers of the class wait for an answer.
     pub patience: Duration,
@@ -146,11 +148,13 @@
 /// The plan of a trial.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// The seed from which the plan is drawn.
     pub seed: u64,
     /// Number of managers.
     pub managers: usize,
     /// Number of servers.
     pub servers: usize,
+    /// Classes of requests, from which each request draws one.
     pub classes: Vec<Class>,
     /// Number of servers that hold each title.
     pub copies: u32,
@@ -176,6 +180,7 @@
     pub faults: Vec<(Duration, Fault)>,
 }
 
+/// Draws a duration from a range of milliseconds.
 fn draw_millis(rng: &mut Pcg64Mcg, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.random_range(from..=to))
 }
@@ -242,6 +247,7 @@
         plan
     }
 
+    /// Draws the faults and their times.
     fn draw_faults(&mut self, rng: &mut Pcg64Mcg) {
         let count = rng.random_range(6..=14);
         for _ in 0..count {
@@ -273,6 +279,7 @@
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
+    /// Draws one fault and its targets.
     fn draw_fault(&self, rng: &mut Pcg64Mcg) -> Fault {
         let server = rng.random_range(0..self.servers);
         let manager = rng.random_range(0..self.managers);
@@ -369,6 +376,7 @@
 
 /// Converts a number of milliseconds to a `Duration`.
 trait IntoMillis {
+    /// Returns this many milliseconds.
     fn into_millis(self) -> Duration;
 }
 
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -25,28 +25,32 @@
 
 /// A manager, whose process may be started several times.
 pub struct Process {
+    /// The index of the manager.
     pub manager: usize,
+    /// The address for viewers, the same at each start.
     pub address: SocketAddr,
+    /// The manager's discovery service.
     pub discovery: Rc<Discovery>,
     context: SharedContext,
     program: PathBuf,
     config_path: PathBuf,
-    /// `None` if the log is discarded.
+    /// The log file; `None` if the log is discarded.
     log_path: Option<PathBuf>,
     child: RefCell<Option<Child>>,
     /// The process id while the process runs.
     pid: Cell<Option<u32>>,
     /// Whether a shutdown or a kill is in progress.
-    ending: RefCell<bool>,
+    is_ending: RefCell<bool>,
 }
 
 impl Process {
-    /// Prepares a manager without starting it. Its files go to `folder`; the log is kept there if `keep`.
+    /// Prepares a manager without starting it. Its files go to `directory`; the log is kept there if
+    /// `keep_log`.
     ///
     /// # Errors
     /// No socket is available.
     pub async fn new(
-        context: &SharedContext, manager: usize, program: &Path, (folder, keep): (&Path, bool),
+        context: &SharedContext, manager: usize, program: &Path, (directory, keep_log): (&Path, bool),
     ) -> std::io::Result<Rc<Process>> {
         let address = TcpListener::bind(own_address()).await?.local_addr()?;
         let name = format!("{}-m{manager}", context.plan.seed);
@@ -56,11 +60,11 @@
             discovery: Discovery::start(context, manager).await?,
             context: context.clone(),
             program: program.into(),
-            config_path: folder.join(format!("{name}.json")),
-            log_path: keep.then(|| folder.join(format!("{name}.log"))),
+            config_path: directory.join(format!("{name}.json")),
+            log_path: keep_log.then(|| directory.join(format!("{name}.log"))),
             child: RefCell::default(),
             pid: Cell::default(),
-            ending: RefCell::new(false),
+            is_ending: RefCell::new(false),
         }))
     }
 
@@ -103,7 +107,7 @@
             .spawn()?;
         self.pid.set(child.id());
         *self.child.borrow_mut() = Some(child);
-        *self.ending.borrow_mut() = false;
+        *self.is_ending.borrow_mut() = false;
         let started_at = self.context.now();
         self.context.observations.borrow_mut().incarnations[self.manager]
             .push(Incarnation { started_at, ..Incarnation::default() });
@@ -141,7 +145,7 @@
         let ready = self.context.observations.borrow().incarnations[self.manager]
             .last()
             .is_some_and(|run| run.ready_at.is_some());
-        ready && self.pid().is_some() && !std::mem::replace(&mut *self.ending.borrow_mut(), true)
+        ready && self.pid().is_some() && !std::mem::replace(&mut *self.is_ending.borrow_mut(), true)
     }
 
     /// Sends a signal to the process, if it runs.
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -48,7 +48,9 @@
 /// The directions in which a path between a manager and a server carries messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PathState {
+    /// Whether messages reach the server.
     pub to_server: bool,
+    /// Whether messages reach the manager.
     pub to_manager: bool,
 }
 
@@ -64,7 +66,9 @@
 
 /// Input that a connection received at the near end of its path.
 enum Input {
+    /// A message, and the attempt that it begins.
     Message { bytes: Vec<u8>, attempt: Option<usize> },
+    /// The end of the connection.
     Closed,
 }
 
@@ -72,10 +76,10 @@
 struct Connection {
     manager: usize,
     output: mpsc::UnboundedSender<Output>,
-    alive: bool,
+    is_alive: bool,
     /// An answer on it was malformed or truncated. The server ignores further set-ups on it and sends neither
     /// notes nor ends on it.
-    unusable: bool,
+    is_unusable: bool,
 }
 
 /// The state of a server's process.
@@ -96,10 +100,11 @@
 
 /// A server of the trial.
 pub struct Server {
+    /// The index of the server in the trial.
     pub index: usize,
     /// The server's id in the server list.
     pub id: RefCell<String>,
-    /// By manager.
+    /// Its addresses, by manager.
     pub addresses: Vec<SocketAddr>,
     /// The Unix time in milliseconds of the last start during the trial, or 0.
     pub started_unix_ms: Cell<u64>,
@@ -108,10 +113,10 @@
     state: RefCell<State>,
     listening: watch::Sender<Listening>,
     /// Whether the process handles nothing.
-    hung: watch::Sender<bool>,
+    hung_sender: watch::Sender<bool>,
     /// Whether the sockets are not read.
-    stalled: watch::Sender<bool>,
-    /// By manager.
+    stalled_sender: watch::Sender<bool>,
+    /// The states of its paths, by manager.
     paths: Vec<watch::Sender<PathState>>,
 }
 
@@ -136,8 +141,8 @@
             rng: RefCell::new(rng),
             state: RefCell::default(),
             listening: watch::Sender::new(Listening::Accepting),
-            hung: watch::Sender::new(false),
-            stalled: watch::Sender::new(false),
+            hung_sender: watch::Sender::new(false),
+            stalled_sender: watch::Sender::new(false),
             paths: (0..context.plan.managers).map(|_| watch::Sender::new(open_path)).collect(),
         });
         for (manager, listener) in listeners.into_iter().enumerate() {
@@ -195,7 +200,7 @@
         let (output, to_write) = mpsc::unbounded_channel();
         let mut state = self.state.borrow_mut();
         let (connection_index, generation) = (state.connections.len(), state.generation);
-        state.connections.push(Connection { manager, output, alive: true, unusable: false });
+        state.connections.push(Connection { manager, output, is_alive: true, is_unusable: false });
         let ends = state.ends_to_repeat.remove(&manager).unwrap_or_default();
         drop(state);
         for (viewing_id, attempt) in ends {
@@ -204,7 +209,7 @@
         let server = self.clone();
         spawn_local(async move {
             server.serve_connection(stream, (connection_index, manager, generation), to_write).await;
-            server.state.borrow_mut().connections[connection_index].alive = false;
+            server.state.borrow_mut().connections[connection_index].is_alive = false;
         });
     }
 
@@ -229,7 +234,7 @@
         input_sender: &mpsc::UnboundedSender<Input>,
     ) {
         let (mut messages, mut buffer, mut message_started_at) = (Messages::default(), [0; 4096], None);
-        let mut stalled = self.stalled.subscribe();
+        let mut stalled = self.stalled_sender.subscribe();
         loop {
             if stream.readable().await.is_err() || stalled.wait_for(|is_stalled| !is_stalled).await.is_err() {
                 break;
@@ -323,7 +328,7 @@
         self: &Rc<Self>, mut input: mpsc::UnboundedReceiver<Input>,
         (connection_index, manager, generation): (usize, usize, u32), lag: Duration,
     ) {
-        let (mut hung, mut path) = (self.hung.subscribe(), self.paths[manager].subscribe());
+        let (mut hung, mut path) = (self.hung_sender.subscribe(), self.paths[manager].subscribe());
         let idle_timeout = self.context.plan.keep_alive;
         loop {
             let Ok(message) = timeout(idle_timeout, input.recv()).await else {
@@ -347,7 +352,7 @@
                     self.handle_close(connection_index);
                     // Output that is already queued is written first.
                     self.send(connection_index, Output::Close);
-                    self.state.borrow_mut().connections[connection_index].alive = false;
+                    self.state.borrow_mut().connections[connection_index].is_alive = false;
                     return std::future::pending().await;
                 }
                 Input::Message { bytes, attempt } => {
@@ -368,7 +373,7 @@
         &self, stream: &TcpStream, (manager, generation): (usize, u32),
         mut to_write: mpsc::UnboundedReceiver<Output>, lag: Duration,
     ) {
-        let (mut hung, mut path) = (self.hung.subscribe(), self.paths[manager].subscribe());
+        let (mut hung, mut path) = (self.hung_sender.subscribe(), self.paths[manager].subscribe());
         while let Some(output) = to_write.recv().await {
             let Output::Bytes { bytes, answered_attempt, ended_attempt } = output else {
                 if matches!(output, Output::Reset) {
@@ -408,7 +413,10 @@
     /// Queues output on a connection. Returns whether the connection still accepts it.
     fn send(&self, connection: usize, output: Output) -> bool {
         let state = self.state.borrow();
-        state.connections.get(connection).is_some_and(|peer| peer.alive && peer.output.send(output).is_ok())
+        state
+            .connections
+            .get(connection)
+            .is_some_and(|peer| peer.is_alive && peer.output.send(output).is_ok())
     }
 
     /// Queues bytes that are neither a recorded answer nor an end.
@@ -437,7 +445,7 @@
     fn handle_set_up(self: &Rc<Self>, connection: usize, viewing_id: SessionRef, attempt: usize) {
         let now = self.context.now();
         let mut state = self.state.borrow_mut();
-        if state.connections[connection].unusable {
+        if state.connections[connection].is_unusable {
             return;
         }
         if let Some(previous) = state.latest_attempts.insert(viewing_id, attempt) {
@@ -464,7 +472,7 @@
         let (server, generation) = (self.clone(), self.state.borrow().generation);
         spawn_local(async move {
             sleep(delay).await;
-            let mut hung = server.hung.subscribe();
+            let mut hung = server.hung_sender.subscribe();
             if hung.wait_for(|is_hung| !is_hung).await.is_err()
                 || server.state.borrow().generation != generation
             {
@@ -514,14 +522,14 @@
             Outcome::MalformedAnswer => {
                 self.start_session(connection, viewing_id, attempt);
                 self.send_bytes(connection, vec![0xff; 40]);
-                self.state.borrow_mut().connections[connection].unusable = true;
+                self.state.borrow_mut().connections[connection].is_unusable = true;
             }
             Outcome::TruncatedAnswer => {
                 self.start_session(connection, viewing_id, attempt);
                 let bytes = binary::write(Kind::Answer, viewing_id, &[], None, Some(b"a part of it"))
                     .unwrap_or_default();
                 self.send_bytes(connection, bytes[..bytes.len() / 2].to_vec());
-                self.state.borrow_mut().connections[connection].unusable = true;
+                self.state.borrow_mut().connections[connection].is_unusable = true;
             }
         }
     }
@@ -565,7 +573,7 @@
         let server = self.clone();
         spawn_local(async move {
             sleep(session_duration).await;
-            let mut hung = server.hung.subscribe();
+            let mut hung = server.hung_sender.subscribe();
             if hung.wait_for(|is_hung| !is_hung).await.is_err()
                 || server.state.borrow().generation != generation
             {
@@ -583,7 +591,7 @@
             let state = self.state.borrow();
             let manager = state.connections[connection].manager;
             let is_usable = |candidate: &Connection| {
-                candidate.alive && !candidate.unusable && candidate.manager == manager
+                candidate.is_alive && !candidate.is_unusable && candidate.manager == manager
             };
             let own_connection = Some(connection).filter(|own| is_usable(&state.connections[*own]));
             (own_connection.or_else(|| state.connections.iter().position(is_usable)), manager)
@@ -650,7 +658,7 @@
                     (observations.attempts[attempt].viewing_id, observations.attempts[attempt].connection)
                 };
                 let fields = [(Field::Note, "asked"), (Field::NoteValue, "0.4")];
-                if !self.state.borrow().connections[connection].unusable {
+                if !self.state.borrow().connections[connection].is_unusable {
                     self.send_bytes(
                         connection,
                         binary::write(Kind::Note, viewing_id, &fields, None, None).unwrap_or_default(),
@@ -667,12 +675,12 @@
 
     /// Suspends or resumes the process.
     pub fn set_hung(&self, hung: bool) {
-        self.hung.send_replace(hung);
+        self.hung_sender.send_replace(hung);
     }
 
     /// Stops or resumes reading from the sockets.
     pub fn set_stalled(&self, stalled: bool) {
-        self.stalled.send_replace(stalled);
+        self.stalled_sender.send_replace(stalled);
     }
 
     /// Opens or cuts the path to a manager.
@@ -686,7 +694,7 @@
         let all = state
             .connections
             .iter()
-            .filter(|c| c.alive && only_manager.is_none_or(|manager| c.manager == manager));
+            .filter(|c| c.is_alive && only_manager.is_none_or(|manager| c.manager == manager));
         all.for_each(|connection| drop(connection.output.send(Output::Reset)));
     }
 
