--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -14,13 +14,17 @@
 /// A viewing that the policy places. Its id is also the token of the timer for its patience.
 struct Viewing {
     package: usize,
+    /// The cells that hold its title.
     cells: Cells,
     rung: usize,
+    /// When its patience is over.
     deadline: Duration,
+    /// Number of tune-ins so far.
     tune_ins: u16,
     /// Whether no tune-in is in progress.
     idle: bool,
-    answered: bool,
+    /// Whether the viewer has its answer.
+    is_answered: bool,
 }
 
 /// A policy that chooses servers at random.
@@ -29,10 +33,14 @@
     cell_count: u32,
     /// For each package: whether it is paid for at set-up, its floor and its top rung.
     packages: Vec<(bool, usize, usize)>,
+    /// Most tune-ins for one viewing.
     max_tune_ins: u16,
+    /// Timeout of a tune-in that may be followed by another one.
     timeout: Duration,
     retry_budget: Option<(Duration, f64, f64)>,
+    /// Times of the requests within the window of the retry budget.
     request_times: VecDeque<Duration>,
+    /// Times of the further tune-ins within this window.
     further_tune_in_times: VecDeque<Duration>,
     servers: BTreeMap<ServerId, ServerEntry>,
     viewings: BTreeMap<ViewingId, Viewing>,
@@ -125,8 +133,15 @@
         let (_, floor, package_top) = self.packages[package.0];
         // The middle of the rungs that the viewing may play.
         let rung = (floor + top.min(package_top).max(floor)) / 2;
-        let viewing =
-            Viewing { package: package.0, cells, rung, deadline, tune_ins: 0, idle: true, answered: false };
+        let viewing = Viewing {
+            package: package.0,
+            cells,
+            rung,
+            deadline,
+            tune_ins: 0,
+            idle: true,
+            is_answered: false,
+        };
         self.viewings.insert(viewing_id, viewing);
         act.set_timer(deadline.saturating_sub(now), u64::from(viewing_id.0));
         self.tune_in(act, viewing_id);
@@ -134,7 +149,7 @@
 
     fn on_playing(&mut self, now: Duration, viewing_id: ViewingId, _: ServerId) {
         self.now = now;
-        self.viewings.entry(viewing_id).and_modify(|viewing| viewing.answered = true);
+        self.viewings.entry(viewing_id).and_modify(|viewing| viewing.is_answered = true);
     }
 
     fn restore_viewing(
@@ -144,8 +159,10 @@
         self.now = now;
         let (package, cells) = (package.0, Cells { first: 0, spread: 0 });
         let (deadline, tune_ins, idle, answered) = (now, 1, false, true);
-        self.viewings
-            .insert(viewing_id, Viewing { package, cells, rung, deadline, tune_ins, idle, answered });
+        self.viewings.insert(
+            viewing_id,
+            Viewing { package, cells, rung, deadline, tune_ins, idle, is_answered: answered },
+        );
     }
 
     fn on_tune_in_ended(
@@ -155,7 +172,7 @@
         self.now = now;
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
         viewing.idle = true;
-        if terminal || viewing.answered {
+        if terminal || viewing.is_answered {
             self.viewings.remove(&viewing_id);
         } else if self.packages[viewing.package].0 && !outcome.never_ran() {
             self.viewings.remove(&viewing_id);
@@ -167,7 +184,7 @@
 
     fn on_viewer_left(&mut self, act: &mut dyn Actions, viewing_id: ViewingId) {
         let Some(viewing) = self.viewings.get_mut(&viewing_id) else { return };
-        viewing.answered = true;
+        viewing.is_answered = true;
         if viewing.idle {
             self.viewings.remove(&viewing_id);
         } else {
@@ -184,7 +201,7 @@
     fn on_timer(&mut self, act: &mut dyn Actions, now: Duration, token: u64) {
         self.now = now;
         let viewing_id = ViewingId(token as u32);
-        let Some(viewing) = self.viewings.get(&viewing_id).filter(|v| !v.answered) else { return };
+        let Some(viewing) = self.viewings.get(&viewing_id).filter(|v| !v.is_answered) else { return };
         let (is_paid, tune_in_count, is_idle) =
             (self.packages[viewing.package].0, viewing.tune_ins, viewing.idle);
         self.viewings.remove(&viewing_id);
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,10 +1,10 @@
-//! Plays one day and judges it.
+//! Plays one day and checks the rules.
 //!
 //! Stand-in servers and troubles run in one thread, viewers in another, and each manager is a process.
 
 use crate::baseline::RandomPolicy;
 use crate::managers::{Manager, PeerPaths};
-use crate::verdict::{ResourceSample, Verdict, judge};
+use crate::verdict::{ResourceSample, Verdict, evaluate_day};
 use crate::viewers::Observations;
 use crate::{trouble, viewers};
 use ivyward_daemon::setup;
@@ -23,7 +23,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::task::AbortOnDropHandle;
 
-/// How long streams and connections get to end after the last viewer.
+/// Time for streams and connections to end after the last viewer.
 const SETTLE_DURATION: Duration = Duration::from_millis(300);
 
 /// Reads a day's script and checks it.
@@ -80,7 +80,7 @@
     if faults.is_empty() { Ok(script) } else { Err(faults) }
 }
 
-/// Returns the terms that the rules use to judge a script's day.
+/// Returns the terms by which the rules are checked on a script's day.
 pub fn rule_terms(script: &Section) -> Terms {
     let settings = script.section("settings");
     let package_terms = |package: &Section| Package {
@@ -147,7 +147,7 @@
     )
 }
 
-/// Plays a day and judges it.
+/// Plays a day and returns the verdict on it.
 ///
 /// `program` runs the managers (this program if `None`); `random` replaces the decision module by random
 /// choice. `logs` is the directory of the managers' logs, and `record` the file that receives the history.
@@ -258,7 +258,8 @@
             fs::write(file, ivyward_rules::write(&terms, &history))
                 .map_err(|e| format!("{}: {e}", file.display()))?;
         }
-        let mut verdict = judge(&terms, &history, &observed.viewer_records, &end_reports, &played_troubles);
+        let mut verdict =
+            evaluate_day(&terms, &history, &observed.viewer_records, &end_reports, &played_troubles);
         verdict.quality = quality;
         verdict.manifests = observed.manifests;
         verdict.resource_samples = resource_samples.take();
--- a/crates/lab/src/growth.rs
+++ b/crates/lab/src/growth.rs
@@ -11,8 +11,9 @@
 const RACK_SIZE: u32 = 8;
 /// Rates of the ladder in the unit of `rate_kb`, from the lowest rung.
 const RATES_KB: [f64; 4] = [200.0, 450.0, 900.0, 1800.0];
-/// Placements measured at each size, and checks of the rungs.
+/// Placements measured at each size.
 const MEASURED_PLACEMENT_COUNT: u32 = 200;
+/// Checks of the rungs measured at each size.
 const MEASURED_RUNG_CHECK_COUNT: u32 = 8;
 /// The module's timer for a check of the rungs.
 const RUNG_CHECK_TIMER: u64 = 0;
@@ -37,7 +38,9 @@
 struct LoadedManager {
     manager: Manager,
     now: Duration,
+    /// The id of the next viewing.
     next_viewing: u32,
+    /// Number of servers.
     servers: u32,
 }
 
@@ -128,8 +131,9 @@
     pub placement_us: f64,
     /// Median time of a check of the rungs.
     pub rung_check_ms: f64,
-    /// Entries that a placement visited on average, and all entries that the manager holds.
+    /// Entries that a placement visited on average.
     pub entries_per_placement: f64,
+    /// All entries that the manager holds.
     pub held_entries: usize,
 }
 
@@ -178,9 +182,10 @@
                 Command::new(program).args(["growth", "--live", &size[0], "--servers", &size[1]]).output();
             let child_output = child_output.map_err(|e| format!("{}: {e}", program.display()))?;
             let other_output = String::from_utf8_lossy(&child_output.stdout).into_owned();
-            // The columns between differ from build to build; the two times are always the last.
-            let mut last = other_output.lines().last().into_iter().flat_map(str::split_whitespace).rev();
-            let mut number = || last.next().and_then(|field| field.parse::<f64>().ok());
+            // The columns before differ from build to build; the two times are always the last.
+            let mut reversed_fields =
+                other_output.lines().last().into_iter().flat_map(str::split_whitespace).rev();
+            let mut number = || reversed_fields.next().and_then(|field| field.parse::<f64>().ok());
             let Some((other_check_ms, other_placement_us)) = number().zip(number()) else {
                 return Err(format!(
                     "{}: expected two times at the end of the last line, got {other_output:?}",
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -87,20 +87,30 @@
 
 /// An effect that a core requested while it handled one event.
 enum RecordedEffect {
+    /// The request and its answer.
     Answer(RequestId, Answer),
+    /// Session, top rung, viewing and tune-in, server, rung, and package and title.
     SetUp(SessionId, usize, (ViewingId, TuneIn), ServerNo, usize, (usize, u64)),
+    /// The set-up to cancel, by viewing and tune-in.
     CancelSetUp(ViewingId, TuneIn),
+    /// The stream to end: server, incarnation that set it up, viewing and tune-in.
     Release(ServerNo, Incarnation, ViewingId, TuneIn),
+    /// A stream, named as for `Release`, and its new rung.
     ChangeRung(ServerNo, Incarnation, ViewingId, TuneIn, usize),
+    /// The server to probe.
     Probe(ServerNo),
+    /// A stream, named as for `Release`, whose time since the last fetch is wanted.
     QueryLastFetch(ServerNo, Incarnation, ViewingId, TuneIn),
+    /// The delay, and the timer that then fires.
     SetTimer(Duration, Timer),
 }
 
 /// Collects the effects of one event; the harness applies them afterwards.
 #[derive(Default)]
 struct EffectLog {
+    /// Requested effects, in order.
     recorded: Vec<RecordedEffect>,
+    /// Assertions of rules that failed.
     violations: Vec<Violation>,
 }
 
@@ -191,6 +201,7 @@
 struct ListRow {
     listed_state: ServerState,
     incarnation: u64,
+    /// When the process started; `None` for a server that has run from the beginning.
     start_time: Option<Duration>,
     cell: u32,
     weight: f64,
@@ -220,9 +231,11 @@
 
 /// The model of viewers, servers, list and network around the real cores of all managers.
 pub struct Harness {
+    /// The current virtual time.
     now: Duration,
     /// The scheduled jobs, by time and order of scheduling.
     jobs: BTreeMap<(Duration, u64), Job>,
+    /// Orders jobs that are due at the same moment.
     next_job_sequence: u64,
     rng: Pcg64Mcg,
     defect: Option<InjectedDefect>,
@@ -234,12 +247,15 @@
     list_rows: Vec<Option<ListRow>>,
     /// Jobs that wait until a frozen server resumes.
     frozen_server_jobs: BTreeMap<ServerNo, Vec<Job>>,
+    /// What each stream plays, by server and tune-in.
     stream_infos: BTreeMap<(ServerNo, TuneInKey), StreamInfo>,
     /// Set-ups whose connection is open or being opened: the server, and whether it has read the set-up.
     open_set_ups: BTreeMap<TuneInKey, (ServerNo, bool)>,
     /// Whether the list currently sends no changes.
     list_unavailable: bool,
+    /// The history recorded so far.
     history: History,
+    /// Assertions of rules that failed inside managers.
     violation_count: u64,
     /// What viewers requested, by the number of the request.
     plans: BTreeMap<usize, ViewerPlan>,
@@ -249,7 +265,7 @@
 
 /// The result of playing a history.
 pub struct Played {
-    /// The terms for judging the history.
+    /// The terms by which the rules are checked on the history.
     pub terms: Terms,
     /// What viewers, servers and the list observed.
     pub history: History,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! The test laboratory of the session front.
+//! The test laboratory of the session manager.
 //!
 //! A day is a script, played on loopback by real manager processes, stand-in servers and viewers, and
-//! judged from what passed on the sockets. Seeded histories run the same cores in virtual time. Further
-//! modules measure costs and evaluate fault localization.
+//! checked against the rules from what passed on the sockets. Seeded histories run the same cores in
+//! virtual time. Further modules measure costs and evaluate fault localization.
 
 pub mod baseline;
 pub mod day;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `ivyward-lab`, the command line of the session front's test laboratory.
+//! `ivyward-lab`, the command line of the session manager's test laboratory.
 
 use clap::{Parser, Subcommand};
 use ivyward_lab::scale::ScaleOptions;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 #[derive(Parser)]
-#[command(version, about = "Plays days against the session front and judges them")]
+#[command(version, about = "Plays days against the session manager, checks its rules and measures its costs")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -16,7 +16,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the script of a day and judge it; exits with 1 if a rule is violated
+    /// Play the script of a day and check the rules; exits with 1 if a rule is violated
     Day {
         /// Script of the day
         script: PathBuf,
@@ -45,7 +45,7 @@
         #[arg(long)]
         record: Option<PathBuf>,
     },
-    /// Play the history of a seed in virtual time and judge it; exits with 1 if a rule is violated
+    /// Play the history of a seed in virtual time and check the rules; exits with 1 if a rule is violated
     History {
         /// Seed of all random draws
         #[arg(long)]
@@ -57,8 +57,8 @@
         #[arg(long)]
         record: Option<PathBuf>,
     },
-    /// Judge a history written by `day` or `history`; exits with 1 if a rule is violated, with 2 if the
-    /// file can't be read
+    /// Check the rules on a history written by `day` or `history`; exits with 1 if a rule is violated, with 2
+    /// if the file can't be read
     Judge {
         /// File of the recorded history
         history: PathBuf,
@@ -282,8 +282,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, measured)
 }
 
-/// Judges a recorded history; false if a rule is violated.
-fn judge(file: &Path) -> Result<bool, String> {
+/// Checks the rules on a recorded history; false if a rule is violated.
+fn check_recorded_history(file: &Path) -> Result<bool, String> {
     let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let (terms, history) = ivyward_rules::read(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", file.display()));
@@ -294,7 +294,7 @@
     Ok(rules.iter().all(|rule| rule.violations.is_empty()))
 }
 
-/// Plays and judges a history; false if a rule is violated.
+/// Plays a history and checks the rules; false if a rule is violated.
 fn history(seed: u64, defect: Option<&str>, record: Option<&Path>) -> Result<bool, String> {
     use ivyward_lab::history::{INJECTED_DEFECTS, play};
     let defect_names = INJECTED_DEFECTS.map(|defect| format!("{defect:?}"));
@@ -416,7 +416,7 @@
         Command::Measure { script, rounds, viewings, connections } => {
             measure(&script, rounds, viewings, connections).map(|()| true)
         }
-        Command::Judge { history } => judge(&history),
+        Command::Judge { history } => check_recorded_history(&history),
         Command::Soak { seeds, jobs, manager, keep, plan } => soak(&seeds, jobs, (manager, keep), plan),
         Command::Node { config } => node(&config).map(|()| true),
         Command::History { seed, spoilt, record } => history(seed, spoilt.as_deref(), record.as_deref()),
--- a/crates/lab/src/managers.rs
+++ b/crates/lab/src/managers.rs
@@ -260,13 +260,14 @@
     pub async fn end(&self) -> Option<Ended> {
         let (mut process, mut lines) = self.process.take()?;
         let signalled = signal(process.id()?, "TERM").await;
-        let ended = timeout(END_TIMEOUT, process.wait()).await;
-        let ended_cleanly = signalled && ended.is_ok_and(|ended| ended.is_ok_and(|ended| ended.success()));
+        let exit = timeout(END_TIMEOUT, process.wait()).await;
+        let ended_cleanly =
+            signalled && exit.is_ok_and(|exit| exit.is_ok_and(|exit_status| exit_status.success()));
         let (mut report, mut has_report) = (Ended::default(), false);
         while let Ok(Some(line)) = lines.next_line().await {
             let number_after = |label| number_after_label(&line, label);
-            if let Some(breaches) = number_after("breaches") {
-                (report.breaches, has_report) = (breaches, true);
+            if let Some(violation_count) = number_after("breaches") {
+                (report.breaches, has_report) = (violation_count, true);
             } else if line.starts_with("left ") {
                 let count = |label| number_after(label).unwrap_or_default() as usize;
                 (report.viewings, report.timers) = (count("viewings"), count("timers"));
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,6 +1,6 @@
-//! Measures what the session front costs: viewings a second and a core, beside a bare responder that
+//! Measures what the session manager costs: viewings a second and a core, beside a bare responder that
 //! uses the same HTTP library and answers each request with a fixed manifest, in one run; and the cost
-//! of the front's parts.
+//! of the manager's parts.
 
 use crate::managers::{Manager, Process};
 use crate::viewers;
@@ -110,8 +110,8 @@
             })
         })
         .collect();
-    for ask in tasks {
-        ask.await.ok();
+    for task in tasks {
+        task.await.ok();
     }
     let latencies = latencies.borrow().clone();
     (latencies, failed.get(), begun_at.elapsed())
@@ -123,7 +123,7 @@
     per_second: f64,
     p50: u64,
     p99: u64,
-    failed: usize,
+    failed_count: usize,
 }
 
 /// Runs one round and relates it to the processor time of the process.
@@ -136,7 +136,7 @@
         per_second: count / run_time.as_secs_f64(),
         p50: latencies.value_at_quantile(0.5),
         p99: latencies.value_at_quantile(0.99),
-        failed,
+        failed_count: failed,
     }
 }
 
@@ -153,13 +153,13 @@
         value_of(|round| round.per_second),
         value_of(|round| round.p50 as f64),
         value_of(|round| round.p99 as f64),
-        rounds.iter().map(|round| round.failed).sum::<usize>(),
+        rounds.iter().map(|round| round.failed_count).sum::<usize>(),
     );
     median
 }
 
 /// Measures a manager, under the settings and fleet of a script, against the bare responder: `rounds`
-/// rounds of `count` viewings each over `connections` connections, taking turns.
+/// rounds of `count` viewings each over `connections` connections, alternately.
 ///
 /// # Errors
 /// Returns an error when a process did not start.
@@ -206,12 +206,12 @@
     };
     // Waits for warm caches, and for servers that started with the manager.
     tokio::time::sleep(settings.section("cold").duration("warm_up_s")).await;
-    let (mut front_rounds, mut bare_rounds) = (vec![], vec![]);
+    let (mut manager_rounds, mut bare_rounds) = (vec![], vec![]);
     for _ in 0..rounds {
         let (id, bare_urls) = (bare_responder.id().unwrap_or_default(), urls(address)?);
         bare_rounds.push(round(id, bare_urls, connections).await);
-        let front_urls = urls(manager.address)?;
-        front_rounds.push(round(manager.id().unwrap_or_default(), front_urls, connections).await);
+        let manager_urls = urls(manager.address)?;
+        manager_rounds.push(round(manager.id().unwrap_or_default(), manager_urls, connections).await);
         // Sessions of this round end with their lease, so that each round begins in the same state.
         tokio::time::sleep(settings.section("limits").duration("lease_s") + Duration::from_secs(1)).await;
     }
@@ -219,9 +219,9 @@
         "{rounds} rounds of {count} viewings over {connections} connections, {} stand-in servers",
         fleet.count("servers")
     );
-    let (front, bare) =
-        (print_rounds("session front", &front_rounds), print_rounds("bare responder", &bare_rounds));
-    println!("ratio {:.1}: a viewing costs as much as so many fixed answers", bare / front);
+    let (manager_rate, bare_rate) =
+        (print_rounds("session front", &manager_rounds), print_rounds("bare responder", &bare_rounds));
+    println!("ratio {:.1}: a viewing costs as much as so many fixed answers", bare_rate / manager_rate);
     time_parts(&keys);
     bare_responder.kill().await.ok();
     manager.end().await;
--- a/crates/lab/src/quality.rs
+++ b/crates/lab/src/quality.rs
@@ -33,14 +33,19 @@
 /// What faults are planted in a world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// No fault.
     None,
+    /// One bad rack.
     Rack,
+    /// One bad server.
     Server,
+    /// One bad title.
     Title,
     /// A rack and a title.
     Both,
     /// A rack, with a popular title that only this rack holds.
     Exclusive,
+    /// One bad tenant.
     Tenant,
 }
 
@@ -234,8 +239,10 @@
     text
 }
 
-/// Judges the result of one world: the number of faults named, faults missed, and names without a fault.
-fn judge_world(planted: &PlantedFaults, poor_networks: &PlantedFaults, named: &[Blame]) -> (u32, u32, u32) {
+/// Evaluates the result of one world: the number of faults named, faults missed, and names without a fault.
+fn evaluate_world(
+    planted: &PlantedFaults, poor_networks: &PlantedFaults, named: &[Blame],
+) -> (u32, u32, u32) {
     let matches = |fault: &(Factor, Level), named: &Blame| {
         (named.factor, named.level) == *fault || named.alternatives.contains(fault)
     };
@@ -265,7 +272,7 @@
                 let started_at = Instant::now();
                 let named = blame(&table);
                 seconds += started_at.elapsed().as_secs_f64();
-                let (named_faults, missed, unfounded) = judge_world(&planted, &poor_networks, &named);
+                let (named_faults, missed, unfounded) = evaluate_world(&planted, &poor_networks, &named);
                 sums = (
                     sums.0 + named_faults,
                     sums.1 + missed,
--- a/crates/lab/src/slopes/answer.rs
+++ b/crates/lab/src/slopes/answer.rs
@@ -117,9 +117,9 @@
     let players = Players::new(&script)?;
     for run in 0..sizes.runs {
         process::check_free_memory()?;
-        let (folder, standins) = (TempDir::new(&format!("a{run}"))?, process::standins(&script)?);
+        let (directory, standins) = (TempDir::new(&format!("a{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
+            process::manager(&script, &standins, &directory.0, program, sizes.settle_for).await?;
         let viewing_count = VIEWING_COUNT.min(sizes.max_viewings).max(1);
         let results =
             process::request_manifests(players.sign_manifest_urls(manager.address, viewing_count, "clip")?)
--- a/crates/lab/src/slopes/claim.rs
+++ b/crates/lab/src/slopes/claim.rs
@@ -31,14 +31,14 @@
     let (settings, players) = (script.section("settings"), Players::new(&script)?);
     for run in 0..sizes.runs {
         process::check_free_memory()?;
-        let (folder, standins) = (TempDir::new(&format!("p{run}"))?, process::standins(&script)?);
+        let (directory, standins) = (TempDir::new(&format!("p{run}"))?, process::standins(&script)?);
         let speaking = PeerPaths::open(MEMBER_COUNT).await?;
         let mut managers = vec![];
         for index in 0..MEMBER_COUNT {
             let list = (standins.list_address(), Some(&speaking));
             let (position, begun_at) = ((index, MEMBER_COUNT), Instant::now());
             let started =
-                Manager::start(&settings, position, 1, list, &folder.0, (program, false), None, begun_at)
+                Manager::start(&settings, position, 1, list, &directory.0, (program, false), None, begun_at)
                     .await?;
             managers.push(started);
         }
@@ -46,7 +46,7 @@
         let process_ids = process_ids.ok_or("a manager process ended right after its start")?;
         sleep(sizes.settle_for).await;
         let (proposer_id, acceptor_id) = (process_ids[0], process_ids[1]);
-        let store_file = folder.0.join("m2").join("keeper.redb");
+        let store_file = directory.0.join("m2").join("keeper.redb");
         let (mut stored_count, mut rows) = (0, [(); 5].map(|()| vec![]));
         let (mut acceptor_cpu_us, mut proposer_cpu_us, mut free_cpu_us) = (0.0, 0.0, 0.0);
         for size in &sizes_measured {
--- a/crates/lab/src/slopes/connection.rs
+++ b/crates/lab/src/slopes/connection.rs
@@ -59,9 +59,9 @@
     let script = process::script(4)?;
     for run in 0..sizes.runs {
         process::check_free_memory()?;
-        let (folder, standins) = (TempDir::new(&format!("c{run}"))?, process::standins(&script)?);
+        let (directory, standins) = (TempDir::new(&format!("c{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
+            process::manager(&script, &standins, &directory.0, program, sizes.settle_for).await?;
         let (mut open_streams, mut rows) = (vec![], [vec![], vec![], vec![]]);
         for size in &sizes_measured {
             let (cpu_before_us, open_before) = (process::live_threads_cpu_us(process_id), open_streams.len());
--- a/crates/lab/src/slopes/cores.rs
+++ b/crates/lab/src/slopes/cores.rs
@@ -32,15 +32,20 @@
 /// Counts messages and store changes, and queues messages for their receiver.
 #[derive(Default)]
 struct RecordedEffects {
+    /// Number of messages.
     messages: usize,
+    /// Number of records in these messages.
     records: usize,
     queued: VecDeque<QueuedMessage>,
+    /// Number of changes to the store.
     store_count: usize,
 }
 
 /// A message of anti-entropy between two replicas.
 enum QueuedMessage {
+    /// The last record number of each log, and whether the message is a reply.
     Heads(BTreeMap<LogId, u64>, bool),
+    /// Records of a log, with the range of their numbers.
     Records(LogId, Range<u64>, Vec<Record<SessionId>>),
 }
 
--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -16,7 +16,9 @@
     pub figure: &'static str,
     /// Unit of the figure.
     pub unit: &'static str,
+    /// The quantity that the figure counts.
     pub kind: FigureKind,
+    /// Sizes at which the figure was measured, in ascending order.
     pub sizes: Vec<f64>,
     /// Values by run, in the order of `sizes`.
     pub runs: Vec<Vec<f64>>,
@@ -25,12 +27,16 @@
 /// The median of some values, with the least and the greatest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
+    /// Median of the values.
     pub median: f64,
+    /// Least value.
     pub min: f64,
+    /// Greatest value.
     pub max: f64,
 }
 
 impl Spread {
+    /// Returns the spread of some values; NaN without any.
     fn of(mut values: Vec<f64>) -> Spread {
         values.sort_by(f64::total_cmp);
         let value_at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
@@ -45,17 +51,19 @@
 /// The slope and the growth exponent of a series, over its runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// Slope of the line: the cost of one more.
     pub slope: Spread,
+    /// Growth exponent: the slope between the logarithms.
     pub exponent: Spread,
 }
 
 /// Returns the slope of the least-squares line through some points; NaN with fewer than two points.
 fn least_squares_slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
-    let (x, y) =
+    let (mean_x, mean_y) =
         points.iter().fold((0.0, 0.0), |sum, point| (sum.0 + point.0 / count, sum.1 + point.1 / count));
-    let covariance: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
-    covariance / points.iter().map(|point| (point.0 - x).powi(2)).sum::<f64>()
+    let covariance: f64 = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum();
+    covariance / points.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>()
 }
 
 impl Series {
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Changes published at each size, and the interval between two, long enough that each arrives by
-/// itself.
+/// Changes published at each size.
 const CHANGE_COUNT: usize = 200;
+/// Interval between two changes, long enough that each arrives by itself.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Measures a manager's memory, descriptors and processor time at growing lengths of the list.
@@ -32,10 +32,10 @@
         let mut rows = [(); 5].map(|()| vec![]);
         for size in &sizes_measured {
             let script = process::script(*size)?;
-            let folder = TempDir::new(&format!("l{run}-{size}"))?;
+            let directory = TempDir::new(&format!("l{run}-{size}"))?;
             let standins = process::standins(&script)?;
             let (manager, process_id) =
-                process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
+                process::manager(&script, &standins, &directory.0, program, sizes.settle_for).await?;
             // Connections to many servers take some time to open.
             let all_connected = |process_id| process::descriptors(process_id) >= *size as f64;
             let begun_at = Instant::now();
--- a/crates/lab/src/slopes/viewing.rs
+++ b/crates/lab/src/slopes/viewing.rs
@@ -30,9 +30,9 @@
     let players = Players::new(&script)?;
     for run in 0..sizes.runs {
         process::check_free_memory()?;
-        let (folder, standins) = (TempDir::new(&format!("v{run}"))?, process::standins(&script)?);
+        let (directory, standins) = (TempDir::new(&format!("v{run}"))?, process::standins(&script)?);
         let (manager, process_id) =
-            process::manager(&script, &standins, &folder.0, program, sizes.settle_for).await?;
+            process::manager(&script, &standins, &directory.0, program, sizes.settle_for).await?;
         let (mut urls, mut rows, mut failed) = (vec![], [(); 5].map(|()| vec![]), 0);
         for size in &sizes_measured {
             let new_count = size - urls.len();
--- a/crates/lab/src/tests.rs
+++ b/crates/lab/src/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of verdicts beyond the rules, of scripts, of reports, and of the cost of a placement.
 
 use crate::trouble::PlayedTrouble;
-use crate::verdict::judge;
+use crate::verdict::evaluate_day;
 use ivyward_daemon::Ended;
 use ivyward_fleet::{ManagerNo, ServerNo, SlowStartModel, TuneInKey};
 use ivyward_rules::{Event, History, Package, Record, SetUpEnd, Terms};
@@ -27,12 +27,12 @@
         time_tolerance: ms(10),
         slow_start: (slow_start, 100),
     };
-    for (breaches, passes) in [(Some(0), true), (Some(1), false), (None, false)] {
-        let end_report = breaches.map(|breaches| Ended { breaches, ..Default::default() });
+    for (violation_count, passes) in [(Some(0), true), (Some(1), false), (None, false)] {
+        let end_report = violation_count.map(|breaches| Ended { breaches, ..Default::default() });
         assert_eq!(
-            judge(&terms, &History::default(), &[], &[end_report], &[]).passed(),
+            evaluate_day(&terms, &History::default(), &[], &[end_report], &[]).passed(),
             passes,
-            "{breaches:?}"
+            "{violation_count:?}"
         );
     }
     let (server, key) =
@@ -74,7 +74,8 @@
     };
     let played_troubles =
         [played("FREEZE", &[0]), played("FREEZE", &[1]), played("BREAK", &[0]), played("CRASH", &[0])];
-    let verdict = judge(&terms, &History { records, ..Default::default() }, &[], &[None], &played_troubles);
+    let verdict =
+        evaluate_day(&terms, &History { records, ..Default::default() }, &[], &[None], &played_troubles);
     let effect_counts: Vec<_> = verdict.troubles.iter().map(|trouble| trouble.1).collect();
     assert_eq!(effect_counts, [1, 0, 1, 0]);
 }
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict on a day, by the six rules.
 //!
-//! The rules are judged from what passed on the sockets of servers, list and viewers. What a manager reports
-//! of itself doesn't count, except violations that it counted, which the verdict reports separately.
+//! The rules are checked on what passed on the sockets of servers, list and viewers. What a manager reports
+//! about itself doesn't count, except violations that it counted, which the verdict reports separately.
 
 use crate::trouble::PlayedTrouble;
 use crate::viewers::ViewerRecord;
@@ -93,10 +93,10 @@
     }
 }
 
-/// Judges a day.
+/// Checks the rules on a day and summarizes its observations.
 ///
 /// `ended` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
-pub fn judge(
+pub fn evaluate_day(
     terms: &Terms, history: &History, viewer_records: &[ViewerRecord], ended: &[Option<Ended>],
     played_troubles: &[PlayedTrouble],
 ) -> Verdict {
--- a/crates/lab/src/viewers.rs
+++ b/crates/lab/src/viewers.rs
@@ -71,6 +71,7 @@
 
 /// What all viewers of a day share.
 struct ViewerContext {
+    /// The addresses of the managers.
     managers: Vec<SocketAddr>,
     keys: Keys,
     /// When the app switches to other keys, and these keys.
@@ -79,14 +80,18 @@
     titles: Vec<setup::Title>,
     /// Name and patience of each package, and whether a viewing is paid for at set-up.
     packages: Vec<(String, Duration, bool)>,
+    /// The worth of each rung, from the lowest.
     rung_worths: Vec<f64>,
     segment_duration: Duration,
     /// The probability that a viewer retries, and the mean pause before.
     retry: (f64, Duration),
-    fetch: bool,
-    reports: bool,
+    /// Whether viewers fetch segments.
+    fetches_segments: bool,
+    /// Whether viewers send CMCD reports.
+    sends_reports: bool,
     started_at: Instant,
     observations: RefCell<Observations>,
+    /// Number of viewers that have not ended.
     active_viewers: Cell<usize>,
 }
 
@@ -96,21 +101,21 @@
     package: usize,
     title: usize,
     /// How long it watches.
-    watch: Duration,
+    watch_duration: Duration,
     /// The highest rung that its screen can show.
-    top: usize,
+    top_rung: usize,
     /// It closes its request before the answer.
-    close_early: bool,
+    closes_early: bool,
     /// It gets a manifest, but doesn't play.
-    no_show: bool,
+    never_plays: bool,
     /// It sends its request twice at once.
-    ask_twice: bool,
+    requests_twice: bool,
     /// If it has paid, it sends its request to two managers, and retries at other managers.
-    elsewhere: bool,
+    uses_other_managers: bool,
     /// It doesn't refresh its manifest, so that its token expires during playback.
-    miss_renewal: bool,
+    skips_refreshes: bool,
     /// How many milliseconds its clock is ahead.
-    ahead: i64,
+    clock_ahead_ms: i64,
 }
 
 /// Draws an index with a probability proportional to its weight.
@@ -168,8 +173,8 @@
             .collect(),
         segment_duration: settings.section("manifest").duration("segment_s"),
         retry: (viewers.number("returns"), viewers.duration("returns_after_s")),
-        fetch: viewers.boolean("fetch"),
-        reports: viewers.boolean("reports"),
+        fetches_segments: viewers.boolean("fetch"),
+        sends_reports: viewers.boolean("reports"),
         started_at,
         observations: RefCell::default(),
         active_viewers: Cell::new(0),
@@ -204,12 +209,12 @@
             continue;
         }
         let title = draw(&zipf, &mut viewer_rng);
-        let watch = Duration::from_secs_f64(
+        let watch_duration = Duration::from_secs_f64(
             least_watch + (longest_watch - least_watch).max(0.0) * viewer_rng.random::<f64>(),
         );
         let draw_flag =
             |name: &str, viewer_rng: &mut Pcg64Mcg| viewer_rng.random::<f64>() < viewers.number(name);
-        let top = if draw_flag("small_screens", &mut viewer_rng) {
+        let top_rung = if draw_flag("small_screens", &mut viewer_rng) {
             rung_count.div_ceil(2) - 1
         } else {
             rung_count - 1
@@ -218,16 +223,16 @@
             session: 0,
             package: draw(&package_shares, &mut viewer_rng),
             title,
-            watch: watch.min(context.titles[title].length),
-            top,
-            close_early: draw_flag("close_early", &mut viewer_rng),
-            no_show: draw_flag("no_show", &mut viewer_rng),
-            ask_twice: draw_flag("ask_twice", &mut viewer_rng),
-            miss_renewal: draw_flag("miss_renewal", &mut viewer_rng),
-            ahead: match (draw_flag("wrong_clock", &mut viewer_rng), viewer_rng.random::<bool>()) {
+            watch_duration: watch_duration.min(context.titles[title].length),
+            top_rung,
+            closes_early: draw_flag("close_early", &mut viewer_rng),
+            never_plays: draw_flag("no_show", &mut viewer_rng),
+            requests_twice: draw_flag("ask_twice", &mut viewer_rng),
+            skips_refreshes: draw_flag("miss_renewal", &mut viewer_rng),
+            clock_ahead_ms: match (draw_flag("wrong_clock", &mut viewer_rng), viewer_rng.random::<bool>()) {
                 (false, _) => 0,
-                (true, ahead) => {
-                    if ahead {
+                (true, is_ahead) => {
+                    if is_ahead {
                         3_600_000
                     } else {
                         -3_600_000
@@ -235,7 +240,7 @@
                 }
             },
             // Drawn only if the script asks for it, so that the draws of other days don't change.
-            elsewhere: viewers.number("elsewhere") > 0.0 && draw_flag("elsewhere", &mut viewer_rng),
+            uses_other_managers: viewers.number("elsewhere") > 0.0 && draw_flag("elsewhere", &mut viewer_rng),
         };
         sleep_until(started_at + arrives_at).await;
         let context = context.clone();
@@ -254,15 +259,22 @@
 
 /// The result of a manifest request.
 enum ManifestResult {
+    /// The viewing plays.
     Manifest {
+        /// The base URL of the segments.
         base_url: String,
+        /// The URL of the next manifest.
         refresh_url: String,
         rung_count: usize,
         refresh_interval: Duration,
+        /// The manifest itself.
         text: String,
     },
+    /// Refused for now; the viewer may retry after this time.
     Blocked(Duration),
+    /// An unexpected answer, an unreadable manifest or an invalid URL.
     Failed,
+    /// The connection failed, or no answer arrived in time.
     Lost,
 }
 
@@ -343,7 +355,7 @@
             session: viewer.session,
             title: self.titles[viewer.title].name.clone(),
             package: self.packages[viewer.package].0.clone(),
-            top: viewer.top,
+            top: viewer.top_rung,
             tenant: "lab".into(),
             granted: None,
         };
@@ -455,18 +467,18 @@
     /// Plays one viewer from its first request to its end, with all its tries.
     async fn play_viewer(&self, mut viewer: Viewer, mut rng: Pcg64Mcg) -> ViewerRecord {
         let first_request_at = self.now();
-        let top_worth = self.rung_worths[viewer.top];
-        let wanted = viewer.watch.as_secs_f64() * top_worth;
+        let top_worth = self.rung_worths[viewer.top_rung];
+        let wanted = viewer.watch_duration.as_secs_f64() * top_worth;
         let mut record = ViewerRecord { package: viewer.package, wanted, ..Default::default() };
-        let mut remaining = viewer.watch;
-        let gives_up_at = first_request_at + viewer.watch + self.packages[viewer.package].1;
+        let mut remaining = viewer.watch_duration;
+        let gives_up_at = first_request_at + viewer.watch_duration + self.packages[viewer.package].1;
         let is_paid = self.packages[viewer.package].2;
-        let elsewhere = viewer.elsewhere && is_paid;
+        let may_switch = viewer.uses_other_managers && is_paid;
         let mut last_manager = None;
         loop {
             record.tries += 1;
             // A viewer that has paid continues the same session at another manager.
-            let mut manager = match last_manager.filter(|_| elsewhere) {
+            let mut manager = match last_manager.filter(|_| may_switch) {
                 Some(last_manager) => (last_manager + 1) % self.managers.len(),
                 None => {
                     viewer.session = rng.random();
@@ -484,14 +496,14 @@
                 Err(_) => return record,
             };
             let mut connection = connection;
-            let close_after = if viewer.close_early {
+            let close_after = if viewer.closes_early {
                 Duration::from_millis(rng.random_range(0..40))
             } else {
                 Duration::MAX
             };
             let first_request =
                 self.request_manifest(&mut connection, &url, &viewer, manager, None, close_after);
-            let result = if elsewhere && last_manager.is_none() {
+            let result = if may_switch && last_manager.is_none() {
                 // The app, or a proxy in front of it, sends the request to two managers at once.
                 let (mut second_connection, other_manager) =
                     (ViewerConnection::default(), (manager + 1) % self.managers.len());
@@ -512,7 +524,7 @@
                     }
                     (result, _) => result,
                 }
-            } else if viewer.ask_twice {
+            } else if viewer.requests_twice {
                 // The app resends its request, or two of its requests cross.
                 let mut second_connection = ViewerConnection::default();
                 let second_request = self.request_manifest(
@@ -531,7 +543,7 @@
             let retry_after = match result {
                 ManifestResult::Manifest { base_url, refresh_url, rung_count, refresh_interval, text } => {
                     record.joined.get_or_insert(self.now() - first_request_at);
-                    if viewer.no_show {
+                    if viewer.never_plays {
                         return record;
                     }
                     if self
@@ -552,10 +564,10 @@
                 }
                 ManifestResult::Blocked(retry_after) => retry_after,
                 // A paid viewing that may have run is not requested again.
-                ManifestResult::Failed | ManifestResult::Lost if is_paid && !elsewhere => return record,
+                ManifestResult::Failed | ManifestResult::Lost if is_paid && !may_switch => return record,
                 ManifestResult::Failed | ManifestResult::Lost => Duration::ZERO,
             };
-            if viewer.close_early || rng.random::<f64>() >= self.retry.0 {
+            if viewer.closes_early || rng.random::<f64>() >= self.retry.0 {
                 return record;
             }
             sleep(retry_after.max(self.retry.1.mul_f64(0.5 + rng.random::<f64>()))).await;
@@ -577,7 +589,7 @@
             return;
         };
         let Some((address, mut request)) = get_request(&format!("{host}/cmcd?token={token}")) else { return };
-        let sent_at_ms = unix_date().as_millis() as i64 + viewer.ahead;
+        let sent_at_ms = unix_date().as_millis() as i64 + viewer.clock_ahead_ms;
         let mut text = format!(
             "sn={report_number},ts={sent_at_ms},bsda={},br={}",
             stalled_for.as_millis(),
@@ -602,7 +614,7 @@
         let (mut base_url, mut refresh_url, mut rung_count, mut refresh_interval, mut text) = manifest_parts;
         // A player requests no segment before the date in the manifest. It compares that date with its own
         // clock, as the manifest corrects it.
-        let own_clock = i64::try_from(unix_date().as_millis()).unwrap_or_default() + viewer.ahead;
+        let own_clock = i64::try_from(unix_date().as_millis()).unwrap_or_default() + viewer.clock_ahead_ms;
         let own_clock = Duration::from_millis(u64::try_from(own_clock).unwrap_or_default());
         let corrected_clock =
             manifest::clock_lag_ms(&text, own_clock).unwrap_or_default() + own_clock.as_millis() as i64;
@@ -622,7 +634,7 @@
             let play_duration = self.segment_duration.min(*remaining);
             let segment_started_at = self.now();
             let mut rung = rung_count - 1;
-            if self.fetch {
+            if self.fetches_segments {
                 let mut received = false;
                 for _ in 0..3 {
                     let Some((server, request)) =
@@ -642,7 +654,7 @@
                             break;
                         }
                         // Its token has expired, and the app mints a new one for the same session.
-                        Ok(Some((StatusCode::UNAUTHORIZED, ..))) if viewer.miss_renewal => {
+                        Ok(Some((StatusCode::UNAUTHORIZED, ..))) if viewer.skips_refreshes => {
                             record.renewals += 1;
                             refreshed_at = self.now();
                             let Ok(url) = self.app_url(viewer, manager) else { return false };
@@ -687,7 +699,7 @@
                 if !received {
                     // The viewer gives up; its last report includes the time that it waited.
                     stalled_for += self.now() - segment_started_at;
-                    if self.reports {
+                    if self.sends_reports {
                         self.send_report(
                             connection,
                             &refresh_url,
@@ -706,9 +718,9 @@
             last_rung = Some(rung);
             sleep_until(self.started_at + segment_started_at + play_duration).await;
             *remaining -= play_duration;
-            record.played += play_duration.as_secs_f64() * self.rung_worths[rung.min(viewer.top)];
+            record.played += play_duration.as_secs_f64() * self.rung_worths[rung.min(viewer.top_rung)];
             segment_number += 1;
-            if self.reports {
+            if self.sends_reports {
                 report_count += 1;
                 let start_delay = record.joined.filter(|_| report_count == 1);
                 self.send_report(
@@ -719,7 +731,10 @@
                 )
                 .await;
             }
-            if self.now() >= refreshed_at + refresh_interval && !remaining.is_zero() && !viewer.miss_renewal {
+            if self.now() >= refreshed_at + refresh_interval
+                && !remaining.is_zero()
+                && !viewer.skips_refreshes
+            {
                 refreshed_at = self.now();
                 match self
                     .request_manifest(
