--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -63,10 +63,13 @@
 pub struct TokenClaims {
     /// Identifier of the session.
     pub session: u128,
+    /// Title that may be played.
     pub title: String,
+    /// Package under which the title is played.
     pub package: String,
     /// Highest rung that may be played.
     pub top: usize,
+    /// Tenant that the player belongs to.
     pub tenant: String,
     /// Tune-in that the token is issued for; none in a token from the app.
     pub granted: Option<GrantedTuneIn>,
@@ -75,8 +78,11 @@
 /// The tune-in that a manager's token is issued for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantedTuneIn {
+    /// Name of the manager.
     pub manager: String,
+    /// Incarnation of the manager.
     pub incarnation: u64,
+    /// Identifier of the viewing at this incarnation.
     pub viewing_id: u32,
     /// Number of the tune-in within its viewing.
     pub n: u16,
@@ -101,12 +107,14 @@
 struct Key {
     algorithm: Algorithm,
     decoding_key: DecodingKey,
+    /// The private part; none if the key only checks.
     encoding_key: Option<EncodingKey>,
 }
 
 /// The keys in force: one signs; during a change of keys, two are valid.
 #[derive(Default)]
 pub struct Keys {
+    /// All keys, by their identifiers.
     keys: BTreeMap<String, Key>,
     /// Identifier of the key that signs.
     signing_key_id: String,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -27,9 +27,13 @@
 /// Identifies a tune-in: its manager, the manager's incarnation, the viewing and the number of the tune-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TuneInKey {
+    /// Manager that tunes in.
     pub manager: ManagerNo,
+    /// Incarnation of the manager.
     pub incarnation: u64,
+    /// Viewing, numbered by the incarnation.
     pub viewing_id: u32,
+    /// Number of the tune-in within the viewing.
     pub n: u16,
 }
 
@@ -100,6 +104,7 @@
     /// Rate of each rung, in kB/s.
     rates: Vec<f64>,
     rung: usize,
+    /// Time for which each fetch extends the lease.
     lease: Duration,
     lease_expires_at: Duration,
     /// When the last segment's playing time is over, once that segment is fetched.
@@ -111,6 +116,7 @@
     rack: usize,
     /// Bandwidth of the link when warm and without faults, in kB/s.
     link_kb: f64,
+    /// Whether the process runs.
     up: bool,
     draining: bool,
     /// Start of the process; none for one that has been running since before the model's start.
@@ -133,7 +139,9 @@
     uplinks: Vec<(f64, f64)>,
     rng: Pcg64Mcg,
     slow_start: SlowStartModel,
+    /// Streams that a server can run at once.
     max_streams: usize,
+    /// Link utilization from which a server refuses set-ups; 0 for no limit.
     max_link_utilization: f64,
     set_up_duration_mean: Duration,
     load_notes: LoadNotes,
--- a/crates/hints/src/lib.rs
+++ b/crates/hints/src/lib.rs
@@ -22,15 +22,25 @@
 /// State of a player (`sta`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
+    /// `s`: playback starts.
     Starting,
+    /// `p`: playing.
     Playing,
+    /// `k`: seeking.
     Seeking,
+    /// `r`: stalled until the buffer is filled.
     Rebuffering,
+    /// `a`: paused by the viewer.
     Paused,
+    /// `w`: waiting.
     Waiting,
+    /// `e`: played to the end.
     Ended,
+    /// `f`: ended by an error.
     Failed,
+    /// `q`: ended by the viewer.
     Quit,
+    /// `d`: loading before playback.
     Preloading,
 }
 
--- a/crates/hints/src/tests.rs
+++ b/crates/hints/src/tests.rs
@@ -63,12 +63,12 @@
             "{text}"
         );
     }
-    let many = "sn=1,".repeat(70);
-    let (items, skipped) = read_all(|on_item, on_skipped| read(&many, on_item, on_skipped));
+    let too_many_members = "sn=1,".repeat(70);
+    let (items, skipped) = read_all(|on_item, on_skipped| read(&too_many_members, on_item, on_skipped));
     assert_eq!((items.len(), skipped), (64, vec![TooMany]));
-    let long = format!("sid=\"{}\",sn=1", "a".repeat(65));
+    let too_long_text = format!("sid=\"{}\",sn=1", "a".repeat(65));
     assert_eq!(
-        read_all(|on_item, on_skipped| read(&long, on_item, on_skipped)).1,
+        read_all(|on_item, on_skipped| read(&too_long_text, on_item, on_skipped)).1,
         [Value],
         "a text that is too long"
     );
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -52,6 +52,7 @@
     session: u128,
     package: usize,
     title: String,
+    /// Highest rung that the player may play.
     top_rung: usize,
     /// Number of segments.
     segments: u64,
@@ -63,6 +64,7 @@
 
 /// Sockets of one server.
 struct ServerSockets {
+    /// Address of the server.
     address: SocketAddr,
     /// Closes the listener and all connections.
     shutdown: RefCell<CancellationToken>,
@@ -70,6 +72,7 @@
     thawed: Notify,
     /// Whether the server accepts no connections.
     accept_paused: Cell<bool>,
+    /// Open event streams of managers.
     note_readers: RefCell<Vec<NoteReader>>,
     /// Offset of the server's clock from the right time, in seconds; positive when ahead.
     clock_offset_s: Cell<i64>,
@@ -80,6 +83,7 @@
 /// State that all stand-ins share.
 struct State {
     fleet: RefCell<Fleet>,
+    /// Sockets of each server, by its index.
     server_sockets: Vec<ServerSockets>,
     server_list: ServerList,
     /// Keys that check players' tokens.
@@ -88,12 +92,14 @@
     max_clock_skew: Duration,
     /// Maximum fraction by which a title's true rates lie above or below the ladder's rates.
     rate_variation: f64,
+    /// Seed from which the true rates of titles are drawn.
     seed: u64,
     /// Numbers of the managers, by name.
     manager_numbers: RefCell<BTreeMap<String, ManagerNo>>,
     /// Properties of each stream.
     stream_infos: RefCell<BTreeMap<(ServerNo, TuneInKey), StreamInfo>>,
     records: Records,
+    /// Start of the times in the records.
     started_at: Instant,
 }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -65,22 +65,34 @@
 /// A message that a server received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSignal {
+    /// When the message arrived.
     pub at: Instant,
+    /// Number of the connection, from 0.
     pub connection: usize,
+    /// Kind of the message.
     pub kind: Kind,
+    /// Session that the message is about.
     pub session_ref: SessionRef,
+    /// Cause of a release.
     pub cause: Option<u8>,
+    /// Description of a set-up.
     pub description: Option<Vec<u8>>,
+    /// Package of a set-up.
     pub package: Option<String>,
+    /// Rung of a set-up.
     pub rung: Option<u64>,
 }
 
 /// The end of a set-up, from the server's point of view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedSetUp {
+    /// When the set-up ended.
     pub at: Instant,
+    /// Number of the connection, from 0.
     pub connection: usize,
+    /// Session that was set up.
     pub session_ref: SessionRef,
+    /// How the set-up ended.
     pub set_up_end: SetUpEnd,
 }
 
@@ -91,7 +103,9 @@
 pub struct Server {
     /// Identifier in the server list.
     pub server_id: String,
+    /// Address for managers.
     pub address: SocketAddr,
+    /// Behavior on set-ups from now on.
     pub behavior: Cell<Behavior>,
     /// Whether heartbeats are answered.
     pub answers_tests: Cell<bool>,
@@ -146,10 +160,10 @@
     ///
     /// # Errors
     /// Returns an error if no socket can be opened.
-    pub async fn start(word: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
+    pub async fn start(listed_id: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind(own_address()).await?;
         let server = Rc::new(Server {
-            server_id: word.into(),
+            server_id: listed_id.into(),
             address: listener.local_addr()?,
             behavior: Cell::new(initial_behavior),
             answers_tests: Cell::new(true),
@@ -214,12 +228,13 @@
         spawn_local(async move {
             serving.serve(stream, number, written).await;
             let unfinished_set_ups = std::mem::take(&mut *serving.open_set_ups.borrow_mut());
-            let (lost, others) =
+            let (ended_set_ups, others) =
                 unfinished_set_ups.into_iter().partition(|(connection, _)| *connection == number);
             *serving.open_set_ups.borrow_mut() = others;
-            let lost: BTreeSet<(usize, SessionRef)> = lost;
-            lost.into_iter()
-                .for_each(|(connection, of)| serving.record_end(connection, of, SetUpEnd::ManagerClosed));
+            let ended_set_ups: BTreeSet<(usize, SessionRef)> = ended_set_ups;
+            ended_set_ups.into_iter().for_each(|(connection, session_ref)| {
+                serving.record_end(connection, session_ref, SetUpEnd::ManagerClosed)
+            });
         });
     }
 
@@ -376,11 +391,13 @@
 /// A stand-in of the event bus, which keeps all events and sends each reader those after the last one it
 /// has received.
 pub struct EventBus {
+    /// Address for readers.
     pub address: SocketAddr,
     /// Event numbers after which readers have requested events, in the order of the requests.
     pub requested_after: RefCell<Vec<u64>>,
     /// Whether readers receive a comment every second.
     pub sends_comments: Cell<bool>,
+    /// Stored events with their numbers.
     events: RefCell<Vec<(u64, String)>>,
     readers: RefCell<Vec<ConnectionWriter>>,
 }
--- a/crates/standin/src/server_list.rs
+++ b/crates/standin/src/server_list.rs
@@ -26,6 +26,7 @@
     cell: usize,
     status: ServerStatus,
     incarnation: u64,
+    /// Start of the process; none if that was before the model's start.
     started_at: Option<Duration>,
 }
 
