--- a/crates/daemon/tests/flood.rs
+++ b/crates/daemon/tests/flood.rs
@@ -313,13 +313,13 @@
             // No set-up is sent later than the grace of 250 ms after an update that removed the server and
             // still applies.
             let records = harness.take_records();
-            let late = records.iter().filter(|record| {
+            let late_set_ups = records.iter().filter(|record| {
                 let ivyward_standin::Event::SetUp { server, .. } = record.what else { return false };
-                let last =
+                let last_update =
                     updates.iter().rfind(|(updated, sent_at, _)| *updated == server && *sent_at <= record.at);
-                last.is_some_and(|(_, sent_at, removes)| *removes && record.at > *sent_at + ms(270))
+                last_update.is_some_and(|(_, sent_at, removes)| *removes && record.at > *sent_at + ms(270))
             });
-            assert_eq!(late.count(), 0);
+            assert_eq!(late_set_ups.count(), 0);
             let sent_set_ups = set_ups(&records);
             let mut paid_counts = BTreeMap::<u128, usize>::new();
             sent_set_ups
--- a/crates/daemon/tests/harness/mod.rs
+++ b/crates/daemon/tests/harness/mod.rs
@@ -28,6 +28,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
+/// The settings that `ivyward` has by default.
 const DEFAULT_SETTINGS: &str = include_str!("../../src/default.txtpb");
 /// The warm-up is so short that no test has to wait for it.
 const FLEET_SETTINGS: &str = "servers: 4 link_kb: 4300 uplink_kb: 21000 places: 34 list_late_s: 0.05 warm_up_s: 0.2 uneven: 0 set_up_s: 0.02";
@@ -117,6 +118,7 @@
     (standins, text)
 }
 
+/// Mints the token of an app, with all rungs allowed.
 pub fn mint_token(keys: &Keys, session: u128, package: &str, title: &str, lifetime: Duration) -> String {
     let (title, package) = (title.to_string(), package.to_string());
     let token_claims = TokenClaims { session, title, package, top: 3, tenant: String::new(), granted: None };
@@ -124,6 +126,7 @@
 }
 
 impl Harness {
+    /// Starts stand-ins and a manager with the tweaked settings, and waits until set-ups can succeed.
     async fn start(tweak: impl Fn(String) -> String) -> Harness {
         let (standins, settings_text) = start_standins(tweak);
         let settings = ivyward_daemon::read_settings(&settings_text).expect("settings that fit");
@@ -154,18 +157,22 @@
         setup::keys(&self.settings.section("tokens")).expect("keys")
     }
 
+    /// Mints a token for one title, valid for a minute.
     pub fn token(&self, session: u128, package: &str) -> String {
         self.token_for(session, package, "how-to-charge", ms(60_000))
     }
 
+    /// Mints a token for any title and lifetime.
     pub fn token_for(&self, session: u128, package: &str, title: &str, lifetime: Duration) -> String {
         mint_token(&self.keys(), session, package, title, lifetime)
     }
 
+    /// The URL of a manifest request with this token.
     pub fn url(&self, token: &str) -> String {
         format!("http://{}/mpd/how-to-charge.mpd?token={token}", self.address)
     }
 
+    /// Requests a manifest with a new token.
     pub async fn request_manifest(&self, session: u128, package: &str) -> HttpResponse {
         get(&self.url(&self.token(session, package))).await
     }
@@ -194,6 +201,7 @@
         self.servers().into_iter().map(|at| self.standins.model(|fleet| fleet.stream_count(at))).sum()
     }
 
+    /// Removes and returns the stand-ins' records.
     pub fn take_records(&self) -> Vec<Record> {
         self.standins.records().take()
     }
@@ -245,6 +253,7 @@
     }
 }
 
+/// The set-ups among the records: server, session and number of the tune-in.
 pub fn set_ups(records: &[Record]) -> Vec<(ServerNo, u128, u16)> {
     let set_up = |record: &Record| match &record.what {
         Event::SetUp { server, session, key, .. } => Some((*server, *session, key.n)),
@@ -253,9 +262,10 @@
     records.iter().filter_map(set_up).collect()
 }
 
+/// Requests a URL on a new connection.
 pub async fn get(url: &str) -> HttpResponse {
-    let rest = url.strip_prefix("http://").expect("an address");
-    let (host, path) = rest.split_at(rest.find('/').expect("a path"));
+    let address_and_path = url.strip_prefix("http://").expect("an address");
+    let (host, path) = address_and_path.split_at(address_and_path.find('/').expect("a path"));
     let mut connection =
         Connection::open(host.parse().expect("a host"), ms(20_000)).await.expect("a connection");
     let mut request = Request::new(Full::<Bytes>::default());
@@ -287,6 +297,7 @@
 
 /// A list service whose updates the test writes.
 pub struct ListService {
+    /// Its address.
     pub address: SocketAddr,
     /// What a new reader gets first. The readers then get the updates; an empty one disconnects them.
     pub initial_list: Rc<RefCell<String>>,
@@ -294,6 +305,7 @@
 }
 
 impl ListService {
+    /// Opens the service with this list.
     pub async fn open(initial_list: String) -> ListService {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address");
@@ -319,6 +331,7 @@
         ListService { address, initial_list, updates }
     }
 
+    /// Sends an update to all readers.
     pub fn send_update(&self, update: String) {
         self.updates.send(update).ok();
     }
--- a/crates/daemon/tests/node/races.rs
+++ b/crates/daemon/tests/node/races.rs
@@ -549,8 +549,8 @@
             served_viewers.push(viewer);
         }
         // Some descriptors remain for the bus, its next connection and a new configuration.
-        let fd_folder = format!("/proc/{}/fd", harness.program.id().expect("it runs"));
-        let descriptor_count = fs::read_dir(fd_folder).expect("its descriptors").count();
+        let fd_directory = format!("/proc/{}/fd", harness.program.id().expect("it runs"));
+        let descriptor_count = fs::read_dir(fd_directory).expect("its descriptors").count();
         assert!(descriptor_count <= 92, "{descriptor_count} of 96 descriptors are in use");
         let bus = bus_socket.listen(64).and_then(EventBus::with_listener).expect("the bus comes back");
         let drains: Vec<_> = (1..SERVER_TOTAL).map(|i| member(&harness.servers[i], i, "draining")).collect();
@@ -577,6 +577,7 @@
 }
 
 impl OtherManager {
+    /// Starts another manager with this number.
     async fn start(harness: &Harness, number: usize) -> OtherManager {
         let free_listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = free_listener.local_addr().expect("its address");
@@ -624,10 +625,10 @@
             }
             // By then the servers are warm to all of them.
             sleep(WARM_UP + ms(500)).await;
-            let fresh = Server::start("s-fresh", Behavior::Plays).await.expect("a server");
+            let fresh_server = Server::start("s-fresh", Behavior::Plays).await.expect("a server");
             let unix_time =
                 std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
-            let mut fresh_member = list_row(&fresh.server_id, fresh.address, "ready");
+            let mut fresh_member = list_row(&fresh_server.server_id, fresh_server.address, "ready");
             fresh_member["up_since_ms"] = (unix_time.as_millis() as u64).into();
             let removed = (0..SERVER_COUNT).map(|i| member(&harness.servers[i], i, "gone"));
             harness.bus.publish(2, &event(2, false, &removed.chain([fresh_member]).collect::<Vec<_>>()), 1);
@@ -653,7 +654,7 @@
                 sleep(Duration::from_secs_f64(1.0 / (3.0 * capacity_per_s))).await;
             }
             let mut arrival_times: Vec<_> =
-                fresh.received(Kind::SetUp).iter().map(|incoming| incoming.at).collect();
+                fresh_server.received(Kind::SetUp).iter().map(|incoming| incoming.at).collect();
             arrival_times.sort();
             let set_ups_in_second = |from: &Instant| {
                 arrival_times.iter().filter(|at| *at >= from && **at < *from + ms(1000)).count()
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -24,16 +24,17 @@
 use tokio::time::{Instant, sleep};
 
 const MEMBER_COUNT: usize = 3;
+/// A package that is paid for at set-up.
 const PAID: &str = "ticket";
 const PLAYS: StatusCode = StatusCode::OK;
-/// The manager reaches no majority of keepers; the viewer may retry.
+/// The manager reaches no majority of the session's acceptors; the viewer may retry.
 const BLOCKED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 /// The paid session may have run before.
 const MAY_HAVE_RUN: StatusCode = StatusCode::BAD_GATEWAY;
 const REVOKED: StatusCode = StatusCode::UNAUTHORIZED;
 static GROUP_COUNT: AtomicU8 = AtomicU8::new(0);
 
-/// A manager process, its folder and settings file.
+/// A manager process, its directory and settings file.
 struct Manager {
     dir: PathBuf,
     file: PathBuf,
@@ -62,9 +63,9 @@
     async fn with_members(members: usize, zones: usize, are_peers: bool) -> Group {
         let (standins, settings_text) = start_standins(|text| text);
         let number = GROUP_COUNT.fetch_add(1, Ordering::Relaxed);
-        let folder = env::temp_dir().join(format!("ivyward-peers-{}-{number}", process::id()));
+        let directory = env::temp_dir().join(format!("ivyward-peers-{}-{number}", process::id()));
         let mut group =
-            Group { standins, settings_text, dir: folder, proxies: BTreeMap::new(), managers: vec![] };
+            Group { standins, settings_text, dir: directory, proxies: BTreeMap::new(), managers: vec![] };
         // Fixed ports at addresses that nothing else uses: a connection of another test can't hold the port.
         let own_address = |i: usize, port| {
             SocketAddr::from(([127, 64 + (process::id() % 128) as u8, number, i as u8 + 1], port))
@@ -77,7 +78,7 @@
         }
         for i in 0..members {
             let dir = group.dir.join(format!("m{i}"));
-            fs::create_dir_all(&dir).expect("a folder");
+            fs::create_dir_all(&dir).expect("a directory");
             let console = own_address(i, 9002);
             let member = |to: usize| {
                 let address = group.proxies.get(&(i, to)).map_or(listen_addresses[to], |proxy| proxy.address);
@@ -109,8 +110,8 @@
     }
 
     /// Starts a manager's process.
-    async fn run(&mut self, i: usize) {
-        let manager = &mut self.managers[i];
+    async fn run(&mut self, member_index: usize) {
+        let manager = &mut self.managers[member_index];
         let mut program = Command::new(env!("CARGO_BIN_EXE_ivyward"))
             .arg("run")
             .arg(&manager.file)
@@ -125,24 +126,28 @@
         manager.program = Some(program);
     }
 
-    async fn kill(&mut self, i: usize) {
-        let mut program = self.managers[i].program.take().expect("it runs");
+    /// Kills a manager's process.
+    async fn kill(&mut self, member_index: usize) {
+        let mut program = self.managers[member_index].program.take().expect("it runs");
         program.kill().await.expect("killed");
     }
 
     /// Sends a Unix signal to a manager's process.
-    fn signal(&self, i: usize, name: &str) {
-        let id = self.managers[i].program.as_ref().and_then(Child::id).expect("it runs").to_string();
+    fn signal(&self, member_index: usize, name: &str) {
+        let id =
+            self.managers[member_index].program.as_ref().and_then(Child::id).expect("it runs").to_string();
         assert!(process::Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    fn delete_state(&self, i: usize) {
-        fs::remove_dir_all(self.managers[i].dir.join("state")).expect("a folder");
+    /// Deletes a manager's state directory.
+    fn delete_state(&self, member_index: usize) {
+        fs::remove_dir_all(self.managers[member_index].dir.join("state")).expect("a directory");
     }
 
     /// Sets the fault of all proxies from and to a member.
-    fn set_fault_around(&self, i: usize, fault: Fault) {
-        let proxies = self.proxies.iter().filter(|((from, to), _)| *from == i || *to == i);
+    fn set_fault_around(&self, member_index: usize, fault: Fault) {
+        let proxies =
+            self.proxies.iter().filter(|((from, to), _)| *from == member_index || *to == member_index);
         proxies.for_each(|(_, proxy)| proxy.set_fault(fault));
     }
 
@@ -153,20 +158,22 @@
     }
 
     /// Sets the fault of all proxies to a member: it can send but not receive.
-    fn set_fault_towards(&self, i: usize, fault: Fault) {
-        let proxies = self.proxies.iter().filter(|((_, to), _)| *to == i);
+    fn set_fault_towards(&self, member_index: usize, fault: Fault) {
+        let proxies = self.proxies.iter().filter(|((_, to), _)| *to == member_index);
         proxies.for_each(|(_, proxy)| proxy.set_fault(fault));
     }
 
-    fn url(&self, i: usize, session: u128, package: &str) -> String {
+    /// The URL of a session's manifest at a manager, with a new token.
+    fn url(&self, member_index: usize, session: u128, package: &str) -> String {
         let settings = ivyward_settings::read("Settings", &self.settings_text).expect("settings");
         let keys = setup::keys(&settings.section("tokens")).expect("keys");
         let token = mint_token(&keys, session, package, "how-to-charge", ms(60_000));
-        format!("http://{}/mpd/how-to-charge.mpd?token={token}", self.managers[i].address)
+        format!("http://{}/mpd/how-to-charge.mpd?token={token}", self.managers[member_index].address)
     }
 
-    async fn request_paid(&self, i: usize, session: u128) -> HttpResponse {
-        get(&self.url(i, session, PAID)).await
+    /// Requests a paid viewing at a manager.
+    async fn request_paid(&self, member_index: usize, session: u128) -> HttpResponse {
+        get(&self.url(member_index, session, PAID)).await
     }
 
     /// How many set-ups of a session servers have read.
@@ -176,29 +183,31 @@
     }
 
     /// Adds a session to a member's revoked ones in its settings, and has the member reload them.
-    fn revoke(&self, i: usize, session: u128) {
-        let file = &self.managers[i].file;
+    fn revoke(&self, member_index: usize, session: u128) {
+        let file = &self.managers[member_index].file;
         let text = fs::read_to_string(file).expect("settings");
         let revoked = format!("signs: \"trial\"\n  revoked: \"{session:032x}\"");
         fs::write(file, text.replacen("signs: \"trial\"", &revoked, 1)).expect("written");
-        self.signal(i, "-HUP");
+        self.signal(member_index, "-HUP");
     }
 
     /// Waits until a free viewing of the session gets this status, for five seconds at most.
-    async fn wait_for_status(&self, i: usize, session: u128, status: StatusCode) {
-        self.wait_for_status_until(Instant::now() + ms(5000), i, session, status).await;
+    async fn wait_for_status(&self, member_index: usize, session: u128, status: StatusCode) {
+        self.wait_for_status_until(Instant::now() + ms(5000), member_index, session, status).await;
     }
 
     /// As `wait_for_status`, until a deadline.
-    async fn wait_for_status_until(&self, deadline: Instant, i: usize, session: u128, status: StatusCode) {
+    async fn wait_for_status_until(
+        &self, deadline: Instant, member_index: usize, session: u128, status: StatusCode,
+    ) {
         loop {
-            let response = get(&self.url(i, session, "clip")).await;
+            let response = get(&self.url(member_index, session, "clip")).await;
             if response.status == status {
                 return;
             }
             assert!(
                 Instant::now() < deadline,
-                "m{i}, session {session}: {} {}",
+                "m{member_index}, session {session}: {} {}",
                 response.status,
                 response.body
             );
@@ -214,20 +223,20 @@
     }
 
     /// Reads the peers page of a member's console.
-    async fn peers_page(&self, i: usize) -> Value {
-        let response = get(&format!("http://{}/peers", self.managers[i].console)).await;
+    async fn peers_page(&self, member_index: usize) -> Value {
+        let response = get(&format!("http://{}/peers", self.managers[member_index].console)).await;
         serde_json::from_str(&response.body).expect("a page")
     }
 
     /// Waits until a member's peers page fulfils the condition, for ten seconds at most.
-    async fn wait_until(&self, i: usize, what: &str, condition: impl Fn(&Value) -> bool) {
+    async fn wait_until(&self, member_index: usize, what: &str, condition: impl Fn(&Value) -> bool) {
         let deadline = Instant::now() + ms(10_000);
         loop {
-            let page = self.peers_page(i).await;
+            let page = self.peers_page(member_index).await;
             if condition(&page) {
                 return;
             }
-            assert!(Instant::now() < deadline, "m{i} did not reach {what} within 10 s: {page}");
+            assert!(Instant::now() < deadline, "m{member_index} did not reach {what} within 10 s: {page}");
             sleep(ms(20)).await;
         }
     }
@@ -301,7 +310,7 @@
 fn a_manager_that_claimed_a_session_and_sent_no_set_up_causes_no_second_run() {
     for killed in [true, false] {
         with(true, |mut group| async move {
-            // Keepers receive the claim; their answers don't arrive.
+            // The acceptors receive the claim; their answers don't arrive.
             group.set_fault_towards(0, Fault::Stall);
             let url = group.url(0, 9, PAID);
             let request = tokio::task::spawn_local(async move { get(&url).await });
@@ -365,8 +374,8 @@
 }
 
 #[test]
-fn a_keeper_that_lost_its_state_abstains_until_it_has_caught_up() {
-    // A keeper that still has its state needs no catching up; either way, the session isn't set up again.
+fn an_acceptor_that_lost_its_state_abstains_until_it_has_caught_up() {
+    // An acceptor that still has its state needs no catching up; either way, the session isn't set up again.
     for state_lost in [true, false] {
         with(true, |mut group| async move {
             group.proxies[&(0, 2)].set_fault(Fault::Reset);
@@ -377,7 +386,7 @@
             }
             group.signal(0, "-STOP");
             group.run(1).await;
-            // The two running keepers would be a majority.
+            // The two running acceptors would be a majority.
             let response = group.request_paid(2, 21).await;
             assert_eq!((response.status, group.set_up_count(21)), (BLOCKED, 1), "{}", response.body);
             assert_eq!(group.peers_page(1).await["catching_up"], state_lost);
@@ -385,12 +394,12 @@
                 assert_eq!(
                     group.request_paid(2, 22).await.status,
                     BLOCKED,
-                    "a new session is blocked too: the keeper can't know that it is new"
+                    "a new session is blocked too: the acceptor can't know that it is new"
                 );
             }
             group.proxies[&(0, 2)].set_fault(Fault::Forward);
             group.signal(0, "-CONT");
-            group.wait_until(1, "a keeper that has caught up", |page| page["catching_up"] == false).await;
+            group.wait_until(1, "an acceptor that has caught up", |page| page["catching_up"] == false).await;
             for i in [1, 2] {
                 assert_eq!(
                     (group.request_paid(i, 21).await.status, group.set_up_count(21)),
@@ -530,10 +539,11 @@
     }
 }
 
-/// A group in which no member is a neighbour of all others, its zones, and the time within which a revocation
-/// must be in force at all its members.
+/// Members of a group in which none is a neighbour of all others.
 const LARGE_GROUP_COUNT: usize = 24;
+/// Zones over which these members are distributed.
 const ZONE_COUNT: usize = 6;
+/// Time within which a revocation must be in force at all members, in milliseconds.
 const IN_FORCE_TIMEOUT_MS: u64 = 6000;
 
 #[test]
@@ -589,7 +599,8 @@
             time_until_revoked(&group, &connected, 73).await
         );
         println!("and at the members cut off within {:?}", time_until_revoked(&group, &cut_off, 72).await);
-        // Keepers are in different zones: the connected members have majorities, the zone by itself has none.
+        // Acceptors are in different zones: the connected members have majorities, the zone by itself has
+        // none.
         for session in 106..112 {
             played_count += request_twice(&group, &connected, session).await;
             assert_eq!(request_twice(&group, &cut_off, session + 100).await, 0, "{session}");
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -22,13 +22,14 @@
 }
 
 /// Settings without a retry budget, for tests that make more further tune-ins than it allows.
-fn unrationed(text: String) -> String {
+fn without_retry_budget(text: String) -> String {
     text.replace("ration { span_s: 5 free: 5 share: 0.2 }", "")
 }
 
-fn freeze_all(harness: &Harness, on: bool) {
+/// Freezes all servers, or thaws them.
+fn freeze_all(harness: &Harness, should_freeze: bool) {
     for server in harness.servers() {
-        if on { harness.standins.freeze(server) } else { harness.standins.thaw(server) }
+        if should_freeze { harness.standins.freeze(server) } else { harness.standins.thaw(server) }
     }
 }
 
@@ -152,7 +153,7 @@
 
 #[test]
 fn a_tune_in_that_times_out_while_its_answer_is_in_flight_plays_once() {
-    with_manager(unrationed, |harness| async move {
+    with_manager(without_retry_budget, |harness| async move {
         // The tune-in timeout is two fifths of the join target: these thaw times lie on both sides of it.
         for (session, thaw_after_ms) in (0..10).zip([380, 390, 395, 398, 400, 402, 405, 410, 420, 430]) {
             freeze_all(&harness, true);
@@ -419,13 +420,13 @@
     });
 }
 
-/// All servers refuse connections for `outage`, under a steady stream of requests. `fresh`: the outage begins
-/// while the manager still treats all servers as cold after its own start.
-fn check_recovery_after_refusals(outage: Duration, fresh: bool) {
+/// All servers refuse connections for `outage`, under a steady stream of requests. `is_fresh`: the outage
+/// begins while the manager still treats all servers as cold after its own start.
+fn check_recovery_after_refusals(outage: Duration, is_fresh: bool) {
     // Servers warm up for two seconds, in which each takes 13.6 set-ups a second. A request is made every 40
     // ms.
     let (warm_up, request_interval) = (ms(2000), ms(40));
-    let long_warm_up = |text: String| unrationed(text).replace("warm_up_s: 0.2", "warm_up_s: 2");
+    let long_warm_up = |text: String| without_retry_budget(text).replace("warm_up_s: 0.2", "warm_up_s: 2");
     with_manager(long_warm_up, |harness| async move {
         let harness = Rc::new(harness);
         let requests: Rc<RefCell<Vec<(Instant, bool)>>> = Rc::default();
@@ -450,7 +451,7 @@
                 .collect();
             in_second.iter().filter(|(_, played)| *played).count() as f64 / in_second.len().max(1) as f64
         };
-        if !fresh {
+        if !is_fresh {
             sleep(warm_up + ms(1500)).await;
             let fraction_before = playing_fraction(Instant::now() - ms(1500));
             assert!(
@@ -475,7 +476,7 @@
         let mut offsets = (0..40).map(|i| ms(100) * i);
         let nine_in_ten_after = offsets.find(|offset| playing_fraction(outage_end + *offset) >= 0.9);
         let summary = format!(
-            "{outage:?}, fresh {fresh}: first set-up after {first_set_up_after:?}, nine in ten play after {nine_in_ten_after:?}"
+            "{outage:?}, fresh {is_fresh}: first set-up after {first_set_up_after:?}, nine in ten play after {nine_in_ten_after:?}"
         );
         println!("{summary}");
         assert!(first_set_up_after <= ms(2500), "{summary}");
