--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -325,7 +325,7 @@
                 if !same_connection {
                     drop(first);
                     server.reset(0);
-                    wait_until("another connection", || server.connections() == 2).await;
+                    wait_until("another connection", || server.accepted_connection_count() == 2).await;
                     sleep(ms(50)).await;
                     server.release(1, session_ref, 16);
                     let reply = second.receive(ms(1000)).await.expect("the release");
@@ -442,7 +442,10 @@
         }
         assert_eq!(viewer.receive(ms(200)).await, None, "a session that already plays gets no answer");
         let server = &harness.servers[1];
-        wait_until("a connection to the server that plays the session", || server.connections() == 1).await;
+        wait_until("a connection to the server that plays the session", || {
+            server.accepted_connection_count() == 1
+        })
+        .await;
         sleep(ms(50)).await;
         server.release(0, session_ref, 16);
         let reply = viewer.receive(ms(1000)).await.expect("the release");
--- a/crates/daemon/tests/node/races.rs
+++ b/crates/daemon/tests/node/races.rs
@@ -1077,7 +1077,7 @@
             assert_eq!(viewer.receive(ms(1000)).await.map(|reply| reply.cause), Some(Some(34)));
             let mut ticket_viewer = harness.viewer().await;
             assert!(ticket_viewer.write(&set_up_bytes(SessionRef(0xd2), "ticket", 3500, "")).await);
-            wait_until("a second connection to the server", || server.connections() == 2).await;
+            wait_until("a second connection to the server", || server.accepted_connection_count() == 2).await;
             if by_garbage {
                 let release_bytes =
                     binary::write(Kind::Release, SessionRef(0xd0), &[], Some(16), None).expect("short");
@@ -1085,7 +1085,7 @@
             } else {
                 server.reset(0);
             }
-            wait_until("a connection for another release", || server.connections() == 3).await;
+            wait_until("a connection for another release", || server.accepted_connection_count() == 3).await;
             server.release(2, SessionRef(0xd0), 16);
             let reply = viewer.receive(ms(1000)).await.map(|reply| (reply.kind, reply.session));
             assert_eq!(reply, Some((Kind::Release, SessionRef(0xd0))), "by garbage {by_garbage}");
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -229,7 +229,10 @@
         }
         harness
             .wait_until("all are listed again", |harness| {
-                harness.servers().into_iter().all(|server| harness.standins.model(|fleet| fleet.up(server)))
+                harness
+                    .servers()
+                    .into_iter()
+                    .all(|server| harness.standins.model(|fleet| fleet.is_up(server)))
             })
             .await;
         sleep(ms(900)).await;
@@ -257,7 +260,10 @@
         }
         harness
             .wait_until("all are up", |harness| {
-                harness.servers().into_iter().all(|server| harness.standins.model(|fleet| fleet.up(server)))
+                harness
+                    .servers()
+                    .into_iter()
+                    .all(|server| harness.standins.model(|fleet| fleet.is_up(server)))
             })
             .await;
         assert_eq!(get(&format!("{base}r0/1.m4s")).await.status, StatusCode::NOT_FOUND);
--- a/crates/dash/src/tests.rs
+++ b/crates/dash/src/tests.rs
@@ -165,13 +165,13 @@
         let keys = keys("new");
         let token = keys.mint(&token_claims(None), s(100), s(10)).expect("signed");
         let mut altered = token.clone().into_bytes();
-        let at = at.index(altered.len());
-        altered[at] = to;
+        let changed_index = at.index(altered.len());
+        altered[changed_index] = to;
         let complete = altered == token.as_bytes();
         let altered = String::from_utf8_lossy(&altered).into_owned();
         // The last character of a signature has unused bits (RFC 4648, 3.5), so the token may stay valid when
         // it changes. Every other character counts.
-        if !complete && at + 1 < token.len() {
+        if !complete && changed_index + 1 < token.len() {
             prop_assert!(keys.check(&altered, s(105), s(1)).is_err(), "{}", altered);
         }
         prop_assert!(keys.check(&text, s(105), s(1)).is_err());
@@ -183,8 +183,8 @@
         let durations = (s(31), s(2), s(3));
         let valid = manifest::manifest("a", "http://1.2.3.4:5/v/t/", "http://m/", &[100.0, 200.0], durations, (s(1000), s(1001)));
         prop_assert_eq!(check::faults(&valid, "1.2.3.4:5", 1, Some(&valid)), Vec::<String>::new());
-        let at = at.index(valid.len());
-        let cut: String = valid.chars().take(at).chain(text.chars()).chain(valid.chars().skip(at + len)).collect();
+        let cut_index = at.index(valid.len());
+        let cut: String = valid.chars().take(cut_index).chain(text.chars()).chain(valid.chars().skip(cut_index + len)).collect();
         manifest::read(&cut).ok();
         check::faults(&cut, "1.2.3.4:5", 1, Some(&valid));
         check::faults(&valid, "1.2.3.4:5", 1, Some(&cut));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -214,17 +214,17 @@
     }
 
     /// Returns whether a server accepts requests without answering.
-    pub fn frozen(&self, server_no: ServerNo) -> bool {
+    pub fn is_frozen(&self, server_no: ServerNo) -> bool {
         self.servers[server_no.0].faults.frozen
     }
 
     /// Returns whether a server's process runs.
-    pub fn up(&self, server_no: ServerNo) -> bool {
+    pub fn is_up(&self, server_no: ServerNo) -> bool {
         self.servers[server_no.0].up
     }
 
     /// Returns whether a server is draining.
-    pub fn draining(&self, server_no: ServerNo) -> bool {
+    pub fn is_draining(&self, server_no: ServerNo) -> bool {
         self.servers[server_no.0].draining
     }
 
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -137,7 +137,7 @@
         });
         let broken_count = outcomes.filter(|outcome| *outcome == SetUpOutcome::Breaks).count();
         assert_eq!(
-            (broken_count > 0, fleet.up(ServerNo(0))),
+            (broken_count > 0, fleet.is_up(ServerNo(0))),
             (crashes, !crashes),
             "one set-up every {interval_ms} ms"
         );
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -305,9 +305,9 @@
     let cores = harness.managers.iter().filter_map(|m| m.core.as_ref());
     let leftover_count =
         streams + cores.map(|core| core.viewing_count() + core.pending_count()).sum::<usize>();
-    let lifetimes = harness.managers.iter().enumerate().map(|(i, m)| {
-        let outages = m.outages.iter().map(|(from, until)| (*from, *until)).collect();
-        ManagerLifetime { manager_number: Some(ManagerNo(i as u32)), downtimes: outages }
+    let lifetimes = harness.managers.iter().enumerate().map(|(manager_index, modelled_manager)| {
+        let outages = modelled_manager.outages.iter().map(|(from, until)| (*from, *until)).collect();
+        ManagerLifetime { manager_number: Some(ManagerNo(manager_index as u32)), downtimes: outages }
     });
     harness.history.managers = lifetimes.collect();
     harness.history.viewer_requests.sort_by_key(|request| request.requested_at);
@@ -479,8 +479,8 @@
                 });
             }
             RecordedEffect::Probe(server) => self.schedule_after(delay, move |harness| {
-                let load =
-                    (harness.fleet.up(server) && !harness.fleet.frozen(server)).then(|| harness.load(server));
+                let load = (harness.fleet.is_up(server) && !harness.fleet.is_frozen(server))
+                    .then(|| harness.load(server));
                 let reply_delay = if load.is_some() { delay } else { Duration::from_millis(250) };
                 harness.schedule_after(reply_delay, move |harness| {
                     harness.with_core(manager, incarnation, |core, effects, now| {
@@ -494,7 +494,7 @@
                     let idle_for = harness
                         .fleet
                         .idle_time(harness.now, server, key)
-                        .filter(|_| !harness.fleet.frozen(server));
+                        .filter(|_| !harness.fleet.is_frozen(server));
                     harness.with_core(manager, incarnation, |core, effects, now| {
                         core.on_last_fetch(
                             effects,
@@ -525,9 +525,9 @@
 
     /// Runs a job at a server: a frozen server runs it when it resumes, a dead one never.
     fn run_at_server(&mut self, server: ServerNo, job: impl FnOnce(&mut Harness) + 'static) {
-        if self.fleet.frozen(server) {
+        if self.fleet.is_frozen(server) {
             self.frozen_server_jobs.entry(server).or_default().push(Box::new(job));
-        } else if self.fleet.up(server) {
+        } else if self.fleet.is_up(server) {
             job(self);
         }
     }
@@ -538,7 +538,7 @@
         if !self.open_set_ups.contains_key(&key) {
             return;
         }
-        if !self.fleet.up(server) {
+        if !self.fleet.is_up(server) {
             return self.report_attempt_result(manager, key, AttemptResult::NotConnected);
         }
         let mut allowed = false;
@@ -575,7 +575,7 @@
     /// Delivers a set-up to a server, which reads it.
     fn deliver_set_up(&mut self, manager: usize, server: ServerNo, sent_set_up: SentSetUp) {
         let key = sent_set_up.key;
-        if !self.fleet.up(server) {
+        if !self.fleet.is_up(server) {
             return self.report_attempt_result(manager, key, AttemptResult::ConnectionBroken);
         }
         let (session, package, title) =
@@ -671,7 +671,7 @@
         &mut self, manager: usize, session: SessionId, package: usize, title: u64,
         previous: Option<(TokenOrigin, (ServerNo, TuneInKey))>, watch_until: Duration,
     ) -> usize {
-        let (now, is_up) = (self.now, self.managers[manager].core.is_some());
+        let (now, manager_is_up) = (self.now, self.managers[manager].core.is_some());
         let number = self.history.viewer_requests.len();
         self.history.viewer_requests.push(ManifestRequest {
             manager,
@@ -679,10 +679,10 @@
             package,
             requested_at: now,
             ended_at: now,
-            outcome: if is_up { RequestOutcome::NoAnswer } else { RequestOutcome::ConnectionFailed },
+            outcome: if manager_is_up { RequestOutcome::NoAnswer } else { RequestOutcome::ConnectionFailed },
             starts_viewing: previous.is_none(),
             is_refresh: previous.is_some(),
-            was_connected: is_up,
+            was_connected: manager_is_up,
             extra_answers: 0,
         });
         self.plans
@@ -776,7 +776,7 @@
         segment_number: u32,
     ) {
         let is_last = self.now >= watch_until;
-        let fetch_outcome = if self.fleet.up(server) && !self.fleet.frozen(server) {
+        let fetch_outcome = if self.fleet.is_up(server) && !self.fleet.is_frozen(server) {
             self.fleet.fetch(self.now, server, key, 0, is_last, SEGMENT_DURATION)
         } else {
             FetchOutcome::Unknown
@@ -979,7 +979,7 @@
         }
         let delay = self.network_delay();
         self.schedule_after(delay, move |harness| {
-            if !harness.fleet.up(server_no) {
+            if !harness.fleet.is_up(server_no) {
                 harness.managers[manager].followed_servers.remove(&server_no);
                 return harness.with_core(manager, incarnation, |core, effects, now| {
                     core.on_inventory(effects, now, to_server_id(server_no), &[]);
@@ -1101,7 +1101,7 @@
 
     /// Kills a server.
     fn kill_server(&mut self, server_no: ServerNo) {
-        if !self.fleet.up(server_no) {
+        if !self.fleet.is_up(server_no) {
             return;
         }
         let managers = self.fleet.managers(server_no);
@@ -1112,7 +1112,7 @@
 
     /// Starts a server.
     fn start_server(&mut self, server_no: ServerNo) {
-        if self.fleet.up(server_no) {
+        if self.fleet.is_up(server_no) {
             return;
         }
         self.fleet.start(self.now, server_no);
@@ -1152,7 +1152,7 @@
     fn thaw_server(&mut self, server_no: ServerNo) {
         self.fleet.faults(server_no).frozen = false;
         for job in self.frozen_server_jobs.remove(&server_no).unwrap_or_default() {
-            if self.fleet.up(server_no) {
+            if self.fleet.is_up(server_no) {
                 job(self);
             }
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -108,7 +108,7 @@
     /// Behavior on set-ups from now on.
     pub behavior: Cell<Behavior>,
     /// Whether heartbeats are answered.
-    pub answers_tests: Cell<bool>,
+    pub answers_heartbeats: Cell<bool>,
     /// Received messages, in order.
     pub signals: RefCell<Vec<ReceivedSignal>>,
     /// Ends of set-ups, in order.
@@ -166,7 +166,7 @@
             server_id: listed_id.into(),
             address: listener.local_addr()?,
             behavior: Cell::new(initial_behavior),
-            answers_tests: Cell::new(true),
+            answers_heartbeats: Cell::new(true),
             signals: RefCell::default(),
             set_up_ends: RefCell::default(),
             written_bytes: Cell::new(0),
@@ -184,7 +184,7 @@
         loop {
             let mode = *mode_changed.borrow_and_update();
             if matches!(mode, AcceptMode::Refuse | AcceptMode::Reset) {
-                (0..self.connections()).for_each(|number| self.reset(number));
+                (0..self.accepted_connection_count()).for_each(|number| self.reset(number));
             }
             match mode {
                 AcceptMode::All | AcceptMode::Reset => loop {
@@ -275,45 +275,45 @@
     }
 
     /// Records the end of a set-up.
-    fn record_end(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
+    fn record_end(&self, connection: usize, target_session: SessionRef, how: SetUpEnd) {
         self.set_up_ends.borrow_mut().push(EndedSetUp {
             at: Instant::now(),
             connection,
-            session_ref: of,
+            session_ref: target_session,
             set_up_end: how,
         });
     }
 
     /// Ends a set-up if it is open, and records its end.
-    fn end_set_up(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
-        if self.open_set_ups.borrow_mut().remove(&(connection, of)) {
-            self.record_end(connection, of, how);
+    fn end_set_up(&self, connection: usize, target_session: SessionRef, how: SetUpEnd) {
+        if self.open_set_ups.borrow_mut().remove(&(connection, target_session)) {
+            self.record_end(connection, target_session, how);
         }
     }
 
     /// Records a message and reacts to it by the configured behavior.
     fn on_signal(&self, connection: usize, signal: &Signal) {
-        let of = signal.session;
+        let target_session = signal.session;
         if signal.kind == Kind::SetUp {
-            self.open_set_ups.borrow_mut().insert((connection, of));
+            self.open_set_ups.borrow_mut().insert((connection, target_session));
         } else if signal.kind == Kind::Release {
-            self.end_set_up(connection, of, SetUpEnd::ManagerClosed);
+            self.end_set_up(connection, target_session, SetUpEnd::ManagerClosed);
         }
         self.signals.borrow_mut().push(ReceivedSignal {
             at: Instant::now(),
             connection,
             kind: signal.kind,
-            session_ref: of,
+            session_ref: target_session,
             cause: signal.cause,
             description: signal.description.as_deref().map(<[u8]>::to_vec),
             package: signal.text(Field::Package).map(Into::into),
             rung: signal.integer(Field::Rung),
         });
         let reply = |bytes| self.send_bytes(connection, bytes);
-        let answer_message = |of, description: &[u8]| {
+        let answer_message = |target_session, description: &[u8]| {
             binary::write(
                 Kind::Answer,
-                of,
+                target_session,
                 &[(Field::Report, "x0:0.4;x1:0.3")],
                 None,
                 Some(&answer(description)),
@@ -322,30 +322,39 @@
         };
         let description = signal.description.as_deref().unwrap_or_default();
         match (signal.kind, self.behavior.get()) {
-            (Kind::Heartbeat, _) if self.answers_tests.get() => {
+            (Kind::Heartbeat, _) if self.answers_heartbeats.get() => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
-                reply(binary::write(Kind::HeartbeatAck, of, &report, Some(1), None).unwrap_or_default());
+                reply(
+                    binary::write(Kind::HeartbeatAck, target_session, &report, Some(1), None)
+                        .unwrap_or_default(),
+                );
             }
             (Kind::SetUp, Behavior::Plays) => {
-                self.end_set_up(connection, of, SetUpEnd::Plays);
-                reply(answer_message(of, description));
-            }
-            (Kind::SetUp, Behavior::PlaysTwice) => {
-                reply([answer_message(of, description), answer_message(of, description)].concat())
+                self.end_set_up(connection, target_session, SetUpEnd::Plays);
+                reply(answer_message(target_session, description));
             }
+            (Kind::SetUp, Behavior::PlaysTwice) => reply(
+                [answer_message(target_session, description), answer_message(target_session, description)]
+                    .concat(),
+            ),
             (Kind::SetUp, Behavior::AnswersOtherFirst) => {
                 reply(
-                    [answer_message(SessionRef(!of.0), description), answer_message(of, description)]
-                        .concat(),
+                    [
+                        answer_message(SessionRef(!target_session.0), description),
+                        answer_message(target_session, description),
+                    ]
+                    .concat(),
                 );
             }
-            (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, of, cause),
+            (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, target_session, cause),
             (Kind::SetUp, Behavior::Resets) => self.reset(connection),
             (Kind::SetUp, Behavior::SendsGarbage) => reply(vec![0xff; 200]),
-            (Kind::SetUp, Behavior::TruncatesAnswer) => reply(answer_message(of, description)[..20].to_vec()),
+            (Kind::SetUp, Behavior::TruncatesAnswer) => {
+                reply(answer_message(target_session, description)[..20].to_vec())
+            }
             (Kind::SetUp, Behavior::SendsOversizedLength) => reply(vec![0xff, 0xff, 9]),
             (Kind::SetUp, Behavior::OmitsDescription) => {
-                reply(binary::write(Kind::Answer, of, &[], None, None).unwrap_or_default());
+                reply(binary::write(Kind::Answer, target_session, &[], None, None).unwrap_or_default());
             }
             _ => {}
         }
@@ -360,13 +369,17 @@
     }
 
     /// Releases a session with this cause.
-    pub fn release(&self, connection: usize, of: SessionRef, cause: u8) {
+    pub fn release(&self, connection: usize, target_session: SessionRef, cause: u8) {
         // The causes "full" (34) and "moot" (102) mean that the set-up never ran.
         let never_ran = [34, 102].contains(&cause);
-        self.end_set_up(connection, of, if never_ran { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer });
+        self.end_set_up(
+            connection,
+            target_session,
+            if never_ran { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer },
+        );
         self.send_bytes(
             connection,
-            binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default(),
+            binary::write(Kind::Release, target_session, &[], Some(cause), None).unwrap_or_default(),
         );
     }
 
@@ -378,7 +391,7 @@
     }
 
     /// Returns the number of connections accepted so far.
-    pub fn connections(&self) -> usize {
+    pub fn accepted_connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
@@ -519,8 +532,8 @@
     }
 
     /// Sends a message and returns whether this succeeded.
-    pub async fn send_signal(&mut self, kind: Kind, of: SessionRef, cause: Option<u8>) -> bool {
-        let line = line::write(kind, of, &[], cause, None).unwrap_or_default();
+    pub async fn send_signal(&mut self, kind: Kind, target_session: SessionRef, cause: Option<u8>) -> bool {
+        let line = line::write(kind, target_session, &[], cause, None).unwrap_or_default();
         self.write(&line).await
     }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -113,7 +113,7 @@
     async fn wait_until_thawed(&self, server_no: ServerNo) {
         loop {
             let thawed = self.0.server_sockets[server_no.0].thawed.notified();
-            if !self.model(|fleet| fleet.frozen(server_no)) {
+            if !self.model(|fleet| fleet.is_frozen(server_no)) {
                 return;
             }
             thawed.await;
@@ -210,14 +210,14 @@
             standins.wait_until_thawed(server_no).await;
             let now = standins.now();
             if standins.model(|fleet| {
-                fleet.incarnation(server_no).0 != incarnation_at_arrival || !fleet.up(server_no)
+                fleet.incarnation(server_no).0 != incarnation_at_arrival || !fleet.is_up(server_no)
             }) {
                 return;
             }
             let lease = Duration::from_millis(lease);
             let outcome = standins.model(|fleet| fleet.set_up(now, server_no, key, &rates, rung, lease));
             if matches!(outcome, SetUpOutcome::Plays(_) | SetUpOutcome::AnswerLost)
-                || outcome == SetUpOutcome::Breaks && standins.model(|fleet| fleet.up(server_no))
+                || outcome == SetUpOutcome::Breaks && standins.model(|fleet| fleet.is_up(server_no))
             {
                 standins.record(Event::SetUpStarted { server: server_no, key });
                 standins.0.stream_infos.borrow_mut().insert((server_no, key), stream_info);
