--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -95,9 +95,9 @@
 
 /// Checks the rules on a day and summarizes its observations.
 ///
-/// `ended` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
+/// `end_reports` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
 pub fn evaluate_day(
-    terms: &Terms, history: &History, viewer_records: &[ViewerRecord], ended: &[Option<Ended>],
+    terms: &Terms, history: &History, viewer_records: &[ViewerRecord], end_reports: &[Option<Ended>],
     played_troubles: &[PlayedTrouble],
 ) -> Verdict {
     let History { records, viewer_requests, managers } = history;
@@ -125,12 +125,12 @@
                 (trouble.kind.clone() + &racks, effect_count(trouble, records, managers))
             })
             .collect(),
-        unclean_end_count: ended.iter().filter(|ended| ended.is_none()).count(),
-        violation_count: ended.iter().flatten().map(|ended| ended.breaches).sum(),
-        orphans_and_takeovers: ended
+        unclean_end_count: end_reports.iter().filter(|end_report| end_report.is_none()).count(),
+        violation_count: end_reports.iter().flatten().map(|end_report| end_report.breaches).sum(),
+        orphans_and_takeovers: end_reports
             .iter()
             .flatten()
-            .fold((0, 0), |sum, ended| (sum.0 + ended.orphans, sum.1 + ended.taken_over)),
+            .fold((0, 0), |sum, end_report| (sum.0 + end_report.orphans, sum.1 + end_report.taken_over)),
         ..Default::default()
     };
     for request in viewer_requests.iter().filter(|request| request.starts_viewing) {
