--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict on a day, by the six rules.
 //!
-//! The rules are judged from what passed on the sockets of servers, list and viewers. What a manager reports
-//! of itself doesn't count, except violations that it counted, which the verdict reports separately.
+//! The rules are checked on what passed on the sockets of servers, list and viewers. What a manager reports
+//! about itself doesn't count, except violations that it counted, which the verdict reports separately.
 
 use crate::trouble::PlayedTrouble;
 use crate::viewers::ViewerRecord;
@@ -93,11 +93,11 @@
     }
 }
 
-/// Judges a day.
+/// Checks the rules on a day and summarizes its observations.
 ///
-/// `ended` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
-pub fn judge(
-    terms: &Terms, history: &History, viewer_records: &[ViewerRecord], ended: &[Option<Ended>],
+/// `end_reports` has the end report of each manager, or `None` for one that didn't end cleanly after SIGTERM.
+pub fn evaluate_day(
+    terms: &Terms, history: &History, viewer_records: &[ViewerRecord], end_reports: &[Option<Ended>],
     played_troubles: &[PlayedTrouble],
 ) -> Verdict {
     let History { records, viewer_requests, managers } = history;
@@ -125,12 +125,12 @@
                 (trouble.kind.clone() + &racks, effect_count(trouble, records, managers))
             })
             .collect(),
-        unclean_end_count: ended.iter().filter(|ended| ended.is_none()).count(),
-        violation_count: ended.iter().flatten().map(|ended| ended.breaches).sum(),
-        orphans_and_takeovers: ended
+        unclean_end_count: end_reports.iter().filter(|end_report| end_report.is_none()).count(),
+        violation_count: end_reports.iter().flatten().map(|end_report| end_report.breaches).sum(),
+        orphans_and_takeovers: end_reports
             .iter()
             .flatten()
-            .fold((0, 0), |sum, ended| (sum.0 + ended.orphans, sum.1 + ended.taken_over)),
+            .fold((0, 0), |sum, end_report| (sum.0 + end_report.orphans, sum.1 + end_report.taken_over)),
         ..Default::default()
     };
     for request in viewer_requests.iter().filter(|request| request.starts_viewing) {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -65,22 +65,34 @@
 /// A message that a server received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSignal {
+    /// When the message arrived.
     pub at: Instant,
+    /// Number of the connection, from 0.
     pub connection: usize,
+    /// Kind of the message.
     pub kind: Kind,
+    /// Session that the message is about.
     pub session_ref: SessionRef,
+    /// Cause of a release.
     pub cause: Option<u8>,
+    /// Description of a set-up.
     pub description: Option<Vec<u8>>,
+    /// Package of a set-up.
     pub package: Option<String>,
+    /// Rung of a set-up.
     pub rung: Option<u64>,
 }
 
 /// The end of a set-up, from the server's point of view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedSetUp {
+    /// When the set-up ended.
     pub at: Instant,
+    /// Number of the connection, from 0.
     pub connection: usize,
+    /// Session that was set up.
     pub session_ref: SessionRef,
+    /// How the set-up ended.
     pub set_up_end: SetUpEnd,
 }
 
@@ -91,10 +103,12 @@
 pub struct Server {
     /// Identifier in the server list.
     pub server_id: String,
+    /// Address for managers.
     pub address: SocketAddr,
+    /// Behavior on set-ups from now on.
     pub behavior: Cell<Behavior>,
     /// Whether heartbeats are answered.
-    pub answers_tests: Cell<bool>,
+    pub answers_heartbeats: Cell<bool>,
     /// Received messages, in order.
     pub signals: RefCell<Vec<ReceivedSignal>>,
     /// Ends of set-ups, in order.
@@ -146,13 +160,13 @@
     ///
     /// # Errors
     /// Returns an error if no socket can be opened.
-    pub async fn start(word: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
+    pub async fn start(listed_id: &str, initial_behavior: Behavior) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind(own_address()).await?;
         let server = Rc::new(Server {
-            server_id: word.into(),
+            server_id: listed_id.into(),
             address: listener.local_addr()?,
             behavior: Cell::new(initial_behavior),
-            answers_tests: Cell::new(true),
+            answers_heartbeats: Cell::new(true),
             signals: RefCell::default(),
             set_up_ends: RefCell::default(),
             written_bytes: Cell::new(0),
@@ -170,7 +184,7 @@
         loop {
             let mode = *mode_changed.borrow_and_update();
             if matches!(mode, AcceptMode::Refuse | AcceptMode::Reset) {
-                (0..self.connections()).for_each(|number| self.reset(number));
+                (0..self.accepted_connection_count()).for_each(|number| self.reset(number));
             }
             match mode {
                 AcceptMode::All | AcceptMode::Reset => loop {
@@ -214,12 +228,13 @@
         spawn_local(async move {
             serving.serve(stream, number, written).await;
             let unfinished_set_ups = std::mem::take(&mut *serving.open_set_ups.borrow_mut());
-            let (lost, others) =
+            let (ended_set_ups, others) =
                 unfinished_set_ups.into_iter().partition(|(connection, _)| *connection == number);
             *serving.open_set_ups.borrow_mut() = others;
-            let lost: BTreeSet<(usize, SessionRef)> = lost;
-            lost.into_iter()
-                .for_each(|(connection, of)| serving.record_end(connection, of, SetUpEnd::ManagerClosed));
+            let ended_set_ups: BTreeSet<(usize, SessionRef)> = ended_set_ups;
+            ended_set_ups.into_iter().for_each(|(connection, session_ref)| {
+                serving.record_end(connection, session_ref, SetUpEnd::ManagerClosed)
+            });
         });
     }
 
@@ -260,45 +275,45 @@
     }
 
     /// Records the end of a set-up.
-    fn record_end(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
+    fn record_end(&self, connection: usize, target_session: SessionRef, how: SetUpEnd) {
         self.set_up_ends.borrow_mut().push(EndedSetUp {
             at: Instant::now(),
             connection,
-            session_ref: of,
+            session_ref: target_session,
             set_up_end: how,
         });
     }
 
     /// Ends a set-up if it is open, and records its end.
-    fn end_set_up(&self, connection: usize, of: SessionRef, how: SetUpEnd) {
-        if self.open_set_ups.borrow_mut().remove(&(connection, of)) {
-            self.record_end(connection, of, how);
+    fn end_set_up(&self, connection: usize, target_session: SessionRef, how: SetUpEnd) {
+        if self.open_set_ups.borrow_mut().remove(&(connection, target_session)) {
+            self.record_end(connection, target_session, how);
         }
     }
 
     /// Records a message and reacts to it by the configured behavior.
     fn on_signal(&self, connection: usize, signal: &Signal) {
-        let of = signal.session;
+        let target_session = signal.session;
         if signal.kind == Kind::SetUp {
-            self.open_set_ups.borrow_mut().insert((connection, of));
+            self.open_set_ups.borrow_mut().insert((connection, target_session));
         } else if signal.kind == Kind::Release {
-            self.end_set_up(connection, of, SetUpEnd::ManagerClosed);
+            self.end_set_up(connection, target_session, SetUpEnd::ManagerClosed);
         }
         self.signals.borrow_mut().push(ReceivedSignal {
             at: Instant::now(),
             connection,
             kind: signal.kind,
-            session_ref: of,
+            session_ref: target_session,
             cause: signal.cause,
             description: signal.description.as_deref().map(<[u8]>::to_vec),
             package: signal.text(Field::Package).map(Into::into),
             rung: signal.integer(Field::Rung),
         });
         let reply = |bytes| self.send_bytes(connection, bytes);
-        let answer_message = |of, description: &[u8]| {
+        let answer_message = |target_session, description: &[u8]| {
             binary::write(
                 Kind::Answer,
-                of,
+                target_session,
                 &[(Field::Report, "x0:0.4;x1:0.3")],
                 None,
                 Some(&answer(description)),
@@ -307,30 +322,39 @@
         };
         let description = signal.description.as_deref().unwrap_or_default();
         match (signal.kind, self.behavior.get()) {
-            (Kind::Heartbeat, _) if self.answers_tests.get() => {
+            (Kind::Heartbeat, _) if self.answers_heartbeats.get() => {
                 let report = [(Field::Report, "x0:0.4;x1:0.3")];
-                reply(binary::write(Kind::HeartbeatAck, of, &report, Some(1), None).unwrap_or_default());
+                reply(
+                    binary::write(Kind::HeartbeatAck, target_session, &report, Some(1), None)
+                        .unwrap_or_default(),
+                );
             }
             (Kind::SetUp, Behavior::Plays) => {
-                self.end_set_up(connection, of, SetUpEnd::Plays);
-                reply(answer_message(of, description));
-            }
-            (Kind::SetUp, Behavior::PlaysTwice) => {
-                reply([answer_message(of, description), answer_message(of, description)].concat())
+                self.end_set_up(connection, target_session, SetUpEnd::Plays);
+                reply(answer_message(target_session, description));
             }
+            (Kind::SetUp, Behavior::PlaysTwice) => reply(
+                [answer_message(target_session, description), answer_message(target_session, description)]
+                    .concat(),
+            ),
             (Kind::SetUp, Behavior::AnswersOtherFirst) => {
                 reply(
-                    [answer_message(SessionRef(!of.0), description), answer_message(of, description)]
-                        .concat(),
+                    [
+                        answer_message(SessionRef(!target_session.0), description),
+                        answer_message(target_session, description),
+                    ]
+                    .concat(),
                 );
             }
-            (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, of, cause),
+            (Kind::SetUp, Behavior::Releases(cause)) => self.release(connection, target_session, cause),
             (Kind::SetUp, Behavior::Resets) => self.reset(connection),
             (Kind::SetUp, Behavior::SendsGarbage) => reply(vec![0xff; 200]),
-            (Kind::SetUp, Behavior::TruncatesAnswer) => reply(answer_message(of, description)[..20].to_vec()),
+            (Kind::SetUp, Behavior::TruncatesAnswer) => {
+                reply(answer_message(target_session, description)[..20].to_vec())
+            }
             (Kind::SetUp, Behavior::SendsOversizedLength) => reply(vec![0xff, 0xff, 9]),
             (Kind::SetUp, Behavior::OmitsDescription) => {
-                reply(binary::write(Kind::Answer, of, &[], None, None).unwrap_or_default());
+                reply(binary::write(Kind::Answer, target_session, &[], None, None).unwrap_or_default());
             }
             _ => {}
         }
@@ -345,13 +369,17 @@
     }
 
     /// Releases a session with this cause.
-    pub fn release(&self, connection: usize, of: SessionRef, cause: u8) {
+    pub fn release(&self, connection: usize, target_session: SessionRef, cause: u8) {
         // The causes "full" (34) and "moot" (102) mean that the set-up never ran.
         let never_ran = [34, 102].contains(&cause);
-        self.end_set_up(connection, of, if never_ran { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer });
+        self.end_set_up(
+            connection,
+            target_session,
+            if never_ran { SetUpEnd::Refused } else { SetUpEnd::ErrorAnswer },
+        );
         self.send_bytes(
             connection,
-            binary::write(Kind::Release, of, &[], Some(cause), None).unwrap_or_default(),
+            binary::write(Kind::Release, target_session, &[], Some(cause), None).unwrap_or_default(),
         );
     }
 
@@ -363,7 +391,7 @@
     }
 
     /// Returns the number of connections accepted so far.
-    pub fn connections(&self) -> usize {
+    pub fn accepted_connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
@@ -376,11 +404,13 @@
 /// A stand-in of the event bus, which keeps all events and sends each reader those after the last one it
 /// has received.
 pub struct EventBus {
+    /// Address for readers.
     pub address: SocketAddr,
     /// Event numbers after which readers have requested events, in the order of the requests.
     pub requested_after: RefCell<Vec<u64>>,
     /// Whether readers receive a comment every second.
     pub sends_comments: Cell<bool>,
+    /// Stored events with their numbers.
     events: RefCell<Vec<(u64, String)>>,
     readers: RefCell<Vec<ConnectionWriter>>,
 }
@@ -502,8 +532,8 @@
     }
 
     /// Sends a message and returns whether this succeeded.
-    pub async fn send_signal(&mut self, kind: Kind, of: SessionRef, cause: Option<u8>) -> bool {
-        let line = line::write(kind, of, &[], cause, None).unwrap_or_default();
+    pub async fn send_signal(&mut self, kind: Kind, target_session: SessionRef, cause: Option<u8>) -> bool {
+        let line = line::write(kind, target_session, &[], cause, None).unwrap_or_default();
         self.write(&line).await
     }
 
